--- a/cmd/hkbench/tables.go
+++ b/cmd/hkbench/tables.go
@@ -87,18 +87,18 @@
 	off  func(*sched.Rules)
 }{
 	{"none (all on)", func(*sched.Rules) {}},
-	{"fair order", func(r *sched.Rules) { r.Fair = true }},
+	{"fair order", func(r *sched.Rules) { r.FairQueueing = true }},
 	{"reserve", func(r *sched.Rules) { r.Reserve = true }},
 	{"cap on long", func(r *sched.Rules) { r.LongCap = true }},
 	{"affinity", func(r *sched.Rules) { r.Affinity = true }},
-	{"others' dispatches", func(r *sched.Rules) { r.Others = true }},
+	{"others' dispatches", func(r *sched.Rules) { r.PeerCorrection = true }},
 	{"slow endpoints", func(r *sched.Rules) { r.Slow = true }},
-	{"early refusal", func(r *sched.Rules) { r.Early = true }},
+	{"early refusal", func(r *sched.Rules) { r.EarlyRefusal = true }},
 	{"floor", func(r *sched.Rules) { r.Floor = true }},
-	{"near-equal choice", func(r *sched.Rules) { r.Near = true }},
+	{"near-equal choice", func(r *sched.Rules) { r.RandomTies = true }},
 	{"cache transfer", func(r *sched.Rules) { r.Transfer = true }},
 	{"own share", func(r *sched.Rules) { r.Share = true }},
-	{"late binding", func(r *sched.Rules) { r.Late = true }},
+	{"late binding", func(r *sched.Rules) { r.LateBinding = true }},
 }
 
 // ablate prints a table for each case with each rule off in turn.
@@ -108,7 +108,7 @@
 		for _, r := range rules {
 			for s := range a.Seeds {
 				sp := a.spec(c, trial.Keel, s+1)
-				r.off(&sp.Sched.Off)
+				r.off(&sp.Sched.Disabled)
 				specs = append(specs, sp)
 			}
 		}
--- a/edge/policy.go
+++ b/edge/policy.go
@@ -23,7 +23,7 @@
 // may exceed the places anyway, and one of 7 left free was a seventh of all work).
 func policy() sched.Config {
 	return sched.Config{
-		Overcommit: overcommit, FarCost: farCost,
-		Off: sched.Rules{Floor: true, LongCap: true, Share: true, Slow: true, Others: true, Reserve: true},
+		Overcommit: overcommit, CrossZoneCost: farCost,
+		Disabled: sched.Rules{Floor: true, LongCap: true, Share: true, Slow: true, PeerCorrection: true, Reserve: true},
 	}
 }
--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -51,7 +51,7 @@
 
 // newBalancer returns a balancer without endpoints.
 func newBalancer(zone string, cfg sched.Config, r *rand.Rand, now func() time.Duration) *balancer {
-	s := &sched.Scheduler{Config: cfg, Rand: r, Peers: 1}
+	s := &sched.Scheduler{Config: cfg, Rand: r, SharingHosts: 1}
 	s.Init()
 	return &balancer{
 		zone: zone, now: now, sched: s, targets: make(map[string]*target),
@@ -171,7 +171,7 @@
 func (b *balancer) setList(now time.Duration) {
 	list := make([]sched.Endpoint, 0, len(b.targets))
 	for _, t := range b.targets {
-		list = append(list, sched.Endpoint{Name: t.Life(), Engine: true, Slots: t.Slots, Leaving: t.Leaving, Far: t.Zone != b.zone})
+		list = append(list, sched.Endpoint{Name: t.Life(), Engine: true, Slots: t.Slots, Leaving: t.Leaving, CrossZone: t.Zone != b.zone})
 	}
 	slices.SortFunc(list, func(x, y sched.Endpoint) int {
 		if x.Name < y.Name {
@@ -188,9 +188,9 @@
 func (b *balancer) report(now time.Duration) {
 	mean := b.meanPace()
 	for name, t := range b.targets {
-		b.sched.TakeReport(now, name, sched.Report{
+		b.sched.ApplyReport(now, name, sched.Report{
 			At: now, Running: t.own.Running + t.others.Running, PrefillTokens: t.own.Prefill + t.others.Prefill,
-			Reckoned: true, Slots: t.Slots, Step: cmp.Or(t.pace(), mean[t.Service]), PrefillPerStep: b.prefillOf(t.Service), Model: t.Service, Fresh: true,
+			Estimated: true, Slots: t.Slots, Step: cmp.Or(t.pace(), mean[t.Service]), PrefillPerStep: b.prefillOf(t.Service), Model: t.Service, AcceptsPrompts: true,
 		})
 	}
 }
@@ -199,7 +199,7 @@
 func (b *balancer) setHosts(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sched.Peers = max(1, n)
+	b.sched.SharingHosts = max(1, n)
 }
 
 // setOthers takes what all other hosts together have running and waiting.
@@ -210,11 +210,11 @@
 		l := o.Load[name]
 		l.Step = cmp.Or(l.Step, t.others.Step) // it stays known
 		t.others = l
-		b.sched.HearEvidence(now, name, t.evidence())
+		b.sched.ApplyPeerEvidence(now, name, t.evidence())
 	}
 	b.report(now)
-	b.sched.SetUnheard(o.Unheard)
-	b.sched.SetNews(sched.News{Waiting: o.Waiting, Age: o.Age})
+	b.sched.SetSilentPeers(o.Unheard)
+	b.sched.SetPeerState(sched.PeerState{Waiting: o.Waiting, Age: o.Age})
 	b.poll(now)
 }
 
@@ -316,8 +316,8 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	b.left(c)
-	c.req.Start = c.latestStart(now)
-	d := b.sched.Again(now, c.req)
+	c.req.DispatchBy = c.latestStart(now)
+	d := b.sched.Redispatch(now, c.req)
 	b.note(d)
 	b.poll(now)
 	return d
@@ -335,7 +335,7 @@
 func (b *balancer) hold(c *call, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sched.Hold(b.now(), c.req, d)
+	b.sched.BackOff(b.now(), c.req, d)
 }
 
 // left counts a send out of the host's own; mu must be held.
--- a/ingress/balance_test.go
+++ b/ingress/balance_test.go
@@ -80,7 +80,7 @@
 			send := func() string {
 				c := &call{
 					route: &route.Route{Name: "r", Kind: route.Repeatable}, service: &route.Service{Name: "s", Engine: true},
-					req: &sched.Request{Model: "s", PromptTokens: 100, MaxTokens: 50, LikelyTokens: 50, Deadline: 10 * time.Second, Aim: sched.Aim{First: time.Second}},
+					req: &sched.Request{Model: "s", PromptTokens: 100, MaxTokens: 50, ExpectedTokens: 50, Deadline: 10 * time.Second, Objective: sched.Objective{FirstToken: time.Second}},
 				}
 				d := b.submit(c)
 				must.EqOp(t, sched.Run, d.Verdict)
@@ -88,7 +88,7 @@
 				if slices.Contains(tc.failing, d.Endpoint) {
 					b.failed(c, outlier.Unanswered)
 				}
-				b.done(c, sched.Dropped, 0, 0)
+				b.done(c, sched.Canceled, 0, 0)
 				return d.Endpoint
 			}
 			for range 20 {
@@ -134,7 +134,7 @@
 func TestChangesAreTold(t *testing.T) {
 	b, _ := engines(2)
 	c := &call{
-		req:   &sched.Request{Model: "s", PromptTokens: 100, Deadline: time.Hour, Aim: sched.Aim{First: time.Second}, Data: make(chan sched.Decision, 1)},
+		req:   &sched.Request{Model: "s", PromptTokens: 100, Deadline: time.Hour, Objective: sched.Objective{FirstToken: time.Second}, Data: make(chan sched.Decision, 1)},
 		route: &route.Route{}, service: &route.Service{Name: "s", Engine: true},
 	}
 	_, _, ok := b.changes()
@@ -148,7 +148,7 @@
 	must.MapEmpty(t, waiting)
 	_, _, ok = b.changes()
 	must.False(t, ok)
-	b.done(c, sched.Whole, 1, 0)
+	b.done(c, sched.Completed, 1, 0)
 	load, _, ok = b.changes()
 	must.True(t, ok)
 	must.Eq(t, map[string]peers.Load{d.Endpoint: {Good: 10}}, load)
--- a/ingress/places.go
+++ b/ingress/places.go
@@ -41,14 +41,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	wants := b.sched.Wants(now)
+	wants := b.sched.SlotRequests(now)
 	all := now-b.owner.fresh >= refreshAsks
 	if all {
 		b.owner.fresh = now
 	}
 	out := make(map[string]places.Ask)
 	for life := range b.targets {
-		ask := places.Ask{Running: b.sched.Own(life), Rank: -1, Back: b.owner.returned[life]}
+		ask := places.Ask{Running: b.sched.InFlight(life), Rank: -1, Back: b.owner.returned[life]}
 		rank, wanted := wants[life]
 		if wanted {
 			ask.Rank = rank
@@ -86,7 +86,7 @@
 			b.owner.books[life] = book
 		}
 		book.Hear(now, host, run, seq, ask)
-		for _, to := range book.Give(now, b.sched.LimitOf(now, life), b.owner.rand) {
+		for _, to := range book.Give(now, b.sched.TierLimit(now, life), b.owner.rand) {
 			add(out, to, life, places.Grant{Places: 1, Running: book.Others(now, to)})
 		}
 		if _, granted := out[host][life]; !granted && ask.Rank >= 0 {
@@ -119,7 +119,7 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	for life, g := range grants {
-		if !b.sched.Granted(now, life, g) {
+		if !b.sched.ApplyGrant(now, life, g) {
 			b.owner.returned[life] = true
 			b.kick()
 		}
--- a/ingress/places_test.go
+++ b/ingress/places_test.go
@@ -25,7 +25,7 @@
 	must.False(t, waits)
 	c := &call{
 		route: &route.Route{Name: "r"}, service: &route.Service{Name: "s", Engine: true},
-		req: &sched.Request{Model: "s", PromptTokens: 100, MaxTokens: 50, Deadline: 10 * time.Second, Aim: sched.Aim{First: time.Second}},
+		req: &sched.Request{Model: "s", PromptTokens: 100, MaxTokens: 50, Deadline: 10 * time.Second, Objective: sched.Objective{FirstToken: time.Second}},
 	}
 	d := b.submit(c)
 	must.EqOp(t, sched.Run, d.Verdict)
@@ -41,7 +41,7 @@
 	s.Granted(map[string]places.Grant{d.Endpoint: {Places: 1}})
 	asks, _ = s.Asks()
 	must.Eq(t, map[string]places.Ask{d.Endpoint: {Running: 1, Rank: -1, Back: true}}, asks) // nothing waits for it
-	b.done(c, sched.Whole, 10, 0)
+	b.done(c, sched.Completed, 10, 0)
 	asks, _ = s.Asks()
 	must.Eq(t, map[string]places.Ask{d.Endpoint: {Rank: -1}}, asks)
 }
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -54,7 +54,7 @@
 	if c.failedAnswer {
 		c.s.balance.done(c, sched.Errored, 0, 0)
 	} else {
-		c.s.balance.done(c, sched.Whole, 1, took)
+		c.s.balance.done(c, sched.Completed, 1, took)
 	}
 	c.pass(a)
 	return whole, 0
@@ -98,7 +98,7 @@
 		}
 		if err == io.EOF {
 			c.s.balance.first(c, c.spent(sent, c.s.Now()))
-			c.s.balance.done(c, sched.Whole, 1, 0)
+			c.s.balance.done(c, sched.Completed, 1, 0)
 			return whole, 0
 		}
 		if err != nil {
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -146,11 +146,11 @@
 		c.header.Set(c.s.Headers.Workspace, c.workspace.Name)
 	}
 	c.req = &sched.Request{
-		ID: c.id, Model: c.service.Name, PromptTokens: c.tokensIn, MaxTokens: max(1, c.tokensOut), LikelyTokens: c.likely,
-		Arrived: c.arrived, Deadline: c.deadline, Start: c.latestStart(c.arrived), Data: make(chan sched.Decision, 1),
+		ID: c.id, Model: c.service.Name, PromptTokens: c.tokensIn, MaxTokens: max(1, c.tokensOut), ExpectedTokens: c.likely,
+		Arrived: c.arrived, Deadline: c.deadline, DispatchBy: c.latestStart(c.arrived), Data: make(chan sched.Decision, 1),
 	}
 	if c.service.Engine {
-		c.req.Aim = sched.Aim{First: c.route.Objective, Gap: c.route.Gap, EventTokens: c.service.EventTokens}
+		c.req.Objective = sched.Objective{FirstToken: c.route.Objective, EventGap: c.route.Gap, EventTokens: c.service.EventTokens}
 	}
 	c.s.firstSend(c.service.Name)
 	d := c.s.balance.submit(c)
@@ -172,7 +172,7 @@
 			c.end(ctx, end)
 			return
 		case barred:
-			c.s.balance.done(c, sched.Dropped, 0, 0)
+			c.s.balance.done(c, sched.Canceled, 0, 0)
 			c.giveUpBarred(ctx)
 			return
 		case unsent:
@@ -186,7 +186,7 @@
 			again = c.route.May() && c.account.Sends() < c.route.Attempts+rejects && c.s.mayRepeat(c.service.Name)
 		}
 		if !again || ctx.Err() != nil {
-			c.s.balance.done(c, sched.Dropped, 0, 0)
+			c.s.balance.done(c, sched.Canceled, 0, 0)
 			c.giveUp(ctx, sched.Decision{Verdict: sched.Refuse, RetryAfter: hold})
 			return
 		}
@@ -248,7 +248,7 @@
 		}
 		return
 	}
-	c.s.balance.done(c, sched.Dropped, 0, 0)
+	c.s.balance.done(c, sched.Canceled, 0, 0)
 	c.giveUp(ctx, sched.Decision{Verdict: sched.Refuse})
 }
 
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -168,7 +168,7 @@
 		c.stream.begun = true
 	}
 	c.s.balance.first(c, c.spent(sent, c.s.Now()))
-	c.s.balance.done(c, sched.Whole, n*c.eventTokens(), 0)
+	c.s.balance.done(c, sched.Completed, n*c.eventTokens(), 0)
 	return whole, 0
 }
 
--- a/ingress/tell.go
+++ b/ingress/tell.go
@@ -97,7 +97,7 @@
 		e.Service = c.service.Name
 	}
 	if c.req != nil {
-		e.PredictedMS = c.req.Predicted().Milliseconds()
+		e.PredictedMS = c.req.PredictedFirstToken().Milliseconds()
 		e.StepUS, e.Load = c.req.Step().Microseconds(), c.req.Load()
 	}
 	if c.table != nil {
--- a/ingress/woke.go
+++ b/ingress/woke.go
@@ -25,7 +25,7 @@
 func (b *balancer) woke(gap time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sched.Woke(gap)
+	b.sched.NoteGap(gap)
 }
 
 // unprovenAfter is the time after which a request comes back to a host that woke: hosts prove to each other what they know each 0.2 s.
--- a/internal/trial/engines.go
+++ b/internal/trial/engines.go
@@ -99,7 +99,7 @@
 	r := e.core.Report()
 	rep := sched.Report{
 		At: e.t.now, Running: r.Running, Waiting: r.Waiting, PrefillTokens: r.PrefillTokens, Slots: r.Slots,
-		Step: e.step, PrefillPerStep: r.PrefillPerStep, Model: model, Fresh: true,
+		Step: e.step, PrefillPerStep: r.PrefillPerStep, Model: model, AcceptsPrompts: true,
 	}
 	if e.plain {
 		rep.Model = ""
--- a/internal/trial/hosts.go
+++ b/internal/trial/hosts.go
@@ -41,7 +41,7 @@
 // newKeel makes a host with the given configuration.
 func newKeel(t *Trial, cfg sched.Config, seed uint64) *keelHost {
 	h := &keelHost{t: t, s: sched.Scheduler{
-		Config: cfg, Rand: rand.New(rand.NewPCG(seed, 7)), Peers: t.spec.Hosts,
+		Config: cfg, Rand: rand.New(rand.NewPCG(seed, 7)), SharingHosts: t.spec.Hosts,
 		Hosts: func(string) int { return t.spec.Hosts },
 	}}
 	h.s.Init()
@@ -77,7 +77,7 @@
 }
 
 func (h *keelHost) report(e *engine, rep sched.Report) {
-	h.s.TakeReport(h.t.now, e.name, rep)
+	h.s.ApplyReport(h.t.now, e.name, rep)
 	h.poll()
 }
 
@@ -92,11 +92,13 @@
 func (h *keelHost) withdraw(c *call) bool { return h.s.Withdraw(c.req) }
 
 func (h *keelHost) unsent(c *call) {
-	h.decide(h.s.Unsent(h.t.now, c.req))
+	h.decide(h.s.RedispatchUnsent(h.t.now, c.req))
 	h.poll()
 }
 
-func (h *keelHost) cached(e *engine, block uint64, gone bool) { h.s.TakeCached(e.name, block, gone) }
+func (h *keelHost) cached(e *engine, block uint64, gone bool) {
+	h.s.ApplyCacheEvent(e.name, block, gone)
+}
 
 func (h *keelHost) tick() {
 	h.s.Tick(h.t.now)
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -306,7 +306,7 @@
 	c.host.progress(c, em.Job.Sent)
 	if em.Last {
 		t.end(c)
-		c.host.done(c, sched.Whole, em.Job.Sent)
+		c.host.done(c, sched.Completed, em.Job.Sent)
 		t.res.answered(t.now, c)
 	}
 }
@@ -348,7 +348,7 @@
 		return
 	}
 	c.at.core.Cancel(c.req.ID)
-	c.host.done(c, sched.Dropped, 0)
+	c.host.done(c, sched.Canceled, 0)
 }
 
 // killHost ends a host: its requests are lost, and their work is wasted.
--- a/router/calls.go
+++ b/router/calls.go
@@ -87,5 +87,5 @@
 		// The head is gone out already: breaking the connection tells the caller.
 		panic(http.ErrAbortHandler)
 	}
-	r.end(j, sched.Whole, 1)
+	r.end(j, sched.Completed, 1)
 }
--- a/router/completions.go
+++ b/router/completions.go
@@ -247,7 +247,7 @@
 func (r *Router) conclude(a *activity, n int, err error) *problem.Problem {
 	switch {
 	case err == nil:
-		r.end(a.j, sched.Whole, n)
+		r.end(a.j, sched.Completed, n)
 		return nil
 	case errors.Is(err, errCaller) && a.j.ownID && n > 0:
 		r.onceMu.Lock()
@@ -281,5 +281,5 @@
 		return
 	}
 	r.cancelAt(a)
-	r.end(a.j, sched.Dropped, 0)
+	r.end(a.j, sched.Canceled, 0)
 }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -52,7 +52,7 @@
 func (r *Router) allow(ctx context.Context, j *job, d sched.Decision) *problem.Problem {
 	if j.rec.Witnessed {
 		if st := r.record(ctx, j.rec, d.Endpoint); st != once.Recorded {
-			r.finishSched(j, sched.Dropped, 0)
+			r.finishSched(j, sched.Canceled, 0)
 			return r.refuse(j, problem.New(problem.WitnessLost, "resubmit under the prefix given", "the witness did not record the request"))
 		}
 		r.trace(StageRecorded, j.id())
@@ -63,7 +63,7 @@
 	r.onceMu.Unlock()
 	if err != nil {
 		r.Log.Error(err, "dispatch refused")
-		r.finishSched(j, sched.Dropped, 0)
+		r.finishSched(j, sched.Canceled, 0)
 		r.leave(j)
 		known.RequestID = j.id()
 		return known
@@ -80,7 +80,7 @@
 	}
 	r.onceMu.Unlock()
 	r.mu.Lock()
-	d := r.sched.Unsent(r.now(), j.req)
+	d := r.sched.RedispatchUnsent(r.now(), j.req)
 	r.pump()
 	r.mu.Unlock()
 	return r.await(ctx, j, d)
@@ -138,20 +138,20 @@
 func (r *Router) end(j *job, res sched.Result, tokens int) {
 	r.finishSched(j, res, tokens)
 	r.onceMu.Lock()
-	_ = r.owner.Finish(j.rec, res == sched.Whole)
+	_ = r.owner.Finish(j.rec, res == sched.Completed)
 	delete(r.active, j.id())
 	r.onceMu.Unlock()
 	r.leave(j)
 	took := r.now() - j.arrived
 	switch {
-	case res != sched.Whole:
+	case res != sched.Completed:
 		r.metrics.Count(j.key(), string(problem.Unknown))
 	case took <= j.eff.Deadline:
 		r.metrics.Count(j.key(), string(problem.Answered))
 	default:
 		r.metrics.Count(j.key(), "answered late")
 	}
-	if res == sched.Whole {
+	if res == sched.Completed {
 		r.metrics.Record(j.key(), metrics.WholeTime, took)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -151,7 +151,7 @@
 			Revision: r.follower.Revision, Behind: r.behind, Floors: r.floors, SetFloors: r.setFloors,
 			Listed: r.listed,
 		}
-		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), Peers: 1, Hosts: r.sharing}
+		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharing}
 		r.sched.Init()
 	})
 }
@@ -195,7 +195,7 @@
 		}
 		peers := len(r.hosts())
 		r.mu.Lock()
-		r.sched.Peers = max(1, peers)
+		r.sched.SharingHosts = max(1, peers)
 		r.sched.Tick(r.now())
 		r.pump()
 		r.mu.Unlock()
--- a/router/targets.go
+++ b/router/targets.go
@@ -122,14 +122,14 @@
 		At:      now - time.Duration(rep.AgeMS)*time.Millisecond,
 		Running: rep.Running, Waiting: rep.Waiting, PrefillTokens: rep.PrefillTokens, Slots: rep.Slots,
 		Step: time.Duration(rep.StepUS) * time.Microsecond, PrefillPerStep: rep.PrefillPerStep,
-		Fresh: rep.Role != "decode" && rep.Role != "drain",
+		AcceptsPrompts: rep.Role != "decode" && rep.Role != "drain",
 	}
 	if rep.Holding != nil {
 		sr.Model = rep.Holding.Model
 	}
-	r.sched.TakeReport(now, name, sr)
+	r.sched.ApplyReport(now, name, sr)
 	for _, ev := range rep.Events {
-		r.sched.TakeCached(name, ev.Block, ev.Gone)
+		r.sched.ApplyCacheEvent(name, ev.Block, ev.Gone)
 	}
 	r.pump()
 }
@@ -191,7 +191,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name := range r.endpoints {
-		if !r.sched.Reported(name) {
+		if !r.sched.HasReport(name) {
 			return false
 		}
 	}
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -15,7 +15,7 @@
 
 // benchScheduler returns a scheduler with n engines that have reported.
 func benchScheduler(n int) *Scheduler {
-	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 1)), Peers: 7}
+	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 1)), SharingHosts: 7}
 	s.Init()
 	var list []Endpoint
 	for i := range n {
@@ -23,9 +23,9 @@
 	}
 	s.SetEndpoints(list)
 	for i, e := range list {
-		s.TakeReport(time.Second, e.Name, Report{
+		s.ApplyReport(time.Second, e.Name, Report{
 			At: time.Second, Running: i % 10, Slots: 16, Step: time.Duration(4+i%9) * time.Millisecond,
-			PrefillPerStep: 512, Model: "m", Fresh: true,
+			PrefillPerStep: 512, Model: "m", AcceptsPrompts: true,
 		})
 	}
 	return s
@@ -56,7 +56,7 @@
 					b.Fatal(d)
 				}
 				s.FirstToken(now, r)
-				s.Done(now, r, Whole, 100)
+				s.Done(now, r, Completed, 100)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 		b.Run(fmt.Sprintf("waiting=%d", n), func(b *testing.B) {
 			s := benchScheduler(22)
 			s.cfg.MaxWaiting = 1 << 30
-			s.cfg.Off.Early = true
+			s.cfg.Disabled.EarlyRefusal = true
 			effs := make([]*settings.Effective, 50)
 			for i := range effs {
 				effs[i] = benchSettings(fmt.Sprint("w", i))
@@ -92,7 +92,7 @@
 				r := running[0]
 				running = running[1:]
 				s.FirstToken(now, r)
-				s.Done(now, r, Whole, 10)
+				s.Done(now, r, Completed, 10)
 				for _, d := range s.Poll(now) {
 					if d.Verdict == Run {
 						running = append(running, d.Request)
--- a/sched/choose.go
+++ b/sched/choose.go
@@ -23,13 +23,13 @@
 // limitFor is the number of requests up to which a tier may fill an endpoint.
 func (s *Scheduler) limitFor(rank int, e *endpointState) float64 {
 	n := float64(e.slots())
-	if s.cfg.Off.Late {
+	if s.cfg.Disabled.LateBinding {
 		return 1e9
 	}
 	if rank == 0 {
 		return n * (1 + s.cfg.Overcommit)
 	}
-	if s.cfg.Off.Reserve {
+	if s.cfg.Disabled.Reserve {
 		return n
 	}
 	return max(1, n-max(1, n*s.cfg.Reserve*float64(rank)))
@@ -50,8 +50,8 @@
 	if e.eased && (e.own > 0 || r.rank() == 0) {
 		return false
 	}
-	if r.long && !s.cfg.Off.LongCap && !s.cfg.Off.Late {
-		return float64(e.ownLong) < max(1, s.cfg.LongShare*float64(e.slots())/float64(max(1, s.Peers)))
+	if r.long && !s.cfg.Disabled.LongCap && !s.cfg.Disabled.LateBinding {
+		return float64(e.ownLong) < max(1, s.cfg.LongShare*float64(e.slots())/float64(max(1, s.SharingHosts)))
 	}
 	return true
 }
@@ -60,7 +60,7 @@
 // endpoint. The own share needs no report: completions free it at once, so that
 // an endpoint does not stand idle while hosts wait for a report to say so.
 func (s *Scheduler) withinShare(e *endpointState, limit float64) bool {
-	return !s.cfg.Off.Share && float64(e.own) < limit/float64(max(1, s.Peers))
+	return !s.cfg.Disabled.Share && float64(e.own) < limit/float64(max(1, s.SharingHosts))
 }
 
 // leastSound bounds the part of requests that an endpoint is taken not to fail.
@@ -81,8 +81,8 @@
 		c := candidate{e: e, cached: s.cachedAt(e), load: load}
 		c.first = s.predict(now, r, e, load, c.cached)
 		c.whole = s.completion(now, r, e, c.first)
-		if e.Far {
-			c.whole += time.Duration(s.cfg.FarCost * float64(c.whole))
+		if e.CrossZone {
+			c.whole += time.Duration(s.cfg.CrossZoneCost * float64(c.whole))
 		}
 		// A failure costs at least one more try.
 		c.whole = time.Duration(float64(c.whole) / max(leastSound, 1-s.risk(now, r, e)))
@@ -94,8 +94,8 @@
 
 // among draws one of the candidates near the best.
 func (s *Scheduler) among(best time.Duration) *candidate {
-	near := best + time.Duration(s.cfg.Near*float64(best))
-	if s.cfg.Off.Near {
+	near := best + time.Duration(s.cfg.TieTolerance*float64(best))
+	if s.cfg.Disabled.RandomTies {
 		near = best
 	}
 	var got *candidate
@@ -115,7 +115,7 @@
 // matchPrefix finds which endpoints hold leading blocks of a request's prompt.
 func (s *Scheduler) matchPrefix(r *Request) {
 	s.matched = 0
-	if !s.cfg.Off.Affinity && r.Settings.Affinity && len(r.Blocks) > 0 {
+	if !s.cfg.Disabled.Affinity && r.Settings.Affinity && len(r.Blocks) > 0 {
 		s.matched = s.prefixes.lookup(r.Blocks, &s.matches)
 	}
 }
@@ -133,7 +133,7 @@
 // importFrom returns an endpoint whose cache is worth moving to the chosen one,
 // because moving it takes less time than computing it again.
 func (s *Scheduler) importFrom(now time.Duration, c *candidate) string {
-	if s.cfg.Off.Transfer {
+	if s.cfg.Disabled.Transfer {
 		return ""
 	}
 	best, from := c.cached/BlockTokens, ""
--- a/sched/claim.go
+++ b/sched/claim.go
@@ -46,16 +46,16 @@
 	rateHalf = time.Second
 )
 
-// News is what a host knows of the others' requests.
-type News struct {
+// PeerState is what a host knows of the others' requests.
+type PeerState struct {
 	// Waiting counts the requests that wait at other hosts, by model and tier.
 	Waiting map[string][]int
 	// Age is the mean age of what is known of the others.
 	Age time.Duration
 }
 
-// SetNews takes what was heard of the other hosts.
-func (s *Scheduler) SetNews(n News) { s.news = n }
+// SetPeerState takes what was heard of the other hosts.
+func (s *Scheduler) SetPeerState(n PeerState) { s.news = n }
 
 // DrawClaims draws which free places this host may take; call it every 25 ms or so.
 func (s *Scheduler) DrawClaims(now time.Duration) {
@@ -83,15 +83,15 @@
 	newsHelps := known == 0 || takes/time.Duration(known) > s.news.Age
 	// What comes to this host, and to all, in the delay of the news.
 	coming := p.arrivals.rate() * s.news.Age.Seconds()
-	enough := scarceFactor * coming * float64(s.Peers)
+	enough := scarceFactor * coming * float64(s.SharingHosts)
 	if p.rationed() {
 		enough = max(enough, shortFree*places)
 	}
-	p.scarce = newsHelps && s.Peers > 1 && !s.cfg.Off.Claims && free < enough
+	p.scarce = newsHelps && s.SharingHosts > 1 && !s.cfg.Disabled.Claims && free < enough
 	if !p.scarce {
 		return
 	}
-	others := coming * float64(s.Peers-1)
+	others := coming * float64(s.SharingHosts-1)
 	for _, n := range s.news.Waiting[p.model] {
 		others += float64(n)
 	}
--- a/sched/claim_test.go
+++ b/sched/claim_test.go
@@ -47,10 +47,10 @@
 
 // newFleet makes hosts that share engines of 7 slots and hear of each other after some time.
 func newFleet(hosts, engines int, age time.Duration, off Rules) *hostFleet {
-	off.Share, off.LongCap, off.Floor, off.Slow, off.Others = true, true, true, true, true
+	off.Share, off.LongCap, off.Floor, off.Slow, off.PeerCorrection = true, true, true, true, true
 	f := &hostFleet{age: age, ends: make(map[time.Duration][]running), rand: rand.New(rand.NewPCG(3, 3))}
 	for h := range hosts {
-		s := &Scheduler{Config: Config{Reserve: 0.05, Off: off}, Rand: rand.New(rand.NewPCG(uint64(h), 7)), Peers: hosts}
+		s := &Scheduler{Config: Config{Reserve: 0.05, Disabled: off}, Rand: rand.New(rand.NewPCG(uint64(h), 7)), SharingHosts: hosts}
 		s.Init()
 		var list []Endpoint
 		for e := range engines {
@@ -70,7 +70,7 @@
 	f.now += fleetStep
 	for _, x := range f.ends[f.now] {
 		f.running[x.host][x.r.at.Name]--
-		f.hosts[x.host].Done(f.now, x.r, Whole, 10)
+		f.hosts[x.host].Done(f.now, x.r, Completed, 10)
 	}
 	delete(f.ends, f.now)
 	past := int(f.age / fleetStep)
@@ -104,8 +104,8 @@
 				others += f.told[o][len(f.told[o])-1-past][e.Name]
 			}
 		}
-		s.TakeReport(f.now, e.Name, Report{
-			At: f.now, Running: e.own + others, Slots: 7, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", Fresh: true,
+		s.ApplyReport(f.now, e.Name, Report{
+			At: f.now, Running: e.own + others, Slots: 7, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", AcceptsPrompts: true,
 		})
 	}
 	waiting := map[string][]int{"m": {0}}
@@ -116,15 +116,15 @@
 			}
 		}
 	}
-	s.SetNews(News{Waiting: waiting, Age: f.age})
+	s.SetPeerState(PeerState{Waiting: waiting, Age: f.age})
 }
 
 // request makes a request that may wait for 0.2 s.
 func (f *hostFleet) request(takes time.Duration) *Request {
 	return &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
-		MaxTokens: 100, LikelyTokens: 100, Arrived: f.now, Deadline: f.now + 20*takes, Start: f.now + 200*time.Millisecond,
-		Aim: Aim{First: time.Second},
+		MaxTokens: 100, ExpectedTokens: 100, Arrived: f.now, Deadline: f.now + 20*takes, DispatchBy: f.now + 200*time.Millisecond,
+		Objective: Objective{FirstToken: time.Second},
 	}
 }
 
@@ -250,9 +250,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFleet(2, 1, tc.age, Rules{}).hosts[0]
-			s.SetNews(News{Age: tc.age, Waiting: map[string][]int{"m": tc.others}})
+			s.SetPeerState(PeerState{Age: tc.age, Waiting: map[string][]int{"m": tc.others}})
 			r := &Request{Settings: &settings.Effective{Rank: 1}, Model: "m", last: tc.last}
-			s.TakeReport(0, "e0", Report{Slots: 7, Model: "m", Fresh: true})
+			s.ApplyReport(0, "e0", Report{Slots: 7, Model: "m", AcceptsPrompts: true})
 			r.pool = s.poolOf(r)
 			r.pool.scarce = tc.scarce
 			e := s.byName["e0"]
--- a/sched/config.go
+++ b/sched/config.go
@@ -20,69 +20,69 @@
 	LongShare float64
 	// LongFactor makes a request long whose cost is that many times the mean; default 4.
 	LongFactor float64
-	// Near is the share by which predicted times may differ and count as equal; default 0.1.
-	Near float64
-	// FarCost is the share by which an endpoint in another zone counts as later
+	// TieTolerance is the share by which predicted times may differ and count as equal; default 0.1.
+	TieTolerance float64
+	// CrossZoneCost is the share by which an endpoint in another zone counts as later
 	// than it is; default 0.
-	FarCost float64
-	// SlowAt eases an endpoint out at that many times its own speed; default 3.
-	SlowAt float64
-	// BackAt lets it back in below that; default 1.5.
-	BackAt float64
-	// MaxEased is the largest share of a pool eased out; default 0.34.
-	MaxEased float64
-	// EarlyTrust is the part of the estimated wait that early refusal counts on;
+	CrossZoneCost float64
+	// SlowThreshold eases an endpoint out at that many times its own speed; default 3.
+	SlowThreshold float64
+	// RecoveryThreshold lets it back in below that; default 1.5.
+	RecoveryThreshold float64
+	// MaxThrottledShare is the largest share of a pool eased out; default 0.34.
+	MaxThrottledShare float64
+	// EarlyWaitWeight is the part of the estimated wait that early refusal counts on;
 	// default 0.5, since what waits is dropped anyway once it is too late.
-	EarlyTrust float64
-	// FloorHold is how long a shedding floor stands after the last refusal; default 1.2 s,
+	EarlyWaitWeight float64
+	// FloorDuration is how long a shedding floor stands after the last refusal; default 1.2 s,
 	// three heartbeats, so that other hosts hear of it while it stands.
-	FloorHold time.Duration
-	// DownHold is how long an endpoint that could not be reached is left alone; default 1 s.
-	DownHold time.Duration
-	// ReportLife is the age at which a report counts nothing; default 5 s.
-	ReportLife time.Duration
+	FloorDuration time.Duration
+	// NoEndpointWait is how long an endpoint that could not be reached is left alone; default 1 s.
+	NoEndpointWait time.Duration
+	// ReportTTL is the age at which a report counts nothing; default 5 s.
+	ReportTTL time.Duration
 	// OthersShare is the share of this host's own recent dispatches that each
 	// other host is taken to have made since a report; default 0.5.
 	OthersShare float64
 	// TransferFixed and TransferBlock are the cost of moving KV cache: a fixed
 	// time and one for each block; defaults 5 ms and 100 us.
 	TransferFixed, TransferBlock time.Duration
-	// Off switches rules off, for measuring what each is worth.
-	Off Rules
+	// Disabled switches rules off, for measuring what each is worth.
+	Disabled Rules
 }
 
 // Rules names the rules that can be switched off.
 type Rules struct {
-	// Fair is weighted fair order among workspaces; without it, first come first served.
-	Fair bool
+	// FairQueueing is weighted fair order among workspaces; without it, first come first served.
+	FairQueueing bool
 	// Reserve is the room kept for higher tiers.
 	Reserve bool
 	// LongCap is the bound on long requests of an endpoint.
 	LongCap bool
 	// Affinity is the preference for endpoints that hold the prefix.
 	Affinity bool
-	// Others is the correction for what other hosts sent since a report.
-	Others bool
+	// PeerCorrection is the correction for what other hosts sent since a report.
+	PeerCorrection bool
 	// Slow is the learning of slow endpoints.
 	Slow bool
-	// Early is the refusal of what cannot meet its deadline.
-	Early bool
+	// EarlyRefusal is the refusal of what cannot meet its deadline.
+	EarlyRefusal bool
 	// Floor is the shedding floor.
 	Floor bool
-	// Near is the random choice among near-equal endpoints.
-	Near bool
+	// RandomTies is the random choice among near-equal endpoints.
+	RandomTies bool
 	// Transfer is the moving of KV cache.
 	Transfer bool
 	// Share lets a host fill its own share of an endpoint whatever reports say.
 	Share bool
-	// Unheard is the guess of what hosts that are not heard have running.
-	Unheard bool
+	// SilentPeers is the guess of what hosts that are not heard have running.
+	SilentPeers bool
 	// Claims shares free places among hosts that have requests waiting.
 	Claims bool
-	// Ration is the taking of the shortest answers first while places are short.
-	Ration bool
-	// Late is late binding; without it, all is dispatched at once.
-	Late bool
+	// Rationing is the taking of the shortest answers first while places are short.
+	Rationing bool
+	// LateBinding is late binding; without it, all is dispatched at once.
+	LateBinding bool
 }
 
 // withDefaults fills in the fields that are zero.
@@ -92,14 +92,14 @@
 	def(&c.Overcommit, 0.5)
 	def(&c.LongShare, 0.5)
 	def(&c.LongFactor, 4)
-	def(&c.Near, 0.1)
-	def(&c.SlowAt, 3)
-	def(&c.BackAt, 1.5)
-	def(&c.MaxEased, 0.34)
-	def(&c.EarlyTrust, 0.5)
-	def(&c.FloorHold, 1200*time.Millisecond)
-	def(&c.DownHold, time.Second)
-	def(&c.ReportLife, 5*time.Second)
+	def(&c.TieTolerance, 0.1)
+	def(&c.SlowThreshold, 3)
+	def(&c.RecoveryThreshold, 1.5)
+	def(&c.MaxThrottledShare, 0.34)
+	def(&c.EarlyWaitWeight, 0.5)
+	def(&c.FloorDuration, 1200*time.Millisecond)
+	def(&c.NoEndpointWait, time.Second)
+	def(&c.ReportTTL, 5*time.Second)
 	def(&c.OthersShare, 0.5)
 	def(&c.TransferFixed, 5*time.Millisecond)
 	def(&c.TransferBlock, 100*time.Microsecond)
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -23,10 +23,10 @@
 	PrefillPerStep int
 	// Model is the model held, or empty.
 	Model string
-	// Reckoned says that the host worked it out itself: it does not tell that the endpoint is there.
-	Reckoned bool
-	// Fresh says that prompts may begin here: the role is not "decode".
-	Fresh bool
+	// Estimated says that the host worked it out itself: it does not tell that the endpoint is there.
+	Estimated bool
+	// AcceptsPrompts says that prompts may begin here: the role is not "decode".
+	AcceptsPrompts bool
 }
 
 // Endpoint is a declared endpoint as the scheduler needs it.
@@ -39,8 +39,8 @@
 	Slots int
 	// Leaving says that it gets no new work.
 	Leaving bool
-	// Far says that it stands in another zone, which costs; see Config.FarCost.
-	Far bool
+	// CrossZone says that it stands in another zone, which costs; see Config.FarCost.
+	CrossZone bool
 }
 
 // sample is the own load at a time.
@@ -160,7 +160,7 @@
 		e.others = max(0, rep.Running+rep.Waiting-e.atReport.outstanding)
 	}
 	e.othersPrefill = max(0, rep.PrefillTokens-e.atReport.prefill)
-	if !rep.Reckoned {
+	if !rep.Estimated {
 		e.downUntil = min(e.downUntil, now)
 		e.health.Reached()
 	}
@@ -209,8 +209,8 @@
 	e.note(now)
 }
 
-// Reported reports whether an endpoint has ever given an account of itself.
-func (s *Scheduler) Reported(name string) bool {
+// HasReport reports whether an endpoint has ever given an account of itself.
+func (s *Scheduler) HasReport(name string) bool {
 	e := s.byName[name]
 	return e != nil && e.hasReport
 }
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -12,9 +12,9 @@
 	Endpoint string `json:"endpoint"`
 	// Cached is the prompt tokens that it was taken to hold.
 	Cached int `json:"cached_tokens"`
-	// First and Whole are the predicted times to the first token and the end.
-	First time.Duration `json:"first_ns"`
-	Whole time.Duration `json:"whole_ns"`
+	// FirstToken and Whole are the predicted times to the first token and the end.
+	FirstToken time.Duration `json:"first_ns"`
+	Completion time.Duration `json:"whole_ns"`
 }
 
 // DecisionLog tells how a request was decided.
--- a/sched/floor.go
+++ b/sched/floor.go
@@ -46,7 +46,7 @@
 	var out []FloorState
 	for _, p := range s.pools {
 		if now < p.floor.until && len(out) < maxFloors {
-			age := s.cfg.FloorHold - (p.floor.until - now)
+			age := s.cfg.FloorDuration - (p.floor.until - now)
 			out = append(out, FloorState{p.key, p.floor.rank, max(0, age)})
 		}
 	}
@@ -56,8 +56,8 @@
 // SetFloor takes a floor of another host.
 func (s *Scheduler) SetFloor(now time.Duration, f FloorState) {
 	p := s.pools[f.Pool]
-	until := now + s.cfg.FloorHold - f.Age
-	if p == nil || s.cfg.Off.Floor || until <= now || f.Rank < 0 {
+	until := now + s.cfg.FloorDuration - f.Age
+	if p == nil || s.cfg.Disabled.Floor || until <= now || f.Rank < 0 {
 		return
 	}
 	p.floor.lower(now, f.Rank, until)
@@ -65,7 +65,7 @@
 
 // refusedFor lowers the floor of a pool after a refusal for lack of capacity.
 func (s *Scheduler) refusedFor(now time.Duration, p *pool, rank int) {
-	if !s.cfg.Off.Floor {
-		p.floor.lower(now, rank, now+s.cfg.FloorHold)
+	if !s.cfg.Disabled.Floor {
+		p.floor.lower(now, rank, now+s.cfg.FloorDuration)
 	}
 }
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -53,8 +53,8 @@
 	e.askedLast = now
 }
 
-// Wants names the endpoints at which this host wants a place, and the highest tier for which.
-func (s *Scheduler) Wants(now time.Duration) map[string]int {
+// SlotRequests names the endpoints at which this host wants a place, and the highest tier for which.
+func (s *Scheduler) SlotRequests(now time.Duration) map[string]int {
 	out := make(map[string]int)
 	for _, p := range s.pools {
 		if p.waiting == 0 || !p.scarce {
@@ -83,8 +83,8 @@
 	for _, e := range p.members {
 		if p.usable(now, e) && (p.panics || e.health.Sound(now)) {
 			load := s.load(now, e)/float64(e.slots()) + askBlur*s.Rand.Float64()
-			if e.Far {
-				load += s.cfg.FarCost
+			if e.CrossZone {
+				load += s.cfg.CrossZoneCost
 			}
 			list = append(list, one{e, load})
 		}
@@ -97,8 +97,8 @@
 	return out
 }
 
-// Granted takes what the owner of an endpoint's places answers, and reports whether a place that was granted is of use.
-func (s *Scheduler) Granted(now time.Duration, name string, g places.Grant) bool {
+// ApplyGrant takes what the owner of an endpoint's places answers, and reports whether a place that was granted is of use.
+func (s *Scheduler) ApplyGrant(now time.Duration, name string, g places.Grant) bool {
 	s.ownerAt = max(now, 1)
 	e := s.byName[name]
 	if e == nil {
@@ -118,8 +118,8 @@
 	return false
 }
 
-// LimitOf gives the number of requests up to which a tier may fill an endpoint.
-func (s *Scheduler) LimitOf(now time.Duration, name string) func(rank int) int {
+// TierLimit gives the number of requests up to which a tier may fill an endpoint.
+func (s *Scheduler) TierLimit(now time.Duration, name string) func(rank int) int {
 	e := s.byName[name]
 	if e == nil || !e.serves(now) {
 		return func(int) int { return 0 }
@@ -127,8 +127,8 @@
 	return func(rank int) int { return int(s.limitFor(rank, e)) }
 }
 
-// Own is the number of this host's requests at an endpoint.
-func (s *Scheduler) Own(name string) int {
+// InFlight is the number of this host's requests at an endpoint.
+func (s *Scheduler) InFlight(name string) int {
 	if e := s.byName[name]; e != nil {
 		return e.own
 	}
--- a/sched/health.go
+++ b/sched/health.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Hold leaves the endpoint of a dispatched request alone for a time in which it is known to be of no use.
-func (s *Scheduler) Hold(now time.Duration, r *Request, hold time.Duration) {
+// BackOff leaves the endpoint of a dispatched request alone for a time in which it is known to be of no use.
+func (s *Scheduler) BackOff(now time.Duration, r *Request, hold time.Duration) {
 	if r.at != nil {
 		r.at.downUntil = max(r.at.downUntil, now+hold)
 	}
@@ -56,8 +56,8 @@
 	return outlier.Evidence{}
 }
 
-// HearEvidence takes the sum of what other hosts tell of an endpoint.
-func (s *Scheduler) HearEvidence(now time.Duration, name string, ev outlier.Evidence) {
+// ApplyPeerEvidence takes the sum of what other hosts tell of an endpoint.
+func (s *Scheduler) ApplyPeerEvidence(now time.Duration, name string, ev outlier.Evidence) {
 	if e := s.byName[name]; e != nil {
 		e.health.Hear(now, ev)
 	}
@@ -124,7 +124,7 @@
 	}
 	ok, probe := e.health.Admits(now, r.Settings.Repeatable)
 	if ok && probe {
-		return s.Rand.Float64()*float64(s.Peers) < probers
+		return s.Rand.Float64()*float64(s.SharingHosts) < probers
 	}
 	return ok
 }
--- a/sched/health_test.go
+++ b/sched/health_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 1)), Peers: 1}
+			s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 1)), SharingHosts: 1}
 			s.Init()
 			var list []Endpoint
 			for i := range n {
@@ -48,17 +48,17 @@
 			}
 			s.SetEndpoints(list)
 			for _, e := range list {
-				s.TakeReport(0, e.Name, Report{Slots: 8, Step: 5 * time.Millisecond, Model: "m", Fresh: true, Reckoned: true})
+				s.ApplyReport(0, e.Name, Report{Slots: 8, Step: 5 * time.Millisecond, Model: "m", AcceptsPrompts: true, Estimated: true})
 			}
 			request := func(now time.Duration) *Request {
 				return &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 100, Repeatable: tc.repeat}, Model: "m",
-					PromptTokens: 100, MaxTokens: 20, LikelyTokens: 20, Arrived: now, Deadline: now + 10*time.Second, Aim: Aim{First: time.Second},
+					PromptTokens: 100, MaxTokens: 20, ExpectedTokens: 20, Arrived: now, Deadline: now + 10*time.Second, Objective: Objective{FirstToken: time.Second},
 				}
 			}
 			first := request(0)
 			must.EqOp(t, Run, s.Submit(0, first).Verdict)
-			s.Done(0, first, Dropped, 0)
+			s.Done(0, first, Canceled, 0)
 			for _, i := range tc.failing {
 				for range tc.times {
 					r := request(0)
@@ -73,7 +73,7 @@
 				d := s.Submit(tc.after, r)
 				must.EqOp(t, Run, d.Verdict)
 				got[d.Endpoint] = true
-				s.Done(tc.after, r, Dropped, 0)
+				s.Done(tc.after, r, Canceled, 0)
 			}
 			want := make(map[string]bool)
 			for _, i := range tc.want {
--- a/sched/hidden.go
+++ b/sched/hidden.go
@@ -15,14 +15,14 @@
 	doubtWait = 0.25
 )
 
-// SetUnheard takes the number of hosts that may be serving and are not heard.
+// SetSilentPeers takes the number of hosts that may be serving and are not heard.
 //
 // A host that hears only some of the others, or none, would take endpoints for idle that
 // those fill. It cannot know whether they serve on. So it takes each of them to have as many
 // requests as it has itself, evenly over the endpoints of a service, at first surely,
 // and then as far as its own first tokens bear that out: those that come as fast as was
 // predicted without the unheard hosts speak against them, those that wait speak for them.
-func (s *Scheduler) SetUnheard(n int) {
+func (s *Scheduler) SetSilentPeers(n int) {
 	if n > s.missing {
 		for _, p := range s.pools {
 			p.doubt = 1
@@ -34,7 +34,7 @@
 // hidden is the number of requests that the hosts which are not heard are taken to have at
 // each endpoint of a pool.
 func (s *Scheduler) hidden(p *pool) float64 {
-	if s.missing == 0 || s.cfg.Off.Unheard || len(p.members) == 0 {
+	if s.missing == 0 || s.cfg.Disabled.SilentPeers || len(p.members) == 0 {
 		return 0
 	}
 	own := 0
@@ -46,10 +46,10 @@
 
 // observeDoubt learns from a first token whether the hosts that are not heard serve on.
 func (s *Scheduler) observeDoubt(now time.Duration, r *Request) {
-	if s.missing == 0 || r.Aim.First <= 0 {
+	if s.missing == 0 || r.Objective.FirstToken <= 0 {
 		return
 	}
-	late := now-r.sentAt-r.predicted > time.Duration(doubtWait*float64(r.Aim.First))
+	late := now-r.sentAt-r.predicted > time.Duration(doubtWait*float64(r.Objective.FirstToken))
 	p := r.pool
 	p.doubt -= doubtGain * p.doubt
 	if late {
--- a/sched/hidden_test.go
+++ b/sched/hidden_test.go
@@ -35,19 +35,19 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFleet(6, engines, 30*time.Millisecond, Rules{}).hosts[0]
 			for _, e := range s.endpoints {
-				s.TakeReport(0, e.Name, Report{Slots: 7, Model: "m", Fresh: true})
+				s.ApplyReport(0, e.Name, Report{Slots: 7, Model: "m", AcceptsPrompts: true})
 			}
-			r := &Request{Settings: &settings.Effective{}, Model: "m", Aim: Aim{First: time.Second}, predicted: onTime}
+			r := &Request{Settings: &settings.Effective{}, Model: "m", Objective: Objective{FirstToken: time.Second}, predicted: onTime}
 			r.pool = s.poolOf(r)
 			for i := range own {
 				s.endpoints[i].own = 1
 			}
-			s.SetUnheard(tc.lost)
+			s.SetSilentPeers(tc.lost)
 			for _, d := range tc.firsts {
 				s.observeDoubt(d, r)
 			}
 			must.Between(t, tc.low, s.hidden(r.pool), tc.high)
-			s.SetUnheard(0)
+			s.SetSilentPeers(0)
 			must.EqOp(t, 0, s.hidden(r.pool))
 		})
 	}
--- a/sched/order.go
+++ b/sched/order.go
@@ -69,8 +69,8 @@
 // estimate sets cost and expected length of a request.
 func (s *Scheduler) estimate(r *Request) {
 	r.outGuess = s.lengths.guess(lengthKey{r.Settings.Workspace, r.Settings.Service}, max(1, r.MaxTokens))
-	if r.LikelyTokens > 0 {
-		r.outGuess = min(r.LikelyTokens, max(1, r.MaxTokens))
+	if r.ExpectedTokens > 0 {
+		r.outGuess = min(r.ExpectedTokens, max(1, r.MaxTokens))
 	}
 	if r.Model == "" {
 		r.outGuess = 1
@@ -109,7 +109,7 @@
 		return Decision{}, false
 	}
 	choose := s.choose
-	if r.Aim.First > 0 {
+	if r.Objective.FirstToken > 0 {
 		choose = s.chooseByWorth
 	}
 	c := choose(now, r)
@@ -163,9 +163,9 @@
 		}
 	}
 	if steps == 0 {
-		return s.cfg.DownHold
+		return s.cfg.NoEndpointWait
 	}
-	share := steps / float64(max(1, s.Peers))
+	share := steps / float64(max(1, s.SharingHosts))
 	return time.Duration(ahead / share * float64(time.Second))
 }
 
@@ -180,10 +180,10 @@
 
 // hopeless reports whether a request that comes now cannot end in time.
 func (s *Scheduler) hopeless(now time.Duration, r *Request) bool {
-	if s.cfg.Off.Early || len(r.pool.members) == 0 {
+	if s.cfg.Disabled.EarlyRefusal || len(r.pool.members) == 0 {
 		return false
 	}
-	wait := time.Duration(s.cfg.EarlyTrust * float64(s.wait(now, r)))
+	wait := time.Duration(s.cfg.EarlyWaitWeight * float64(s.wait(now, r)))
 	return now+wait+s.leastWhole(now, r) > r.Deadline
 }
 
@@ -222,7 +222,7 @@
 // tooLate reports whether a request that waited is not likely to end in time any
 // more; running it would only take room from others.
 func (s *Scheduler) tooLate(now time.Duration, r *Request) bool {
-	return !s.cfg.Off.Early && now+s.meanWhole(now, r) > r.Deadline
+	return !s.cfg.Disabled.EarlyRefusal && now+s.meanWhole(now, r) > r.Deadline
 }
 
 // meanWhole is the time to a whole answer at an endpoint of the pool taken at
@@ -325,7 +325,7 @@
 				continue
 			}
 			d, ok := s.start(now, r)
-			if !ok && r.Aim.First > 0 {
+			if !ok && r.Objective.FirstToken > 0 {
 				out = s.servePast(now, q, out)
 				break
 			}
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -91,7 +91,7 @@
 	if p.model == "" {
 		return !e.Engine && len(p.names) > 0
 	}
-	return e.Engine && e.report.Model == p.model && e.report.Fresh
+	return e.Engine && e.report.Model == p.model && e.report.AcceptsPrompts
 }
 
 // refill sets the members of all pools, after endpoints or what they hold changed.
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -11,9 +11,9 @@
 func (s *Scheduler) load(now time.Duration, e *endpointState) float64 {
 	fade := s.fade(now, e)
 	n := float64(e.own) + fade*float64(e.others)
-	if !s.cfg.Off.Others && s.Peers > 1 {
+	if !s.cfg.Disabled.PeerCorrection && s.SharingHosts > 1 {
 		since := float64(max(0, e.own-e.atReport.outstanding))
-		n += fade * s.cfg.OthersShare * float64(s.Peers-1) * since
+		n += fade * s.cfg.OthersShare * float64(s.SharingHosts-1) * since
 	}
 	return n
 }
@@ -23,7 +23,7 @@
 	if !e.hasReport {
 		return 0
 	}
-	age := float64(now-e.report.At) / float64(s.cfg.ReportLife)
+	age := float64(now-e.report.At) / float64(s.cfg.ReportTTL)
 	return max(0, 1-age)
 }
 
--- a/sched/ration.go
+++ b/sched/ration.go
@@ -99,7 +99,7 @@
 
 // rankLength sets how a request's expected answer compares with others of its service.
 func (s *Scheduler) rankLength(r *Request) {
-	if s.cfg.Off.Ration || r.MaxTokens <= 1 {
+	if s.cfg.Disabled.Rationing || r.MaxTokens <= 1 {
 		return
 	}
 	g := s.guesses[r.Settings.Service]
--- a/sched/ration_test.go
+++ b/sched/ration_test.go
@@ -52,10 +52,10 @@
 			Workspace: fmt.Sprint("w", s.rand.IntN(3)), Service: fmt.Sprint("tier", rank), Weight: 1, Queue: 1000, Rank: rank,
 		},
 		Model: "m", PromptTokens: 100, MaxTokens: 3000, Arrived: s.now, Deadline: s.now + 30*time.Second,
-		Start: s.now + 100*time.Millisecond, Aim: Aim{First: 500 * time.Millisecond},
+		DispatchBy: s.now + 100*time.Millisecond, Objective: Objective{FirstToken: 500 * time.Millisecond},
 	}
 	if guessed {
-		r.LikelyTokens = max(1, int(float64(n)*math.Exp(0.5*s.rand.NormFloat64())))
+		r.ExpectedTokens = max(1, int(float64(n)*math.Exp(0.5*s.rand.NormFloat64())))
 	}
 	s.tokens[r] = n
 	s.count(s.asked, r)
@@ -105,7 +105,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			with, without := newSurge(Rules{}, tc.guessed), newSurge(Rules{Ration: true}, tc.guessed)
+			with, without := newSurge(Rules{}, tc.guessed), newSurge(Rules{Rationing: true}, tc.guessed)
 			for _, s := range []*surge{with, without} {
 				s.play(0.5, 2*time.Second)
 				clear(s.asked)
@@ -185,7 +185,7 @@
 	f := newFleet(1, 2, 0, Rules{})
 	s := f.hosts[0]
 	for range guessesKept {
-		s.Submit(0, &Request{Settings: &settings.Effective{Service: "s", Rank: 1}, Model: "none", MaxTokens: 100, LikelyTokens: 1})
+		s.Submit(0, &Request{Settings: &settings.Effective{Service: "s", Rank: 1}, Model: "none", MaxTokens: 100, ExpectedTokens: 1})
 	}
 	f.step(0, time.Second)
 	r := f.request(time.Second)
@@ -199,5 +199,5 @@
 		s.byName["e1"].own++
 	}
 	must.EqOp(t, ReasonLength, s.Submit(f.now, f.request(time.Second)).Reason)
-	must.NotEq(t, ReasonLength, s.Again(f.now, r).Reason)
+	must.NotEq(t, ReasonLength, s.Redispatch(f.now, r).Reason)
 }
--- a/sched/request.go
+++ b/sched/request.go
@@ -23,13 +23,13 @@
 	Blocks       []uint64
 	PromptTokens int
 	// MaxTokens bounds the answer, in tokens, and LikelyTokens is the caller's guess, or 0.
-	MaxTokens, LikelyTokens int
+	MaxTokens, ExpectedTokens int
 	// Arrived and Deadline are times since the scheduler's start.
 	Arrived, Deadline time.Duration
-	// Start is the latest time to be dispatched, or 0 for none beside Deadline.
-	Start time.Duration
-	// Aim is what the request is worth where, or empty.
-	Aim Aim
+	// DispatchBy is the latest time to be dispatched, or 0 for none beside Deadline.
+	DispatchBy time.Duration
+	// Objective is what the request is worth where, or empty.
+	Objective Objective
 	// Retry says that the caller tried before.
 	Retry bool
 	// Data is the caller's own.
@@ -60,14 +60,14 @@
 
 // latest is the time at which a waiting request is given up.
 func (r *Request) latest() time.Duration {
-	if r.Start > 0 {
-		return min(r.Start, r.Deadline)
+	if r.DispatchBy > 0 {
+		return min(r.DispatchBy, r.Deadline)
 	}
 	return r.Deadline
 }
 
-// Predicted is the time to the first token that was predicted at the last dispatch.
-func (r *Request) Predicted() time.Duration { return r.predicted }
+// PredictedFirstToken is the time to the first token that was predicted at the last dispatch.
+func (r *Request) PredictedFirstToken() time.Duration { return r.predicted }
 
 // Step is the time of a token at the endpoint of the last dispatch, as it was known then.
 func (r *Request) Step() time.Duration { return r.step }
--- a/sched/rules_test.go
+++ b/sched/rules_test.go
@@ -32,7 +32,7 @@
 
 // newStage makes a scheduler whose engines have reported.
 func newStage(cfg Config, engines ...engine) *stage {
-	s := &stage{Scheduler: &Scheduler{Config: cfg, Rand: rand.New(rand.NewPCG(1, 2)), Peers: 1}, now: time.Second}
+	s := &stage{Scheduler: &Scheduler{Config: cfg, Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}, now: time.Second}
 	s.Init()
 	var list []Endpoint
 	for _, e := range engines {
@@ -51,7 +51,7 @@
 	if step == 0 {
 		step = 5 * time.Millisecond
 	}
-	s.TakeReport(s.now, e.name, Report{At: at, Running: e.running, Slots: e.slots, Step: step, PrefillPerStep: 512, Model: "m", Fresh: true})
+	s.ApplyReport(s.now, e.name, Report{At: at, Running: e.running, Slots: e.slots, Step: step, PrefillPerStep: 512, Model: "m", AcceptsPrompts: true})
 }
 
 // request makes a request of a workspace and tier.
@@ -79,7 +79,7 @@
 func (s *stage) end(rs ...*Request) {
 	for _, r := range rs {
 		s.FirstToken(s.now, r)
-		s.Done(s.now, r, Whole, 10)
+		s.Done(s.now, r, Completed, 10)
 	}
 }
 
@@ -244,7 +244,7 @@
 }
 
 func TestReportsAreCorrectedByOwnDispatches(t *testing.T) {
-	s := newStage(Config{Off: Rules{Near: true}}, engine{name: "a", slots: 10, running: 2}, engine{name: "b", slots: 10, running: 2})
+	s := newStage(Config{Disabled: Rules{RandomTies: true}}, engine{name: "a", slots: 10, running: 2}, engine{name: "b", slots: 10, running: 2})
 	seen := map[string]int{}
 	for range 8 {
 		_, d := s.submit(1, "w", 1)
@@ -261,12 +261,12 @@
 }
 
 func TestPrefixIsPreferredAndMoved(t *testing.T) {
-	cfg := Config{Off: Rules{Near: true}}
+	cfg := Config{Disabled: Rules{RandomTies: true}}
 	s := newStage(cfg, engine{name: "a", slots: 10}, engine{name: "b", slots: 10})
 	blocks := Blocks(string(make([]byte, 64*BlockTokens*TokenBytes)))
 	must.Len(t, 64, blocks)
 	for _, b := range blocks {
-		s.TakeCached("b", b, false)
+		s.ApplyCacheEvent("b", b, false)
 	}
 	long := func() *Request {
 		r := s.request("w", 1)
@@ -281,7 +281,7 @@
 	must.Eq(t, "a", d.Endpoint)
 	must.Eq(t, "b", d.ImportFrom)
 	for _, b := range blocks {
-		s.TakeCached("b", b, true)
+		s.ApplyCacheEvent("b", b, true)
 	}
 	must.Eq(t, "", s.Submit(s.now, long()).ImportFrom)
 	must.Eq(t, d.Endpoint, s.Explain(d.Request.ID)[0].Endpoint)
@@ -323,7 +323,7 @@
 		s.now += 100 * time.Millisecond
 		s.Tick(s.now)
 	}
-	must.Greater(t, s.cfg.SlowAt, s.slowness(s.now, s.byName["a"]))
+	must.Greater(t, s.cfg.SlowThreshold, s.slowness(s.now, s.byName["a"]))
 }
 
 // TestWokeTakesGapOut checks that a time in which this process did not run makes no engine look slow, and no answer long.
@@ -336,12 +336,12 @@
 		gap := 8 * time.Second
 		s.now += gap
 		if slept {
-			s.Woke(gap)
+			s.NoteGap(gap)
 		}
 		s.Tick(s.now)
 		s.end(rs...)
 		e := s.byName["a"]
-		must.EqOp(t, !slept, s.slowness(s.now, e) > s.cfg.SlowAt)
+		must.EqOp(t, !slept, s.slowness(s.now, e) > s.cfg.SlowThreshold)
 		must.EqOp(t, !slept, e.service > time.Second)
 	}
 }
@@ -350,7 +350,7 @@
 	s := newStage(Config{}, engine{name: "a", slots: 8}, engine{name: "b", slots: 8})
 	r := s.request("w", 0)
 	first := s.Submit(s.now, r)
-	second := s.Unsent(s.now, r)
+	second := s.RedispatchUnsent(s.now, r)
 	must.Eq(t, Run, second.Verdict)
 	must.NotEq(t, first.Endpoint, second.Endpoint)
 	must.Zero(t, s.byName[first.Endpoint].own)
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -20,14 +20,14 @@
 	Config Config
 	// Rand is the source of chance.
 	Rand *rand.Rand
-	// Peers is the number of hosts that share the endpoints, this one included.
-	Peers int
+	// SharingHosts is the number of hosts that share the endpoints, this one included.
+	SharingHosts int
 	// Hosts gives the number of hosts that serve a workspace; nil means 1.
 	Hosts func(workspace string) int
 
 	cfg Config
 	// news is what is known of other hosts, and drawnAt when claims were drawn last.
-	news    News
+	news    PeerState
 	drawnAt time.Duration
 	// missing counts the hosts that may be serving and are not heard.
 	missing int
@@ -96,22 +96,22 @@
 	}
 }
 
-// TakeReport takes an endpoint's account.
-func (s *Scheduler) TakeReport(now time.Duration, name string, rep Report) {
+// ApplyReport takes an endpoint's account.
+func (s *Scheduler) ApplyReport(now time.Duration, name string, rep Report) {
 	e := s.byName[name]
 	if e == nil {
 		return
 	}
 	before := e.report
 	e.take(now, rep)
-	if before.Model != e.report.Model || before.Fresh != e.report.Fresh {
+	if before.Model != e.report.Model || before.AcceptsPrompts != e.report.AcceptsPrompts {
 		s.refill()
 	}
 	s.wake(e)
 }
 
-// TakeCached notes that an endpoint holds a prompt block or evicted it.
-func (s *Scheduler) TakeCached(name string, block uint64, gone bool) {
+// ApplyCacheEvent notes that an endpoint holds a prompt block or evicted it.
+func (s *Scheduler) ApplyCacheEvent(name string, block uint64, gone bool) {
 	e := s.byName[name]
 	switch {
 	case e == nil:
@@ -173,14 +173,14 @@
 
 // The results.
 const (
-	// Whole means that the whole answer came.
-	Whole Result = iota
+	// Completed means that the whole answer came.
+	Completed Result = iota
 	// Broken means that its answer broke off.
 	Broken
 	// Errored means that the endpoint answered with a failure of its own.
 	Errored
-	// Dropped means that the caller went away.
-	Dropped
+	// Canceled means that the caller went away.
+	Canceled
 )
 
 // Done notes the end of a dispatched request with the tokens that came.
@@ -190,7 +190,7 @@
 		return
 	}
 	switch res {
-	case Whole:
+	case Completed:
 		e.health.Succeed(now)
 	case Broken:
 		s.Failed(now, r, outlier.Broken)
@@ -200,7 +200,7 @@
 	e.end(now, r)
 	s.limits.leave(r.Settings)
 	r.at = nil
-	if res == Whole {
+	if res == Completed {
 		s.lengths.learn(lengthKey{r.Settings.Workspace, r.Settings.Service}, tokens)
 		took := now - r.sentAt
 		if e.service == 0 {
@@ -211,16 +211,16 @@
 	s.wake(e)
 }
 
-// Unsent takes back a dispatch that the endpoint surely did not run, such as
+// RedispatchUnsent takes back a dispatch that the endpoint surely did not run, such as
 // one whose connection was refused, and decides again without that endpoint.
-func (s *Scheduler) Unsent(now time.Duration, r *Request) Decision {
+func (s *Scheduler) RedispatchUnsent(now time.Duration, r *Request) Decision {
 	s.Failed(now, r, outlier.Unreachable)
-	return s.Again(now, r)
+	return s.Redispatch(now, r)
 }
 
-// Again ends a dispatch whose request is to go to another endpoint, and decides
+// Redispatch ends a dispatch whose request is to go to another endpoint, and decides
 // again.
-func (s *Scheduler) Again(now time.Duration, r *Request) Decision {
+func (s *Scheduler) Redispatch(now time.Duration, r *Request) Decision {
 	e := r.at
 	e.end(now, r)
 	s.limits.leave(r.Settings)
@@ -263,7 +263,7 @@
 	r.seq = s.seq
 	r.waiting = true
 	q := &r.pool.tiers[r.rank()]
-	q.fifo = s.cfg.Off.Fair
+	q.fifo = s.cfg.Disabled.FairQueueing
 	q.push(r)
 	r.pool.waiting++
 	s.waiting++
--- a/sched/slow.go
+++ b/sched/slow.go
@@ -26,7 +26,7 @@
 
 // slowness is the factor by which e is slower than it says, 1 if it keeps its word.
 func (s *Scheduler) slowness(now time.Duration, e *endpointState) float64 {
-	if s.cfg.Off.Slow || e.slow <= 1 {
+	if s.cfg.Disabled.Slow || e.slow <= 1 {
 		return 1
 	}
 	halves := float64(now-e.slowAt) / float64(slowHalf)
@@ -52,7 +52,7 @@
 	ratio := float64(now-r.sentAt) / float64(r.predicted) * s.slowness(now, r.at)
 	// A first token that is late by queueing only is no sign of a slow engine,
 	// so this evidence counts only when it is gross.
-	if ratio > s.cfg.SlowAt {
+	if ratio > s.cfg.SlowThreshold {
 		s.observe(now, r.at, ratio)
 	}
 }
@@ -80,13 +80,13 @@
 
 // ease sets or clears the easing out of endpoints of a pool, a bounded share at a time.
 func (s *Scheduler) ease(now time.Duration, p *pool) {
-	if s.cfg.Off.Slow {
+	if s.cfg.Disabled.Slow {
 		return
 	}
-	most := int(s.cfg.MaxEased * float64(len(p.members)))
+	most := int(s.cfg.MaxThrottledShare * float64(len(p.members)))
 	n := 0
 	for _, e := range p.members {
-		if e.eased && s.slowness(now, e) < s.cfg.BackAt {
+		if e.eased && s.slowness(now, e) < s.cfg.RecoveryThreshold {
 			e.eased = false
 		}
 		if e.eased {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, e := range p.members {
-		if n < most && !e.eased && e.observed >= slowMin && s.slowness(now, e) > s.cfg.SlowAt {
+		if n < most && !e.eased && e.observed >= slowMin && s.slowness(now, e) > s.cfg.SlowThreshold {
 			e.eased = true
 			n++
 		}
--- a/sched/value.go
+++ b/sched/value.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Aim is what a request is worth where: it is set for requests whose worth falls
+// Objective is what a request is worth where: it is set for requests whose worth falls
 // once the first token, or a pause between two events, is late.
-type Aim struct {
-	// First is the time from arrival in which the first token is wanted; 0 means no aim.
-	First time.Duration
-	// Gap is the longest pause between two events that is wanted; 0 means any.
-	Gap time.Duration
+type Objective struct {
+	// FirstToken is the time from arrival in which the first token is wanted; 0 means no aim.
+	FirstToken time.Duration
+	// EventGap is the longest pause between two events that is wanted; 0 means any.
+	EventGap time.Duration
 	// EventTokens is the number of tokens in an event; 0 means 1.
 	EventTokens int
 }
@@ -54,7 +54,7 @@
 // is taken as logistic, the length's as log-normal.
 func (s *Scheduler) worth(now time.Duration, r *Request, e *endpointState, load float64, first, due time.Duration) float64 {
 	step := time.Duration(float64(e.step()) * s.slowness(now, e))
-	blur := firstBlur * r.Aim.First.Seconds()
+	blur := firstBlur * r.Objective.FirstToken.Seconds()
 	inTime := 1 / (1 + math.Exp(-(due-now-first).Seconds()/blur))
 	done := 1.0
 	if r.outGuess > 1 {
@@ -80,18 +80,18 @@
 // run there too long: an event waits for as many steps as it has tokens, and each step
 // reads at most a piece.
 func (s *Scheduler) stalls(r *Request, e *endpointState, step time.Duration, n int) bool {
-	if r.Aim.Gap <= 0 {
+	if r.Objective.EventGap <= 0 {
 		return false
 	}
-	tokens := max(1, r.Aim.EventTokens)
+	tokens := max(1, r.Objective.EventTokens)
 	pause := time.Duration(tokens)*step + e.prefillTime(min(n, tokens*pieceTokens))
-	return pause > time.Duration(gapMargin*float64(r.Aim.Gap))
+	return pause > time.Duration(gapMargin*float64(r.Objective.EventGap))
 }
 
 // due is the time by which the first token is wanted: in aim, or for a prompt that
 // no endpoint could read in that time, not much later than the fastest idle one could.
 func (s *Scheduler) due(now time.Duration, r *Request) time.Duration {
-	due := r.Arrived + r.Aim.First
+	due := r.Arrived + r.Objective.FirstToken
 	least := time.Duration(math.MaxInt64)
 	for _, e := range r.pool.members {
 		if r.pool.usable(now, e) {
@@ -126,9 +126,9 @@
 		c := candidate{e: e, cached: s.cachedAt(e), load: load}
 		c.first = s.predict(now, r, e, load, c.cached)
 		c.worth = s.worth(now, r, e, load, c.first, due)
-		c.room = load/float64(e.slots()) + e.prefillTime(s.prefillAhead(now, r, e)).Seconds()/r.Aim.First.Seconds()
-		if e.Far {
-			c.room += s.cfg.FarCost
+		c.room = load/float64(e.slots()) + e.prefillTime(s.prefillAhead(now, r, e)).Seconds()/r.Objective.FirstToken.Seconds()
+		if e.CrossZone {
+			c.room += s.cfg.CrossZoneCost
 		}
 		best = max(best, c.worth)
 		s.cands = append(s.cands, c)
@@ -166,7 +166,7 @@
 func (s *Scheduler) split(n int) int {
 	near := 0
 	for i := range s.cands[:n] {
-		if !s.cands[i].e.Far {
+		if !s.cands[i].e.CrossZone {
 			s.cands[near], s.cands[i] = s.cands[i], s.cands[near]
 			near++
 		}
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -17,7 +17,7 @@
 
 // aimed makes a scheduler with endpoints of the given steps and prompt work.
 func aimed(steps []time.Duration, prefill, running []int) *Scheduler {
-	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), Peers: 6}
+	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 6}
 	s.Init()
 	var list []Endpoint
 	for i := range steps {
@@ -25,8 +25,8 @@
 	}
 	s.SetEndpoints(list)
 	for i, step := range steps {
-		s.TakeReport(0, fmt.Sprint(i), Report{
-			Running: running[i], PrefillTokens: prefill[i], Slots: 10, Step: step, PrefillPerStep: 200, Model: "m", Fresh: true,
+		s.ApplyReport(0, fmt.Sprint(i), Report{
+			Running: running[i], PrefillTokens: prefill[i], Slots: 10, Step: step, PrefillPerStep: 200, Model: "m", AcceptsPrompts: true,
 		})
 	}
 	return s
@@ -51,18 +51,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := aimed(tc.steps, tc.prefill, tc.running)
-			s.cfg.Off.Share = true
-			s.Config.Off.Share = true
+			s.cfg.Disabled.Share = true
+			s.Config.Disabled.Share = true
 			for range 20 { // the choice has chance in it
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: tc.prompt,
-					MaxTokens: tc.out, LikelyTokens: tc.out, Deadline: 15 * time.Second, Start: 200 * time.Millisecond,
-					Aim: Aim{First: 800 * time.Millisecond, Gap: 400 * time.Millisecond, EventTokens: 5},
+					MaxTokens: tc.out, ExpectedTokens: tc.out, Deadline: 15 * time.Second, DispatchBy: 200 * time.Millisecond,
+					Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 				}
 				d := s.Submit(0, r)
 				must.EqOp(t, tc.want, d.Endpoint)
 				if d.Verdict == Run {
-					s.Done(0, r, Dropped, 0)
+					s.Done(0, r, Canceled, 0)
 				}
 				if d.Verdict == Wait {
 					s.Withdraw(r)
@@ -79,11 +79,11 @@
 	s := aimed([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 60000,
-		MaxTokens: 100, LikelyTokens: 100, Deadline: 20 * time.Second, Start: 200 * time.Millisecond,
-		Aim: Aim{First: 800 * time.Millisecond, Gap: 250 * time.Millisecond, EventTokens: 6},
+		MaxTokens: 100, ExpectedTokens: 100, Deadline: 20 * time.Second, DispatchBy: 200 * time.Millisecond,
+		Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 250 * time.Millisecond, EventTokens: 6},
 	}
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
-	got := s.Poll(r.Start)
+	got := s.Poll(r.DispatchBy)
 	must.Len(t, 1, got)
 	must.EqOp(t, Run, got[0].Verdict)
 }
@@ -108,7 +108,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := aimed([]time.Duration{tc.step}, []int{0}, []int{0})
-			r := &Request{Aim: Aim{First: time.Second, Gap: tc.gap, EventTokens: tc.eventTokens}}
+			r := &Request{Objective: Objective{FirstToken: time.Second, EventGap: tc.gap, EventTokens: tc.eventTokens}}
 			must.EqOp(t, tc.want, s.stalls(r, s.byName["0"], tc.step, tc.prompt))
 		})
 	}
@@ -121,8 +121,8 @@
 	ask := func(prompt int) *Request {
 		return &Request{
 			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: prompt, MaxTokens: 900,
-			LikelyTokens: 900, Deadline: 14 * time.Second, Start: 200 * time.Millisecond,
-			Aim: Aim{First: 800 * time.Millisecond, Gap: 400 * time.Millisecond, EventTokens: 5},
+			ExpectedTokens: 900, Deadline: 14 * time.Second, DispatchBy: 200 * time.Millisecond,
+			Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 		}
 	}
 	r := ask(20000)
@@ -145,18 +145,18 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), Peers: 1}
+			s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}
 			s.Init()
 			s.SetEndpoints([]Endpoint{{Name: "a", Engine: true, Slots: 1}})
-			s.TakeReport(0, "a", Report{Slots: 1, Step: 20 * time.Millisecond, Model: "m", Fresh: true})
+			s.ApplyReport(0, "a", Report{Slots: 1, Step: 20 * time.Millisecond, Model: "m", AcceptsPrompts: true})
 			ask := func(start time.Duration) *Request {
 				e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
-				return &Request{Settings: e, Model: "m", MaxTokens: 1, Deadline: time.Second, Start: start}
+				return &Request{Settings: e, Model: "m", MaxTokens: 1, Deadline: time.Second, DispatchBy: start}
 			}
 			first := ask(time.Second)
 			must.EqOp(t, Run, s.Submit(0, first).Verdict)
-			s.Hold(0, first, 60*time.Millisecond)
-			must.EqOp(t, Wait, s.Again(0, first).Verdict) // its endpoint is left alone
+			s.BackOff(0, first, 60*time.Millisecond)
+			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is left alone
 			s.Withdraw(first)
 			must.EqOp(t, Wait, s.Submit(0, ask(min(66*time.Millisecond, tc.poll))).Verdict)
 			out := s.Poll(tc.poll)
@@ -182,32 +182,32 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &Scheduler{Config: Config{FarCost: 0.6, Off: Rules{Share: true}}, Rand: rand.New(rand.NewPCG(1, 2)), Peers: 1}
+			s := &Scheduler{Config: Config{CrossZoneCost: 0.6, Disabled: Rules{Share: true}}, Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}
 			s.Init()
 			var list []Endpoint
 			for i := range n {
-				list = append(list, Endpoint{Name: fmt.Sprint(i), Engine: true, Slots: 10, Far: i > 0})
+				list = append(list, Endpoint{Name: fmt.Sprint(i), Engine: true, Slots: 10, CrossZone: i > 0})
 			}
 			s.SetEndpoints(list)
 			for i := range n {
-				rep := Report{Slots: 10, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", Fresh: true}
+				rep := Report{Slots: 10, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", AcceptsPrompts: true}
 				if i == 0 {
 					rep.Running = tc.nearRunning
 				}
-				s.TakeReport(0, fmt.Sprint(i), rep)
+				s.ApplyReport(0, fmt.Sprint(i), rep)
 			}
 			near := 0
 			for range 100 {
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 500,
-					MaxTokens: 100, LikelyTokens: 100, Deadline: 15 * time.Second, Aim: Aim{First: time.Second, Gap: time.Second, EventTokens: 5},
+					MaxTokens: 100, ExpectedTokens: 100, Deadline: 15 * time.Second, Objective: Objective{FirstToken: time.Second, EventGap: time.Second, EventTokens: 5},
 				}
 				d := s.Submit(0, r)
 				must.EqOp(t, Run, d.Verdict)
 				if d.Endpoint == "0" {
 					near++
 				}
-				s.Done(0, r, Dropped, 0)
+				s.Done(0, r, Canceled, 0)
 			}
 			must.Between(t, tc.least, near, tc.most)
 		})
@@ -226,11 +226,11 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				r := Request{
-					Settings: e, Model: "m", PromptTokens: 600, MaxTokens: 300, LikelyTokens: 300, Deadline: 15 * time.Second,
-					Aim: Aim{First: 800 * time.Millisecond, Gap: 400 * time.Millisecond, EventTokens: 5},
+					Settings: e, Model: "m", PromptTokens: 600, MaxTokens: 300, ExpectedTokens: 300, Deadline: 15 * time.Second,
+					Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 				}
 				if s.Submit(0, &r).Verdict == Run {
-					s.Done(0, &r, Dropped, 0)
+					s.Done(0, &r, Canceled, 0)
 				}
 			}
 		})
--- a/sched/woke.go
+++ b/sched/woke.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// Woke notes that this process did not run for a time that ends now. It is taken out of the times for which requests have been at their
+// NoteGap notes that this process did not run for a time that ends now. It is taken out of the times for which requests have been at their
 // endpoints: these had nothing to do with it, and were else learned to be slow.
-func (s *Scheduler) Woke(gap time.Duration) {
+func (s *Scheduler) NoteGap(gap time.Duration) {
 	for _, e := range s.endpoints {
 		for _, r := range e.inflight {
 			r.sentAt += gap
