--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -56,7 +56,7 @@
 	return &balancer{
 		zone: zone, now: now, sched: s, targets: make(map[string]*target),
 		prefill: make(map[string]*sched.Quantile), values: make(map[valueRef]*settings.Effective), ranks: make(map[string][]rankOf), changed: make(map[string]bool),
-		owner: owner{books: make(map[string]*places.Book), told: make(map[string]places.Ask), returned: make(map[string]bool), rand: r}, kick: func() {},
+		owner: owner{books: make(map[string]*places.Allocator), told: make(map[string]places.Request), returned: make(map[string]bool), rand: r}, kick: func() {},
 	}
 }
 
--- a/ingress/places.go
+++ b/ingress/places.go
@@ -17,10 +17,10 @@
 
 // owner is what a host knows as the owner of places, and what it told other owners.
 type owner struct {
-	books    map[string]*places.Book // by life of the endpoint
-	told     map[string]places.Ask   // what the owners know of this host
-	returned map[string]bool         // places that were granted and are of no use
-	fresh    time.Duration           // when owners were told of all requests
+	books    map[string]*places.Allocator // by life of the endpoint
+	told     map[string]places.Request    // what the owners know of this host
+	returned map[string]bool              // places that were granted and are of no use
+	fresh    time.Duration                // when owners were told of all requests
 	rand     *rand.Rand
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Asks implements peers.PlaceHost.
-func (s *Server) Asks() (map[string]places.Ask, bool) {
+func (s *Server) Asks() (map[string]places.Request, bool) {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,17 +46,17 @@
 	if all {
 		b.owner.fresh = now
 	}
-	out := make(map[string]places.Ask)
+	out := make(map[string]places.Request)
 	for life := range b.targets {
-		ask := places.Ask{Running: b.sched.InFlight(life), Rank: -1, Back: b.owner.returned[life]}
+		ask := places.Request{Running: b.sched.InFlight(life), Rank: -1, Returned: b.owner.returned[life]}
 		rank, wanted := wants[life]
 		if wanted {
 			ask.Rank = rank
 		}
 		known, told := b.owner.told[life]
-		if wanted || ask.Back || (told && known != ask) || (!told && ask.Running > 0) || (all && ask.Running > 0) {
+		if wanted || ask.Returned || (told && known != ask) || (!told && ask.Running > 0) || (all && ask.Running > 0) {
 			out[life] = ask
-			ask.Back = false
+			ask.Returned = false
 			b.owner.told[life] = ask
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // Asked implements peers.PlaceHost.
-func (s *Server) Asked(host string, run uint64, seq uint32, asks map[string]places.Ask) map[string]map[string]places.Grant {
+func (s *Server) Asked(host string, run uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,15 +82,15 @@
 		}
 		book := b.owner.books[life]
 		if book == nil {
-			book = &places.Book{}
+			book = &places.Allocator{}
 			b.owner.books[life] = book
 		}
-		book.Hear(now, host, run, seq, ask)
-		for _, to := range book.Give(now, b.sched.TierLimit(now, life), b.owner.rand) {
-			add(out, to, life, places.Grant{Places: 1, Running: book.Others(now, to)})
+		book.Update(now, host, run, seq, ask)
+		for _, to := range book.Allocate(now, b.sched.TierLimit(now, life), b.owner.rand) {
+			add(out, to, life, places.Grant{Slots: 1, Running: book.OthersRunning(now, to)})
 		}
 		if _, granted := out[host][life]; !granted && ask.Rank >= 0 {
-			add(out, host, life, places.Grant{Running: book.Others(now, host)})
+			add(out, host, life, places.Grant{Running: book.OthersRunning(now, host)})
 		}
 	}
 	return out
--- a/peers/codec_test.go
+++ b/peers/codec_test.go
@@ -55,8 +55,8 @@
 	must.NoError(f, err)
 	f.Add(text)
 	for _, msg := range []any{
-		&Asks{Host: "h", Life: 1, Seq: 2, Asks: map[string]places.Ask{"e": {Running: 1, Rank: -1, Back: true}}},
-		&Grants{Host: "h", To: 1, Grants: map[string]places.Grant{"e": {Places: 1, Running: 3}}},
+		&Asks{Host: "h", Life: 1, Seq: 2, Asks: map[string]places.Request{"e": {Running: 1, Rank: -1, Returned: true}}},
+		&Grants{Host: "h", To: 1, Grants: map[string]places.Grant{"e": {Slots: 1, Running: 3}}},
 	} {
 		data, err := encode(msg)
 		must.NoError(f, err)
--- a/peers/places.go
+++ b/peers/places.go
@@ -29,7 +29,7 @@
 	Life uint64 `json:"l"`
 	Seq  uint32 `json:"s"`
 	// Asks are by the life of the endpoint.
-	Asks map[string]places.Ask `json:"a"`
+	Asks map[string]places.Request `json:"a"`
 }
 
 // Grants is what an owner answers, and tells hosts when places get free. It is one datagram of JSON.
@@ -46,9 +46,9 @@
 	// ZoneOf names the zone of an endpoint, by its life.
 	ZoneOf(endpoint string) string
 	// Asks gives what is to be told to owners, and whether something waits.
-	Asks() (asks map[string]places.Ask, waits bool)
+	Asks() (asks map[string]places.Request, waits bool)
 	// Asked takes what a host tells this one as an owner and returns the grants, by host.
-	Asked(host string, life uint64, seq uint32, asks map[string]places.Ask) map[string]map[string]places.Grant
+	Asked(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
 	// Granted takes what an owner answers.
 	Granted(grants map[string]places.Grant)
 }
@@ -113,14 +113,14 @@
 		if !relayed {
 			continue
 		}
-		var asks map[string]places.Ask
+		var asks map[string]places.Request
 		asks, waits = a.Places.Asks()
 		a.sendAsks(asks)
 	}
 }
 
 // sendAsks tells each owner what concerns it.
-func (a *Agent) sendAsks(asks map[string]places.Ask) {
+func (a *Agent) sendAsks(asks map[string]places.Request) {
 	if len(asks) == 0 {
 		return
 	}
@@ -128,11 +128,11 @@
 	now := a.Now()
 	a.askSeq++
 	seq := a.askSeq
-	by := make(map[string]map[string]places.Ask)
+	by := make(map[string]map[string]places.Request)
 	for endpoint, ask := range asks {
 		name := a.owner(now, endpoint)
 		if by[name] == nil {
-			by[name] = make(map[string]places.Ask)
+			by[name] = make(map[string]places.Request)
 		}
 		by[name][endpoint] = ask
 	}
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -27,8 +27,8 @@
 	slots   int
 	takes   time.Duration
 	running map[string]int
-	told    map[string]places.Ask
-	books   map[string]*places.Book
+	told    map[string]places.Request
+	books   map[string]*places.Allocator
 	back    map[string]bool // places that were granted and are of no use
 	dead    bool
 	fresh   time.Duration // when all was told
@@ -37,10 +37,10 @@
 
 func (p *placeNode) ZoneOf(endpoint string) string { return p.zones[endpoint] }
 
-func (p *placeNode) Asks() (map[string]places.Ask, bool) {
+func (p *placeNode) Asks() (map[string]places.Request, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]places.Ask)
+	out := make(map[string]places.Request)
 	want := make(map[string]bool)
 	if p.waiting > 0 {
 		for range 3 {
@@ -52,13 +52,13 @@
 		p.fresh = p.node.now()
 	}
 	for e := range p.zones {
-		a := places.Ask{Running: p.running[e], Rank: -1}
+		a := places.Request{Running: p.running[e], Rank: -1}
 		if want[e] {
 			a.Rank = 1
 		}
 		if a != p.told[e] || want[e] || p.back[e] || (again && a.Running > 0) {
 			p.told[e] = a
-			a.Back = p.back[e]
+			a.Returned = p.back[e]
 			out[e] = a
 		}
 	}
@@ -66,27 +66,27 @@
 	return out, p.waiting > 0
 }
 
-func (p *placeNode) Asked(host string, life uint64, seq uint32, asks map[string]places.Ask) map[string]map[string]places.Grant {
+func (p *placeNode) Asked(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.node.now()
 	out := make(map[string]map[string]places.Grant)
 	for e, a := range asks {
 		if p.books[e] == nil {
-			p.books[e] = &places.Book{}
+			p.books[e] = &places.Allocator{}
 		}
-		p.books[e].Hear(now, host, life, seq, a)
-		for _, to := range p.books[e].Give(now, func(int) int { return p.slots }, p.rand) {
+		p.books[e].Update(now, host, life, seq, a)
+		for _, to := range p.books[e].Allocate(now, func(int) int { return p.slots }, p.rand) {
 			if out[to] == nil {
 				out[to] = make(map[string]places.Grant)
 			}
-			out[to][e] = places.Grant{Places: 1, Running: p.books[e].Others(now, to)}
+			out[to][e] = places.Grant{Slots: 1, Running: p.books[e].OthersRunning(now, to)}
 		}
 		if _, granted := out[host][e]; !granted && a.Rank >= 0 { // as a host answers who asks
 			if out[host] == nil {
 				out[host] = make(map[string]places.Grant)
 			}
-			out[host][e] = places.Grant{Running: p.books[e].Others(now, host)}
+			out[host][e] = places.Grant{Running: p.books[e].OthersRunning(now, host)}
 		}
 	}
 	return out
@@ -96,8 +96,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e, g := range grants {
-		if g.Places == 0 || p.waiting == 0 || p.dead {
-			p.back[e] = g.Places > 0
+		if g.Slots == 0 || p.waiting == 0 || p.dead {
+			p.back[e] = g.Slots > 0
 			continue
 		}
 		p.waiting--
@@ -144,7 +144,7 @@
 				for i, n := range nodes {
 					all[i] = &placeNode{
 						node: n, rand: rand.New(rand.NewPCG(uint64(i), 5)), zones: zones, slots: slots, takes: takes, running: make(map[string]int),
-						told: make(map[string]places.Ask), books: make(map[string]*places.Book), back: make(map[string]bool),
+						told: make(map[string]places.Request), books: make(map[string]*places.Allocator), back: make(map[string]bool),
 					}
 					n.agent.Places = all[i]
 					go n.agent.ask(ctx)
--- a/places/book.go
+++ b/places/book.go
@@ -21,27 +21,27 @@
 	rowLife = 2500 * time.Millisecond
 )
 
-// Ask is what a host tells the owner of an endpoint's places.
-type Ask struct {
+// Request is what a host tells the owner of an endpoint's places.
+type Request struct {
 	// Running is the number of its requests there.
 	Running int `json:"r"`
 	// Rank is the highest tier for which it wants a place, 0 the highest, -1 for none.
 	Rank int `json:"k"`
-	// Back says that a place which was granted is not taken. A host that wants none may have one granted all the same, on its
+	// Returned says that a place which was granted is not taken. A host that wants none may have one granted all the same, on its
 	// way.
-	Back bool `json:"b,omitempty"`
+	Returned bool `json:"b,omitempty"`
 }
 
 // Grant is what the owner answers.
 type Grant struct {
-	// Places is the number of places that the host may take.
-	Places int `json:"p,omitempty"`
+	// Slots is the number of places that the host may take.
+	Slots int `json:"p,omitempty"`
 	// Running is the number of requests of all hosts there.
 	Running int `json:"r"`
 }
 
-// Book is what an owner knows of one endpoint. The zero value knows nothing.
-type Book struct {
+// Allocator is what an owner knows of one endpoint. The zero value knows nothing.
+type Allocator struct {
 	rows map[string]*row
 }
 
@@ -56,9 +56,9 @@
 	until   time.Duration // until when what was granted may be taken
 }
 
-// Hear takes what a host told in a life of its process. Words that were overtaken do not count. Requests that it has begun since took what
+// Update takes what a host told in a life of its process. Words that were overtaken do not count. Requests that it has begun since took what
 // was granted.
-func (b *Book) Hear(now time.Duration, host string, life uint64, seq uint32, a Ask) {
+func (b *Allocator) Update(now time.Duration, host string, life uint64, seq uint32, a Request) {
 	if b.rows == nil {
 		b.rows = make(map[string]*row)
 	}
@@ -72,14 +72,14 @@
 	}
 	a.Running = max(0, a.Running)
 	r.granted = max(0, r.granted-max(0, a.Running-r.running))
-	if a.Back {
+	if a.Returned {
 		r.granted = 0
 	}
 	r.seq, r.running, r.rank, r.heard = seq, a.Running, a.Rank, now
 }
 
 // Running is the number of requests there, as far as the hosts told.
-func (b *Book) Running(now time.Duration) int {
+func (b *Allocator) Running(now time.Duration) int {
 	n := 0
 	for host, r := range b.rows {
 		if now-r.heard > rowLife {
@@ -91,9 +91,9 @@
 	return n
 }
 
-// Give grants the free places: limit tells how many requests may be there for one of a tier to be added. It returns
+// Allocate grants the free places: limit tells how many requests may be there for one of a tier to be added. It returns
 // the hosts that got one, the upper tiers first and drawn at random within a tier.
-func (b *Book) Give(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
+func (b *Allocator) Allocate(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
 	taken := b.Running(now)
 	for _, w := range b.rows {
 		if now >= w.until {
@@ -116,7 +116,7 @@
 }
 
 // next draws one of the hosts that want a place for the highest tier and have none granted.
-func (b *Book) next(now time.Duration, r *rand.Rand) string {
+func (b *Allocator) next(now time.Duration, r *rand.Rand) string {
 	best, n := "", 0
 	for host, w := range b.rows {
 		if w.rank < 0 || w.granted > 0 || now-w.heard > askLife {
@@ -135,8 +135,8 @@
 	return best
 }
 
-// Others is the number of requests of all hosts but one, granted places counted as taken.
-func (b *Book) Others(now time.Duration, host string) int {
+// OthersRunning is the number of requests of all hosts but one, granted places counted as taken.
+func (b *Allocator) OthersRunning(now time.Duration, host string) int {
 	n := b.Running(now)
 	for name, r := range b.rows {
 		if name != host && now < r.until {
--- a/places/places_test.go
+++ b/places/places_test.go
@@ -58,7 +58,7 @@
 		at   time.Duration
 		host string
 		seq  uint32
-		ask  Ask
+		ask  Request
 		want []string // who gets a place for it
 		life uint64   // of the host, 0 for the first
 	}
@@ -66,22 +66,22 @@
 		name  string
 		words []word
 	}{
-		{"free places", []word{{0, "x", 1, Ask{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Ask{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Ask{0, 1, false}, nil, 0}}},
-		{"the top tier may have one more", []word{{0, "x", 1, Ask{2, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, nil, 0}, {0, "z", 1, Ask{0, 0, false}, []string{"z"}, 0}}},
-		{"what was granted is taken", []word{{0, "x", 1, Ask{1, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Ask{1, -1, false}, nil, 0}, {0, "z", 1, Ask{0, 1, false}, nil, 0}}},
-		{"what was granted is given back", []word{{0, "x", 1, Ask{1, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Ask{0, 1, false}, nil, 0}, {0, "y", 2, Ask{0, -1, true}, []string{"z"}, 0}}},
-		{"what was granted is not taken in its time", []word{{0, "x", 1, Ask{1, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, []string{"y"}, 0}, {askLife + 1, "z", 1, Ask{0, 1, false}, []string{"z"}, 0}}},
-		{"a request ends", []word{{0, "x", 1, Ask{2, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, nil, 0}, {50 * ms, "x", 2, Ask{1, -1, false}, []string{"y"}, 0}}},
-		{"who waits for a higher tier goes first", []word{{0, "x", 1, Ask{3, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 2, false}, nil, 0}, {0, "z", 1, Ask{0, 1, false}, nil, 0}, {0, "x", 2, Ask{1, -1, false}, []string{"z"}, 0}}},
-		{"who waits says so", []word{{0, "x", 1, Ask{2, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, nil, 0}, {askLife + 1, "x", 2, Ask{1, -1, false}, nil, 0}}},
-		{"words that were overtaken", []word{{0, "x", 5, Ask{2, -1, false}, nil, 0}, {0, "x", 4, Ask{0, -1, false}, nil, 0}, {0, "y", 1, Ask{0, 1, false}, nil, 0}}},
-		{"words that are told twice", []word{{0, "x", 5, Ask{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Ask{1, 1, false}, nil, 0}}},
-		{"a host that fell silent", []word{{0, "x", 1, Ask{2, -1, false}, nil, 0}, {rowLife + 1, "y", 1, Ask{0, 1, false}, []string{"y"}, 0}}},
-		{"a host that starts again", []word{{0, "x", 900, Ask{2, -1, false}, nil, 0}, {ms, "x", 1, Ask{0, 1, false}, []string{"x"}, 2}}},
+		{"free places", []word{{0, "x", 1, Request{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"the top tier may have one more", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {0, "z", 1, Request{0, 0, false}, []string{"z"}, 0}}},
+		{"what was granted is taken", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Request{1, -1, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"what was granted is given back", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "y", 2, Request{0, -1, true}, []string{"z"}, 0}}},
+		{"what was granted is not taken in its time", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {askLife + 1, "z", 1, Request{0, 1, false}, []string{"z"}, 0}}},
+		{"a request ends", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {50 * ms, "x", 2, Request{1, -1, false}, []string{"y"}, 0}}},
+		{"who waits for a higher tier goes first", []word{{0, "x", 1, Request{3, -1, false}, nil, 0}, {0, "y", 1, Request{0, 2, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "x", 2, Request{1, -1, false}, []string{"z"}, 0}}},
+		{"who waits says so", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {askLife + 1, "x", 2, Request{1, -1, false}, nil, 0}}},
+		{"words that were overtaken", []word{{0, "x", 5, Request{2, -1, false}, nil, 0}, {0, "x", 4, Request{0, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}}},
+		{"words that are told twice", []word{{0, "x", 5, Request{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Request{1, 1, false}, nil, 0}}},
+		{"a host that fell silent", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {rowLife + 1, "y", 1, Request{0, 1, false}, []string{"y"}, 0}}},
+		{"a host that starts again", []word{{0, "x", 900, Request{2, -1, false}, nil, 0}, {ms, "x", 1, Request{0, 1, false}, []string{"x"}, 2}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			var b Book
+			var b Allocator
 			r := rand.New(rand.NewPCG(1, 1))
 			limit := func(rank int) int {
 				if rank == 0 {
@@ -90,8 +90,8 @@
 				return 2
 			}
 			for i, w := range tc.words {
-				b.Hear(w.at, w.host, cmp.Or(w.life, 1), w.seq, w.ask)
-				must.Eq(t, w.want, b.Give(w.at, limit, r), must.Sprint("word ", i))
+				b.Update(w.at, w.host, cmp.Or(w.life, 1), w.seq, w.ask)
+				must.Eq(t, w.want, b.Allocate(w.at, limit, r), must.Sprint("word ", i))
 			}
 		})
 	}
@@ -104,7 +104,7 @@
 	const hosts, places = 12, 9
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		var b Book
+		var b Allocator
 		var running, allowed [hosts]int
 		var seq [hosts]uint32
 		limit := func(int) int { return places }
@@ -123,8 +123,8 @@
 			if back {
 				allowed[h] = 0
 			}
-			b.Hear(now, fmt.Sprint(h), 1, seq[h], Ask{Running: running[h], Rank: rank, Back: back})
-			for _, to := range b.Give(now, limit, r) {
+			b.Update(now, fmt.Sprint(h), 1, seq[h], Request{Running: running[h], Rank: rank, Returned: back})
+			for _, to := range b.Allocate(now, limit, r) {
 				var i int
 				_, err := fmt.Sscan(to, &i)
 				must.NoError(t, err)
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -102,13 +102,13 @@
 	s.ownerAt = max(now, 1)
 	e := s.byName[name]
 	if e == nil {
-		return g.Places == 0
+		return g.Slots == 0
 	}
 	e.others, e.exactAt, e.askedAt = g.Running, max(now, 1), 0
-	if g.Places == 0 {
+	if g.Slots == 0 {
 		return true
 	}
-	e.claims, e.claimedAt = g.Places, now
+	e.claims, e.claimedAt = g.Slots, now
 	s.wake(e)
 	for _, p := range s.pools {
 		if p.waiting > 0 && slices.Contains(p.members, e) {
--- a/sched/grant_test.go
+++ b/sched/grant_test.go
@@ -47,12 +47,12 @@
 	for _, rank := range wants {
 		must.EqOp(t, 1, rank)
 	}
-	must.True(t, s.ApplyGrant(30*ms, "e3", places.Grant{Places: 1, Running: 5}))
+	must.True(t, s.ApplyGrant(30*ms, "e3", places.Grant{Slots: 1, Running: 5}))
 	got := s.Poll(30 * ms)
 	must.SliceLen(t, 1, got)
 	must.EqOp(t, "e3", got[0].Endpoint)
 	must.MapEmpty(t, s.SlotRequests(30*ms))
-	must.False(t, s.ApplyGrant(31*ms, "e4", places.Grant{Places: 1, Running: 5})) // nothing waits any more
+	must.False(t, s.ApplyGrant(31*ms, "e4", places.Grant{Slots: 1, Running: 5})) // nothing waits any more
 }
 
 // TestGrantIsOld checks that a granted place is not taken once its owner may have given it to another host.
@@ -62,7 +62,7 @@
 	first := request(0)
 	must.EqOp(t, Wait, s.Submit(0, first).Verdict)
 	must.True(t, s.Withdraw(first))
-	s.ApplyGrant(0, "e0", places.Grant{Places: 1, Running: 7})
+	s.ApplyGrant(0, "e0", places.Grant{Slots: 1, Running: 7})
 	s.DrawClaims(grantFor + ms)
 	s.ApplyGrant(grantFor+ms, "e1", places.Grant{Running: 7})
 	must.Zero(t, s.byName["e0"].claims)
