--- a/attempt/account.go
+++ b/attempt/account.go
@@ -19,44 +19,44 @@
 	Answered
 )
 
-// Account is the account of one request; the zero value is a request that was not sent.
-type Account struct {
+// Tracker is the account of one request; the zero value is a request that was not sent.
+type Tracker struct {
 	state State
 	ran   bool
 	sends int
 }
 
-// Send notes that bytes of the request are about to go to an endpoint.
-func (a *Account) Send() {
+// MarkSent notes that bytes of the request are about to go to an endpoint.
+func (a *Tracker) MarkSent() {
 	a.state = Sent
 	a.sends++
 }
 
-// NotSent takes a Send back: the connection failed before any byte was written.
-func (a *Account) NotSent() {
+// MarkUnsent takes a Send back: the connection failed before any byte was written.
+func (a *Tracker) MarkUnsent() {
 	if a.state == Sent {
 		a.state = Unsent
 		a.sends--
 	}
 }
 
-// NotRun notes that the endpoint said that it did not run the request.
-func (a *Account) NotRun() {
+// MarkNotRun notes that the endpoint said that it did not run the request.
+func (a *Tracker) MarkNotRun() {
 	if a.state == Sent {
 		a.state = Unsent
 	}
 }
 
-// Answer notes that the endpoint's answer began.
-func (a *Account) Answer() {
+// MarkAnswered notes that the endpoint's answer began.
+func (a *Tracker) MarkAnswered() {
 	if a.state == Sent {
 		a.state = Answered
 		a.ran = true
 	}
 }
 
-// Lost notes that the endpoint's answer will not come.
-func (a *Account) Lost() {
+// MarkLost notes that the endpoint's answer will not come.
+func (a *Tracker) MarkLost() {
 	if a.state != Unsent {
 		a.ran = true
 	}
@@ -64,14 +64,14 @@
 }
 
 // Sends is the number of endpoints that were sent the request.
-func (a *Account) Sends() int { return a.sends }
+func (a *Tracker) Sends() int { return a.sends }
 
 // MayHaveRun tells whether an endpoint may have run the request, or may yet.
-func (a *Account) MayHaveRun() bool { return a.ran || a.state != Unsent }
+func (a *Tracker) MayHaveRun() bool { return a.ran || a.state != Unsent }
 
-// Status gives the true final status of a request that is given up. A request
+// FailureStatus gives the true final status of a request that is given up. A request
 // that may have run gets no promise: 504 past its deadline, else 502.
-func (a *Account) Status(late bool) int {
+func (a *Tracker) FailureStatus(late bool) int {
 	switch {
 	case !a.MayHaveRun():
 		return http.StatusServiceUnavailable
--- a/attempt/account_test.go
+++ b/attempt/account_test.go
@@ -23,32 +23,32 @@
 // it is told whenever none can.
 func TestNoFalsePromise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a Account
+		var a Tracker
 		var w truth
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
 			switch event := rapid.IntRange(0, 4).Draw(t, "event"); {
 			case !w.open:
-				a.Send()
+				a.MarkSent()
 				w.open = true
 			case event == 0:
-				a.NotSent()
+				a.MarkUnsent()
 				w.open = false
 			case event == 1:
-				a.NotRun()
+				a.MarkNotRun()
 				w.open = false
 			case event == 2:
-				a.Answer()
-				a.Lost() // the answer began and broke off
+				a.MarkAnswered()
+				a.MarkLost() // the answer began and broke off
 				w.open, w.ran = false, true
 			case event == 3:
-				a.Lost()
+				a.MarkLost()
 				w.open, w.ran = false, true
 			}
 		}
 		may := w.open || w.ran
 		must.EqOp(t, may, a.MayHaveRun())
 		for _, late := range []bool{false, true} {
-			must.EqOp(t, !may, a.Status(late) == http.StatusServiceUnavailable)
+			must.EqOp(t, !may, a.FailureStatus(late) == http.StatusServiceUnavailable)
 		}
 	})
 }
@@ -56,27 +56,27 @@
 func TestStatus(t *testing.T) {
 	cases := []struct {
 		name   string
-		events []func(*Account)
+		events []func(*Tracker)
 		late   bool
 		want   int
 		sends  int
 	}{
 		{"never sent", nil, false, 503, 0},
 		{"never sent, late", nil, true, 503, 0},
-		{"no connection", []func(*Account){(*Account).Send, (*Account).NotSent}, false, 503, 0},
-		{"rejected", []func(*Account){(*Account).Send, (*Account).NotRun}, true, 503, 1},
-		{"under way", []func(*Account){(*Account).Send}, true, 504, 1},
-		{"lost", []func(*Account){(*Account).Send, (*Account).Lost}, false, 502, 1},
-		{"lost, then rejected", []func(*Account){(*Account).Send, (*Account).Lost, (*Account).Send, (*Account).NotRun}, false, 502, 2},
-		{"answer began", []func(*Account){(*Account).Send, (*Account).Answer}, false, 502, 1},
+		{"no connection", []func(*Tracker){(*Tracker).MarkSent, (*Tracker).MarkUnsent}, false, 503, 0},
+		{"rejected", []func(*Tracker){(*Tracker).MarkSent, (*Tracker).MarkNotRun}, true, 503, 1},
+		{"under way", []func(*Tracker){(*Tracker).MarkSent}, true, 504, 1},
+		{"lost", []func(*Tracker){(*Tracker).MarkSent, (*Tracker).MarkLost}, false, 502, 1},
+		{"lost, then rejected", []func(*Tracker){(*Tracker).MarkSent, (*Tracker).MarkLost, (*Tracker).MarkSent, (*Tracker).MarkNotRun}, false, 502, 2},
+		{"answer began", []func(*Tracker){(*Tracker).MarkSent, (*Tracker).MarkAnswered}, false, 502, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			var a Account
+			var a Tracker
 			for _, e := range tc.events {
 				e(&a)
 			}
-			must.EqOp(t, tc.want, a.Status(tc.late))
+			must.EqOp(t, tc.want, a.FailureStatus(tc.late))
 			must.EqOp(t, tc.sends, a.Sends())
 		})
 	}
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -46,7 +46,7 @@
 
 	bar       *refusal // why the request may not be sent any more
 	granted   bool     // the send that follows was granted
-	account   attempt.Account
+	account   attempt.Tracker
 	req       *sched.Request
 	at        feed.Endpoint
 	firstSeen bool
@@ -281,7 +281,7 @@
 		c.pass(c.saved)
 		return
 	}
-	status := c.account.Status(c.s.Now() >= c.deadline || ctx.Err() != nil)
+	status := c.account.FailureStatus(c.s.Now() >= c.deadline || ctx.Err() != nil)
 	if status == http.StatusServiceUnavailable {
 		c.s.Count.Overload.Add(1)
 	}
@@ -319,7 +319,7 @@
 	c.header.Set(c.s.Headers.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	c.header.Set(c.s.Headers.Expect, c.at.Instance)
 	unwatch := context.AfterFunc(ctx, func() { conn.Close() })
-	c.account.Send()
+	c.account.MarkSent()
 	c.mute = true
 	began := c.s.Now()
 	c.noteSend(began)
@@ -350,7 +350,7 @@
 		c.judge(end, hold)
 	}
 	if end == lost {
-		c.account.Lost()
+		c.account.MarkLost()
 		c.s.Count.Lost.Add(1)
 		c.tell(outcome.SendLost, 0, "no whole answer came", 0)
 		if !tired {
@@ -431,16 +431,16 @@
 	defer resp.Body.Close()
 	c.mute = false
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		c.account.NotRun()
+		c.account.MarkNotRun()
 		drain(resp)
 		return notRun, holdForeign
 	}
 	if resp.Header.Get(c.s.Headers.NotRun) != "" {
-		c.account.NotRun()
+		c.account.MarkNotRun()
 		drain(resp)
 		return notRun, holdFull
 	}
-	c.account.Answer()
+	c.account.MarkAnswered()
 	c.failedAnswer = resp.StatusCode >= http.StatusInternalServerError
 	ok := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if ok && resp.Header.Get(c.s.Headers.Stamp) == "" {
