--- a/edge/listen.go
+++ b/edge/listen.go
@@ -108,8 +108,8 @@
 	f.queue = &queueListener{addr: addr, conns: make(chan net.Conn, 64), closed: make(chan struct{})}
 	srv := &http.Server{
 		Handler:           f.host.ingress,
-		ReadHeaderTimeout: orElse(limits.HeaderTime, defaultHeaderTime),
-		IdleTimeout:       time.Duration(idleMargin * float64(orElse(limits.IdleTime, defaultIdle))),
+		ReadHeaderTimeout: orElse(limits.HeaderTimeout, defaultHeaderTime),
+		IdleTimeout:       time.Duration(idleMargin * float64(orElse(limits.IdleTimeout, defaultIdle))),
 		MaxHeaderBytes:    int(orElse(limits.HeaderBytes, defaultHeaderBytes)),
 	}
 	go func(l net.Listener) { _ = srv.Serve(l) }(f.queue)
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -81,7 +81,7 @@
 		c.s.Count.NoRoute.Add(1)
 		return c.unknown(http.StatusNotFound, "no route for this host and path")
 	}
-	c.service = c.table.Service(c.route.Target(rand.Float64()))
+	c.service = c.table.Service(c.route.PickTarget(rand.Float64()))
 	if c.service == nil {
 		return &refusal{status: http.StatusServiceUnavailable, why: "the route has no service; come back", after: time.Second}
 	}
@@ -140,7 +140,7 @@
 		// A bad guess is no guess.
 		c.likely, _ = strconv.Atoi(v)
 	}
-	if c.service.Memory > 0 && c.tokensIn > c.service.Memory {
+	if c.service.KVCapacity > 0 && c.tokensIn > c.service.KVCapacity {
 		c.s.Count.Bad.Add(1)
 		return &refusal{status: http.StatusRequestEntityTooLarge, why: "prompt is larger than the memory of any endpoint"}
 	}
@@ -236,8 +236,8 @@
 		return nil
 	}
 	c.units = 1
-	if w.Tokens {
-		c.units = w.PlainTokens
+	if w.RateInTokens {
+		c.units = w.DefaultTokens
 		if c.named {
 			c.units = float64(c.tokensIn + c.tokensOut)
 		}
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -45,7 +45,7 @@
 	if len(body) > mostBuffered {
 		return c.passLarge(a, resp.Body, sent)
 	}
-	if a.status >= http.StatusInternalServerError && c.route.May() && c.account.Sends() < c.route.Attempts {
+	if a.status >= http.StatusInternalServerError && c.route.MayRepeat() && c.account.Sends() < c.route.Attempts {
 		c.saved = a
 		return failed, 0
 	}
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -150,7 +150,7 @@
 		Arrived: c.arrived, Deadline: c.deadline, DispatchBy: c.latestStart(c.arrived), Data: make(chan sched.Decision, 1),
 	}
 	if c.service.Engine {
-		c.req.Objective = sched.Objective{FirstToken: c.route.Objective, EventGap: c.route.Gap, EventTokens: c.service.EventTokens}
+		c.req.Objective = sched.Objective{FirstToken: c.route.Objective, EventGap: c.route.PauseObjective, EventTokens: c.service.EventTokens}
 	}
 	c.s.firstSend(c.service.Name)
 	d := c.s.balance.submit(c)
@@ -183,7 +183,7 @@
 			rejects++
 			again = rejects <= mostRejects && c.s.mayRepeat(c.service.Name)
 		case failed, lost:
-			again = c.route.May() && c.account.Sends() < c.route.Attempts+rejects && c.s.mayRepeat(c.service.Name)
+			again = c.route.MayRepeat() && c.account.Sends() < c.route.Attempts+rejects && c.s.mayRepeat(c.service.Name)
 		}
 		if !again || ctx.Err() != nil {
 			c.s.balance.done(c, sched.Canceled, 0, 0)
@@ -373,7 +373,7 @@
 // askCrashed asks the endpoint that lost a send whether it has crashed. A request that may go on elsewhere waits for the answer.
 func (c *call) askCrashed(ctx context.Context, slept bool) {
 	done := c.s.crashes.lost(c, slept)
-	if !c.route.May() || c.account.Sends() >= c.route.Attempts {
+	if !c.route.MayRepeat() || c.account.Sends() >= c.route.Attempts {
 		return
 	}
 	t := time.NewTimer(verdictWait)
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -146,7 +146,7 @@
 	s.mu.Unlock()
 	least := 0
 	for i := range t.Document.Services {
-		if n := t.Document.Services[i].Connections; n > 0 && (least == 0 || n < least) {
+		if n := t.Document.Services[i].MaxConnections; n > 0 && (least == 0 || n < least) {
 			least = n
 		}
 	}
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -70,7 +70,7 @@
 // answer that cannot go on elsewhere.
 func (c *call) patience() time.Duration {
 	r := c.route
-	if !r.May() || c.account.Sends() >= r.Attempts || r.Objective <= 0 {
+	if !r.MayRepeat() || c.account.Sends() >= r.Attempts || r.Objective <= 0 {
 		return 0
 	}
 	if r.Kind != route.Stream {
@@ -79,6 +79,6 @@
 	if c.tokensIn > longRead && !c.stream.begun {
 		return 0
 	}
-	leave := max(leaveAfter, leaveObjectives*r.Objective, leaveGaps*r.Gap)
+	leave := max(leaveAfter, leaveObjectives*r.Objective, leaveGaps*r.PauseObjective)
 	return time.Duration(patienceShare * float64(leave))
 }
--- a/ingress/tell.go
+++ b/ingress/tell.go
@@ -91,7 +91,7 @@
 	}
 	if c.route != nil {
 		e.Route = c.route.Name
-		e.ObjectiveMS, e.PauseObjectiveMS = c.route.Objective.Milliseconds(), c.route.Gap.Milliseconds()
+		e.ObjectiveMS, e.PauseObjectiveMS = c.route.Objective.Milliseconds(), c.route.PauseObjective.Milliseconds()
 	}
 	if c.service != nil {
 		e.Service = c.service.Name
--- a/route/check.go
+++ b/route/check.go
@@ -48,7 +48,7 @@
 		s := &c.d.Services[i]
 		where := fmt.Sprintf("service %q", s.Name)
 		c.name(where, s.Name, seen)
-		if s.Connections < 0 || s.Slots < 0 || s.Memory < 0 || s.EventTokens < 0 {
+		if s.MaxConnections < 0 || s.Slots < 0 || s.KVCapacity < 0 || s.EventTokens < 0 {
 			c.add(where, "a figure is below 0", "write 0 for unknown")
 		}
 	}
@@ -88,7 +88,7 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		c.add(where, fmt.Sprintf("prefix %q", r.Prefix), "begin and end it with a slash")
 	}
-	if r.Timeout < 0 || r.Objective < 0 || r.Gap < 0 || r.Rank < 0 {
+	if r.Timeout < 0 || r.Objective < 0 || r.PauseObjective < 0 || r.Rank < 0 {
 		c.add(where, "a figure is below 0", "write 0 for no bound, and ranks from 0")
 	}
 	if r.Timeout > 0 && r.Objective > r.Timeout {
@@ -133,7 +133,7 @@
 		w := &c.d.Workspaces[i]
 		where := fmt.Sprintf("workspace %q", w.Name)
 		c.name(where, w.Name, names)
-		if w.Rate < 0 || w.Burst < 0 || w.PlainTokens < 0 || w.Rank < 0 {
+		if w.Rate < 0 || w.Burst < 0 || w.DefaultTokens < 0 || w.Rank < 0 {
 			c.add(where, "a figure is below 0", "write 0 for no bound, and ranks from 0")
 		}
 		for _, k := range w.Keys {
--- a/route/document.go
+++ b/route/document.go
@@ -10,8 +10,8 @@
 type Kind uint8
 
 const (
-	// Once marks requests that may run at most once.
-	Once Kind = iota
+	// AtMostOnce marks requests that may run at most once.
+	AtMostOnce Kind = iota
 	// Repeatable marks requests that may run again.
 	Repeatable
 	// Stream marks requests that are answered by a series of events.
@@ -34,8 +34,8 @@
 	Timeout time.Duration
 	// Objective is the time within which an answer, or its first event, is wanted.
 	Objective time.Duration
-	// Gap is the longest pause between two events that is wanted.
-	Gap time.Duration
+	// PauseObjective is the longest pause between two events that is wanted.
+	PauseObjective time.Duration
 	// Attempts is the number of endpoints that one request may go to.
 	Attempts int
 	// Rank is the urgency, 0 the highest.
@@ -54,8 +54,8 @@
 	Weight float64
 }
 
-// May tells whether a request of the route may run more than once.
-func (r *Route) May() bool {
+// MayRepeat tells whether a request of the route may run more than once.
+func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
@@ -63,16 +63,16 @@
 type Service struct {
 	// Name identifies the service.
 	Name string
-	// Connections is the number of connections an endpoint takes from all hosts; 0 is unknown.
-	Connections int
+	// MaxConnections is the number of connections an endpoint takes from all hosts; 0 is unknown.
+	MaxConnections int
 	// Engine says that its endpoints are model engines.
 	Engine bool
 	// Slots is the number of requests an engine batches; 0 is unknown.
 	Slots int
 	// EventTokens is the number of tokens that an event of a stream holds; 0 is unknown.
 	EventTokens int
-	// Memory is the number of tokens an engine holds; 0 is unknown.
-	Memory int
+	// KVCapacity is the number of tokens an engine holds; 0 is unknown.
+	KVCapacity int
 }
 
 // Workspace is a customer with keys and a bound.
@@ -87,18 +87,18 @@
 	Rate float64
 	// Burst is what may come at once beyond Rate, in units.
 	Burst float64
-	// Tokens says that units are tokens; else they are requests.
-	Tokens bool
-	// PlainTokens counts for a request that names no tokens.
-	PlainTokens float64
+	// RateInTokens says that units are tokens; else they are requests.
+	RateInTokens bool
+	// DefaultTokens counts for a request that names no tokens.
+	DefaultTokens float64
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
 	// HeaderBytes and BodyBytes bound the sizes.
 	HeaderBytes, BodyBytes int64
-	// HeaderTime bounds the time for the header, IdleTime the rest between requests.
-	HeaderTime, IdleTime time.Duration
+	// HeaderTimeout bounds the time for the header, IdleTime the rest between requests.
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Document is a whole configuration.
--- a/route/table.go
+++ b/route/table.go
@@ -82,8 +82,8 @@
 // Service returns a service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Target picks one of a route's services by weight; at is from [0, 1).
-func (r *Route) Target(at float64) string {
+// PickTarget picks one of a route's services by weight; at is from [0, 1).
+func (r *Route) PickTarget(at float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
 		sum += t.Weight
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -40,12 +40,12 @@
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	n := make(map[string]int)
 	for i := range 1000 {
-		n[r.Target(float64(i)/1000)]++
+		n[r.PickTarget(float64(i)/1000)]++
 	}
 	must.EqOp(t, 900, n["a"])
 	must.EqOp(t, 100, n["b"])
-	must.EqOp(t, "", (&Route{}).Target(0.5))
-	must.EqOp(t, "b", (&Route{Targets: []Target{{"a", 0}, {"b", 0}}}).Target(0.5))
+	must.EqOp(t, "", (&Route{}).PickTarget(0.5))
+	must.EqOp(t, "b", (&Route{Targets: []Target{{"a", 0}, {"b", 0}}}).PickTarget(0.5))
 }
 
 func TestKeys(t *testing.T) {
