--- a/outlier/fleet_test.go
+++ b/outlier/fleet_test.go
@@ -64,7 +64,7 @@
 		}
 		f.running[e.endpoint]--
 		r := &f.hosts[e.host][e.endpoint]
-		r.Ended()
+		r.Inconclusive()
 		switch {
 		case !e.failed:
 			r.Succeed(f.now)
@@ -95,7 +95,7 @@
 	sum := make([]Evidence, len(f.running))
 	for h := range f.hosts {
 		for e := range sum {
-			told := f.hosts[h][e].Told(f.now)
+			told := f.hosts[h][e].LocalEvidence(f.now)
 			sum[e].Good += told.Good
 			sum[e].Bad += told.Bad
 		}
@@ -104,8 +104,8 @@
 	if back := int(f.delay / (200 * ms)); len(f.told) > back {
 		for h := range f.hosts {
 			for e, s := range f.told[len(f.told)-1-back] {
-				own := f.hosts[h][e].Told(f.now)
-				f.hosts[h][e].Hear(f.now, Evidence{max(0, s.Good-own.Good), max(0, s.Bad-own.Bad)})
+				own := f.hosts[h][e].LocalEvidence(f.now)
+				f.hosts[h][e].SetPeerEvidence(f.now, Evidence{max(0, s.Good-own.Good), max(0, s.Bad-own.Bad)})
 			}
 		}
 	}
@@ -230,13 +230,13 @@
 		}
 		var sum Evidence
 		for h := range records {
-			told := records[h].Told(0)
+			told := records[h].LocalEvidence(0)
 			sum.Good, sum.Bad = sum.Good+told.Good, sum.Bad+told.Bad
 		}
 		var r Record // of a host that has sent nothing
-		r.Hear(0, sum)
+		r.SetPeerEvidence(0, sum)
 		must.EqOp(t, Closed, r.State(0))
-		must.True(t, r.Sound(0))
+		must.True(t, r.Healthy(0))
 		must.EqOp(t, Open, records[0].State(0))
 	})
 }
--- a/outlier/record.go
+++ b/outlier/record.go
@@ -82,8 +82,8 @@
 	r.since, r.until = now, now+time.Duration((1+ejectionSpread*draw)*float64(hold))
 }
 
-// Answered notes the first sign of an answer: the endpoint is there.
-func (r *Record) Answered() {
+// AnswerStarted notes the first sign of an answer: the endpoint is there.
+func (r *Record) AnswerStarted() {
 	r.row[Unreachable], r.row[Unanswered], r.row[Rejected] = 0, 0, 0
 }
 
@@ -96,18 +96,18 @@
 	r.streak, r.until, r.probe = 0, 0, false
 }
 
-// Reached notes that the endpoint itself gave an account of its load: it is there.
-func (r *Record) Reached() {
-	r.Answered()
+// NoteLoadReport notes that the endpoint itself gave an account of its load: it is there.
+func (r *Record) NoteLoadReport() {
+	r.AnswerStarted()
 	r.until = 0
 }
 
-// Ended notes the end of a request that tells nothing of the endpoint, such as one whose caller left.
-func (r *Record) Ended() { r.probe = false }
+// Inconclusive notes the end of a request that tells nothing of the endpoint, such as one whose caller left.
+func (r *Record) Inconclusive() { r.probe = false }
 
-// Hear takes the sum of what other hosts tell: they may eject the endpoint for this host, too, and a good answer that
+// SetPeerEvidence takes the sum of what other hosts tell: they may eject the endpoint for this host, too, and a good answer that
 // one of them had while it was half open is as good as an own one.
-func (r *Record) Hear(now time.Duration, e Evidence) {
+func (r *Record) SetPeerEvidence(now time.Duration, e Evidence) {
 	r.others, r.heard = e, now
 	all := r.all(now)
 	switch r.State(now) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// Told is what this host tells others.
-func (r *Record) Told(now time.Duration) Evidence { return r.own.fade(now - r.at).bounded() }
+// LocalEvidence is what this host tells others.
+func (r *Record) LocalEvidence(now time.Duration) Evidence { return r.own.fade(now - r.at).bounded() }
 
 // all is the evidence of all hosts.
 func (r *Record) all(now time.Duration) Evidence {
@@ -130,8 +130,8 @@
 	return Evidence{own.Good + others.Good, own.Bad + others.Bad}
 }
 
-// Failing is the part of requests that are expected to fail, 0 to 1.
-func (r *Record) Failing(now time.Duration) float64 { return r.all(now).failing() }
+// FailureRatio is the part of requests that are expected to fail, 0 to 1.
+func (r *Record) FailureRatio(now time.Duration) float64 { return r.all(now).failing() }
 
 // State tells how the endpoint is used now.
 func (r *Record) State(now time.Duration) State {
@@ -144,9 +144,9 @@
 	return Closed
 }
 
-// Sound reports whether requests of all kinds may be sent now.
-func (r *Record) Sound(now time.Duration) bool {
-	return r.State(now) == Closed && r.Failing(now) < riskyFrom
+// Healthy reports whether requests of all kinds may be sent now.
+func (r *Record) Healthy(now time.Duration) bool {
+	return r.State(now) == Closed && r.FailureRatio(now) < riskyFrom
 }
 
 // Admits reports whether a request may be sent now, and whether it would be a probe; repeatable says that it may run
@@ -158,7 +158,7 @@
 	case HalfOpen:
 		return (repeatable || now-r.until > probeWait) && !r.probe, true
 	}
-	if failing := r.Failing(now); failing >= riskyFrom {
+	if failing := r.FailureRatio(now); failing >= riskyFrom {
 		return repeatable, true
 	}
 	return true, false
--- a/outlier/record_test.go
+++ b/outlier/record_test.go
@@ -34,13 +34,13 @@
 		{"two in a row", func(r *Record) { fail(r, 0, Unanswered, 2) }, 0, Open},
 		{"two with a sign of life between", func(r *Record) {
 			fail(r, 0, Unanswered, 1)
-			r.Answered()
+			r.AnswerStarted()
 			fail(r, 0, Unanswered, 1)
 		}, 0, Closed},
 		{"two answers that broke off", func(r *Record) { fail(r, 0, Broken, 2) }, 0, Closed},
 		{"three, with signs of life between", func(r *Record) {
 			for range 3 {
-				r.Answered()
+				r.AnswerStarted()
 				fail(r, 0, Broken, 1)
 			}
 		}, 0, Open},
@@ -61,7 +61,7 @@
 		}, firstEjection, Closed},
 		{"it tells its load again", func(r *Record) {
 			fail(r, 0, Unreachable, 1)
-			r.Reached()
+			r.NoteLoadReport()
 		}, 0, HalfOpen},
 		{"requests that were under way count once", func(r *Record) {
 			fail(r, 0, Unreachable, 1)
@@ -78,17 +78,17 @@
 				fail(r, time.Duration(i)*time.Minute, Unreachable, 1)
 			}
 		}, 19*time.Minute + longestEjection, HalfOpen},
-		{"other hosts saw it fail only", func(r *Record) { r.Hear(0, Evidence{Bad: 6}) }, 0, Open},
-		{"one other host", func(r *Record) { r.Hear(0, Evidence{Bad: 9}.bounded()) }, 0, Closed},
-		{"some saw it answer", func(r *Record) { r.Hear(0, Evidence{Bad: 6, Good: 6}) }, 0, Closed},
-		{"it was a while ago", func(r *Record) { r.Hear(0, Evidence{Bad: 6}) }, firstEjection, HalfOpen},
+		{"other hosts saw it fail only", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, 0, Open},
+		{"one other host", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 9}.bounded()) }, 0, Closed},
+		{"some saw it answer", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6, Good: 6}) }, 0, Closed},
+		{"it was a while ago", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, firstEjection, HalfOpen},
 		{"and one of them had an answer since", func(r *Record) {
-			r.Hear(0, Evidence{Bad: 6})
-			r.Hear(2*firstEjection, Evidence{Bad: 1, Good: 1})
+			r.SetPeerEvidence(0, Evidence{Bad: 6})
+			r.SetPeerEvidence(2*firstEjection, Evidence{Bad: 1, Good: 1})
 		}, 2 * firstEjection, Closed},
 		{"and it fails them still", func(r *Record) {
-			r.Hear(0, Evidence{Bad: 6})
-			r.Hear(2*firstEjection, Evidence{Bad: 6})
+			r.SetPeerEvidence(0, Evidence{Bad: 6})
+			r.SetPeerEvidence(2*firstEjection, Evidence{Bad: 6})
 		}, 2*firstEjection + 1900*ms, Open},
 	}
 	for _, tc := range cases {
@@ -121,10 +121,10 @@
 		{"the probe was given up", func(r *Record) {
 			half(r)
 			r.Begin(firstEjection + 100*ms)
-			r.Ended()
+			r.Inconclusive()
 		}, firstEjection + 200*ms, answer{false, true}},
-		{"half of it fails elsewhere", func(r *Record) { r.Hear(0, Evidence{Bad: 5, Good: 3}) }, 0, answer{false, true}},
-		{"a third of it fails elsewhere", func(r *Record) { r.Hear(0, Evidence{Bad: 4, Good: 6}) }, 0, answer{true, true}},
+		{"half of it fails elsewhere", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 5, Good: 3}) }, 0, answer{false, true}},
+		{"a third of it fails elsewhere", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 4, Good: 6}) }, 0, answer{true, true}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -144,8 +144,8 @@
 		r.Fail(0, 0, Errored, 0)
 		r.Succeed(0)
 	}
-	e := r.Told(0)
+	e := r.LocalEvidence(0)
 	must.InDelta(t, mostTold, e.Good+e.Bad, 1e-9)
 	must.InDelta(t, e.Good, e.Bad, 1e-9)
-	must.Less(t, 0.1, r.Told(20*time.Second).Bad)
+	must.Less(t, 0.1, r.LocalEvidence(20*time.Second).Bad)
 }
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -162,7 +162,7 @@
 	e.othersPrefill = max(0, rep.PrefillTokens-e.atReport.prefill)
 	if !rep.Estimated {
 		e.downUntil = min(e.downUntil, now)
-		e.health.Reached()
+		e.health.NoteLoadReport()
 	}
 }
 
@@ -187,7 +187,7 @@
 
 // end counts the end of a request.
 func (e *endpointState) end(now time.Duration, r *Request) {
-	e.health.Ended()
+	e.health.Inconclusive()
 	e.own--
 	e.vacated++
 	e.vacatedAt = now
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -81,7 +81,7 @@
 	}
 	list := make([]one, 0, len(p.members))
 	for _, e := range p.members {
-		if p.usable(now, e) && (p.panics || e.health.Sound(now)) {
+		if p.usable(now, e) && (p.panics || e.health.Healthy(now)) {
 			load := s.load(now, e)/float64(e.slots()) + askBlur*s.Rand.Float64()
 			if e.CrossZone {
 				load += s.cfg.CrossZoneCost
--- a/sched/health.go
+++ b/sched/health.go
@@ -37,7 +37,7 @@
 // Answered notes the first sign of an answer to a dispatched request.
 func (s *Scheduler) Answered(r *Request) {
 	if r.at != nil {
-		r.at.health.Answered()
+		r.at.health.AnswerStarted()
 	}
 }
 
@@ -51,7 +51,7 @@
 // Evidence is what this host tells others of an endpoint's latest outcomes.
 func (s *Scheduler) Evidence(now time.Duration, name string) outlier.Evidence {
 	if e := s.byName[name]; e != nil {
-		return e.health.Told(now)
+		return e.health.LocalEvidence(now)
 	}
 	return outlier.Evidence{}
 }
@@ -59,7 +59,7 @@
 // ApplyPeerEvidence takes the sum of what other hosts tell of an endpoint.
 func (s *Scheduler) ApplyPeerEvidence(now time.Duration, name string, ev outlier.Evidence) {
 	if e := s.byName[name]; e != nil {
-		e.health.Hear(now, ev)
+		e.health.SetPeerEvidence(now, ev)
 	}
 }
 
@@ -86,7 +86,7 @@
 				continue
 			}
 			n++
-			if e.health.Sound(now) {
+			if e.health.Healthy(now) {
 				left++
 			}
 		}
@@ -110,7 +110,7 @@
 	if r.Settings.Repeatable && e.health.State(now) == outlier.HalfOpen && !r.pool.panics {
 		return 0
 	}
-	return e.health.Failing(now)
+	return e.health.FailureRatio(now)
 }
 
 // trusts reports whether a request may be risked at an endpoint that may have failed others lately. One that has run
