--- a/edge/host.go
+++ b/edge/host.go
@@ -167,7 +167,7 @@
 	}}
 	h.ingress = &ingress.Server{
 		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.watch, Unproven: h.unproven, Proven: h.provenAt, Usable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
-		Retries:    quota.Retries{Ratio: retryShare * b.RetryRatio, Most: retryShare * b.RetrySlack},
+		Retries:    quota.RetryBudget{Ratio: retryShare * b.RetryRatio, MaxCredit: retryShare * b.RetrySlack},
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
 		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
--- a/edge/share.go
+++ b/edge/share.go
@@ -45,7 +45,7 @@
 
 // Heard implements peers.Host.
 func (h *Host) Heard(u peers.Usage) {
-	h.ingress.Heard(u.Source, u.Life, quota.Told{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
+	h.ingress.Heard(u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // Crashes implements peers.Host.
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -243,7 +243,7 @@
 		}
 	}
 	c.s.mu.Lock()
-	ok, wait := c.s.book.Take(c.s.Now(), w.Name, quota.Bound{Rate: w.Rate, Burst: w.Burst}, c.units)
+	ok, wait := c.s.book.Take(c.s.Now(), w.Name, quota.Limit{Rate: w.Rate, Burst: w.Burst}, c.units)
 	c.s.mu.Unlock()
 	if ok {
 		return nil
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -52,7 +52,7 @@
 	Policy sched.Config
 	// Retries bound repeated sends: the ratio to first ones and the credit kept, of
 	// all hosts together.
-	Retries quota.Retries
+	Retries quota.RetryBudget
 	// Tolerance is what all hosts together may get wrong about a workspace's amount.
 	Tolerance quota.Tolerance
 	// FirstStart says that no host ran before this start.
@@ -75,7 +75,7 @@
 
 	mu      sync.Mutex
 	book    *quota.Book
-	retries map[string]*quota.Retries
+	retries map[string]*quota.RetryBudget
 	hosts   int
 	lines   map[outcome.Kind]*outcome.Budget
 
@@ -93,8 +93,8 @@
 	s.crashes.book.Host = s.Host
 	s.deadlines = deadlines{now: s.Now, calls: make(map[*call]*time.Timer)}
 	s.book = quota.NewBook(s.Now())
-	s.book.Tolerance, s.book.Full = s.Tolerance, s.FirstStart
-	s.retries = make(map[string]*quota.Retries)
+	s.book.Tolerance, s.book.StartFull = s.Tolerance, s.FirstStart
+	s.retries = make(map[string]*quota.RetryBudget)
 	s.lines = make(map[outcome.Kind]*outcome.Budget)
 	s.hosts = 1
 	s.SetAges(Ages{Strict: true})
@@ -131,7 +131,7 @@
 	defer s.mu.Unlock()
 	for i := range t.Document.Workspaces {
 		w := &t.Document.Workspaces[i]
-		s.book.Open(s.Now(), w.Name, quota.Bound{Rate: w.Rate, Burst: w.Burst})
+		s.book.Open(s.Now(), w.Name, quota.Limit{Rate: w.Rate, Burst: w.Burst})
 	}
 }
 
@@ -180,24 +180,24 @@
 }
 
 // Heard takes what another host used.
-func (s *Server) Heard(host string, life uint64, told quota.Told) {
+func (s *Server) Heard(host string, life uint64, told quota.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Heard(s.Now(), host, life, told)
+	s.book.ApplyReport(s.Now(), host, life, told)
 }
 
 // Tell tells what this host used and which amounts are nearly used up.
-func (s *Server) Tell() quota.Told {
+func (s *Server) Tell() quota.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Tell(s.Now())
+	return s.book.Report(s.Now())
 }
 
 // KeepHosts drops what other hosts used but those named: the rest are surely gone.
 func (s *Server) KeepHosts(names map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Keep(names)
+	s.book.RetainPeers(names)
 }
 
 // Active tells how many requests are held.
@@ -238,14 +238,14 @@
 }
 
 // retryBook returns the credit of a service; mu must be held.
-func (s *Server) retryBook(service string) *quota.Retries {
+func (s *Server) retryBook(service string) *quota.RetryBudget {
 	r := s.retries[service]
 	if r == nil {
 		c := s.Retries
 		r = &c
 		s.retries[service] = r
 	}
-	r.Most = max(1, s.Retries.Most/float64(s.hosts))
+	r.MaxCredit = max(1, s.Retries.MaxCredit/float64(s.hosts))
 	return r
 }
 
@@ -253,7 +253,7 @@
 func (s *Server) firstSend(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryBook(service).First()
+	s.retryBook(service).NoteFirstAttempt()
 }
 
 // mayRepeat takes the credit for one repeated send.
--- a/peers/amounts_test.go
+++ b/peers/amounts_test.go
@@ -25,21 +25,21 @@
 	book  *quota.Book
 	found int           // hosts that the store named at the start
 	since time.Duration // of this life
-	bound quota.Bound   // of the workspace
+	bound quota.Limit   // of the workspace
 }
 
 func (p *payer) Fill(b *Beat) {
 	p.node.Fill(b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := p.book.Tell(p.now())
+	told := p.book.Report(p.now())
 	b.Used, b.Left = told.Used, told.Left
 }
 
 func (p *payer) Heard(u Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Heard(p.now(), u.Source, u.Life, quota.Told{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
+	p.book.ApplyReport(p.now(), u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // begin starts a life of the host.
@@ -47,7 +47,7 @@
 	p.mu.Lock()
 	p.book, p.since = quota.NewBook(p.now()), p.now()
 	p.book.SetHosts(max(1, p.found), Interval(p.found))
-	p.book.Tolerance, p.book.Full = tol, full
+	p.book.Tolerance, p.book.StartFull = tol, full
 	p.book.Open(p.now(), "w", p.bound)
 	p.mu.Unlock()
 	ctx, p.cancel = context.WithCancel(ctx)
@@ -67,12 +67,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Keep(sources)
+	p.book.RetainPeers(sources)
 	p.book.SetHosts(n, Interval(n))
 }
 
 // take asks for an amount.
-func (p *payer) take(bound quota.Bound, amount float64) bool {
+func (p *payer) take(bound quota.Limit, amount float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ok, _ := p.book.Take(p.now(), "w", bound, amount)
@@ -93,7 +93,7 @@
 const startTime = 500 * time.Millisecond
 
 // newPayers starts n hosts in three zones.
-func newPayers(ctx context.Context, n int, loss float64, tol quota.Tolerance, bound quota.Bound) *payers {
+func newPayers(ctx context.Context, n int, loss float64, tol quota.Tolerance, bound quota.Limit) *payers {
 	start := time.Now()
 	f := &payers{
 		net: &network{ways: make(map[way]*rand.Rand), loss: loss, conns: make(map[string]*endConn)},
@@ -144,7 +144,7 @@
 
 // ask asks random hosts for an amount in parts, small ones or all of one size, and tells how much was asked of hosts
 // that run and how much they let through.
-func (f *payers) ask(random *rand.Rand, bound quota.Bound, amount float64) (asked, passed float64) {
+func (f *payers) ask(random *rand.Rand, bound quota.Limit, amount float64) (asked, passed float64) {
 	for f.due += amount; f.due > 0; {
 		part := f.part
 		if part == 0 {
@@ -198,7 +198,7 @@
 
 // play asks for a part of the rate while strikes end processes. It gives what passed in each
 // tick, and what was asked and passed after the warm-up.
-func (f *payers) play(ctx context.Context, bound quota.Bound, load float64, strike func(int, *payers) []int) (passed []float64, asked, let float64) {
+func (f *payers) play(ctx context.Context, bound quota.Limit, load float64, strike func(int, *payers) []int) (passed []float64, asked, let float64) {
 	random := rand.New(rand.NewPCG(3, 4))
 	time.Sleep(warmup / 2)
 	for n := range int((warmup/2 + span) / tick) {
@@ -227,7 +227,7 @@
 // asked below the bound in calm.
 func TestAmountsOfFleets(t *testing.T) {
 	const window = 8 * time.Second
-	bound := quota.Bound{Rate: 20000, Burst: 20000}
+	bound := quota.Limit{Rate: 20000, Burst: 20000}
 	tol := quota.Tolerance{Window: window, Overshoot: 0.1, Slack: bound.Rate}
 	some := func(round int, f *payers) []int {
 		n := len(f.all)
@@ -311,19 +311,19 @@
 	cases := []struct {
 		name   string
 		hosts  int
-		bound  quota.Bound
+		bound  quota.Limit
 		slack  float64
 		part   float64 // the size of a request
 		load   float64
 		strike func(round int, f *payers) []int
 		least  float64
 	}{
-		{"calm", 60, quota.Bound{Rate: 400, Burst: 400}, 400, 40, 2.5, nil, 0.7},
-		{"some restart", 60, quota.Bound{Rate: 400, Burst: 400}, 400, 40, 2.5, some, 0.5},
-		{"relays restart", 60, quota.Bound{Rate: 400, Burst: 400}, 400, 40, 2.5, relays, 0.3},
-		{"calm", 78, quota.Bound{Rate: 36000, Burst: 36000}, 140000, 6700, 5, nil, 0.7},
-		{"some restart", 78, quota.Bound{Rate: 36000, Burst: 36000}, 140000, 6700, 5, some, 0.5},
-		{"relays restart", 78, quota.Bound{Rate: 36000, Burst: 36000}, 140000, 6700, 5, relays, 0.3},
+		{"calm", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, nil, 0.7},
+		{"some restart", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, some, 0.5},
+		{"relays restart", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, relays, 0.3},
+		{"calm", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, nil, 0.7},
+		{"some restart", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, some, 0.5},
+		{"relays restart", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, relays, 0.3},
 	}
 	for _, tc := range cases {
 		t.Run(fmt.Sprint(tc.name, " ", tc.hosts), func(t *testing.T) {
--- a/quota/book.go
+++ b/quota/book.go
@@ -34,9 +34,9 @@
 type Book struct {
 	// Tolerance is what the hosts together may get wrong.
 	Tolerance Tolerance
-	// Full says that nothing was used before, as at the first start of all hosts:
+	// StartFull says that nothing was used before, as at the first start of all hosts:
 	// accounts begin full. Else they begin with a part of the tolerance, or at what peers tell.
-	Full bool
+	StartFull bool
 
 	accounts map[string]*account
 	peers    map[string]*peer
@@ -48,7 +48,7 @@
 
 // account is what is known of a workspace.
 type account struct {
-	bound  Bound
+	bound  Limit
 	at     time.Duration
 	level  float64
 	used   float64
@@ -82,11 +82,11 @@
 }
 
 // account returns an account, filled up to now.
-func (b *Book) account(now time.Duration, name string, bound Bound) *account {
+func (b *Book) account(now time.Duration, name string, bound Limit) *account {
 	a := b.accounts[name]
 	if a == nil {
 		a = &account{bound: bound, at: b.first, level: startShare * b.Tolerance.debt(bound)}
-		if b.Full {
+		if b.StartFull {
 			a.level = bound.Burst
 		}
 		if left, ok := b.left[name]; ok {
@@ -104,7 +104,7 @@
 
 // Open begins an account. What peers used before an account was begun is not counted in it, and it would be full for a host that is
 // asked for something for the first time.
-func (b *Book) Open(now time.Duration, name string, bound Bound) {
+func (b *Book) Open(now time.Duration, name string, bound Limit) {
 	if bound.Rate > 0 {
 		b.account(now, name, bound)
 	}
@@ -136,7 +136,7 @@
 }
 
 // Take lets an amount through, or tells when to come back.
-func (b *Book) Take(now time.Duration, name string, bound Bound, amount float64) (bool, time.Duration) {
+func (b *Book) Take(now time.Duration, name string, bound Limit, amount float64) (bool, time.Duration) {
 	if bound.Rate <= 0 {
 		return true, 0
 	}
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -37,7 +37,7 @@
 	f := &fleet{tol: tol, books: make([]*Book, n), lives: make([]uint64, n), cut: make([]bool, n), up: make([]time.Duration, n)}
 	for i := range n {
 		f.restart(i, n)
-		f.books[i].Full = true
+		f.books[i].StartFull = true
 	}
 	return f
 }
@@ -65,10 +65,10 @@
 // tell lets all hosts tell all others; lost says which words do not arrive.
 func (f *fleet) tell(lost func() bool) {
 	for i := range f.books {
-		told := f.books[i].Tell(f.now)
+		told := f.books[i].Report(f.now)
 		for j := range f.books {
 			if i != j && !f.cut[i] && !f.cut[j] && f.now >= f.up[i] && f.now >= f.up[j] && !lost() {
-				f.books[j].Heard(f.now, fmt.Sprint(i), f.lives[i], told)
+				f.books[j].ApplyReport(f.now, fmt.Sprint(i), f.lives[i], told)
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 // The slack of the users' sites is of that size.
 func TestBoundHolds(t *testing.T) {
 	const window = 8 * time.Second
-	bound := Bound{Rate: 1000, Burst: 1000}
+	bound := Limit{Rate: 1000, Burst: 1000}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
 		load := rapid.Float64Range(0.3, 10).Draw(t, "load")
@@ -140,7 +140,7 @@
 // TestShareIsUsed checks that most of what is allowed can be used in calm, also if
 // one host gets most of the demand.
 func TestShareIsUsed(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 1000}
+	bound := Limit{Rate: 1000, Burst: 1000}
 	cases := []struct {
 		name  string
 		load  float64
@@ -173,7 +173,7 @@
 }
 
 func TestTakeTellsWhenToComeBack(t *testing.T) {
-	bound := Bound{Rate: 100, Burst: 100}
+	bound := Limit{Rate: 100, Burst: 100}
 	b := NewBook(0)
 	ok, _ := b.Take(2*time.Second, "w", bound, 500) // larger than the burst: it must pass once
 	must.True(t, ok)
@@ -182,15 +182,15 @@
 	must.Greater(t, 0, wait)
 	ok, _ = b.Take(2*time.Second+wait+10*time.Second, "w", bound, 10)
 	must.True(t, ok)
-	free, _ := b.Take(0, "free", Bound{}, 1e12)
+	free, _ := b.Take(0, "free", Limit{}, 1e12)
 	must.True(t, free)
 }
 
 func TestRetries(t *testing.T) {
-	r := Retries{Ratio: 0.1, Most: 3}
+	r := RetryBudget{Ratio: 0.1, MaxCredit: 3}
 	taken := 0
 	for range 1000 {
-		r.First()
+		r.NoteFirstAttempt()
 		if r.Take() {
 			taken++
 		}
@@ -201,7 +201,7 @@
 // TestStart holds what passes at once, at the first start of all hosts and at a
 // later one, of which nothing is known.
 func TestStart(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 2000}
+	bound := Limit{Rate: 1000, Burst: 2000}
 	cases := []struct {
 		name        string
 		full        bool
@@ -216,14 +216,14 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
-			b.Full, b.Tolerance = tc.full, tc.tolerance
+			b.StartFull, b.Tolerance = tc.full, tc.tolerance
 			must.Between(t, tc.least, passes(b, 0, bound, 10), tc.most)
 		})
 	}
 }
 
 // passes takes amounts until one is refused and returns what passed.
-func passes(b *Book, now time.Duration, bound Bound, amount float64) float64 {
+func passes(b *Book, now time.Duration, bound Limit, amount float64) float64 {
 	sum := 0.0
 	for {
 		if ok, _ := b.Take(now, "w", bound, amount); !ok {
@@ -236,35 +236,35 @@
 // TestShareUntilHeard checks that a host uses no more than an equal share of the
 // level until it has heard of all others again.
 func TestShareUntilHeard(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 6000}
+	bound := Limit{Rate: 1000, Burst: 6000}
 	b := NewBook(0)
-	b.Full = true
+	b.StartFull = true
 	b.SetHosts(3, 0)
 	hear := func(at time.Duration) {
 		for _, p := range []string{"a", "b"} {
-			b.Heard(at, p, 1, Told{Used: map[string]float64{"w": 0}})
+			b.ApplyReport(at, p, 1, Report{Used: map[string]float64{"w": 0}})
 		}
 	}
 	hear(0)
 	first := passes(b, 0, bound, 10)
 	must.Between(t, 2000, first, 2010)
-	b.Heard(0, "a", 1, Told{})
+	b.ApplyReport(0, "a", 1, Report{})
 	must.EqOp(t, 0, passes(b, 0, bound, 10)) // not all were heard
-	b.Heard(0, "b", 1, Told{})
+	b.ApplyReport(0, "b", 1, Report{})
 	must.Between(t, 1330, passes(b, 0, bound, 10), 1340)
 }
 
 // TestEndedLife checks that what a host was taken to use while it was silent stays
 // used when it comes back in a new life: what the ended life did is not known.
 func TestEndedLife(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 4000}
+	bound := Limit{Rate: 1000, Burst: 4000}
 	level := func(life uint64) float64 {
 		b := NewBook(0)
-		b.Full = true
+		b.StartFull = true
 		b.SetHosts(2, 0)
-		b.Heard(0, "a", 1, Told{Used: map[string]float64{"w": 0}})
+		b.ApplyReport(0, "a", 1, Report{Used: map[string]float64{"w": 0}})
 		_, _ = b.Take(0, "w", bound, 1000)
-		b.Heard(time.Second, "a", life, Told{Used: map[string]float64{"w": 0}})
+		b.ApplyReport(time.Second, "a", life, Report{Used: map[string]float64{"w": 0}})
 		return b.accounts["w"].level
 	}
 	must.EqOp(t, 4000, level(1)) // it told that it used nothing
@@ -274,7 +274,7 @@
 // TestSizesPassAlike asks for large and small amounts in turn, beyond the rate, and
 // checks that the large ones pass about as often as the small ones.
 func TestSizesPassAlike(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 1000}
+	bound := Limit{Rate: 1000, Burst: 1000}
 	b := NewBook(0)
 	passed := [2]int{}
 	for i := range 10000 {
@@ -289,7 +289,7 @@
 
 // TestGoneHost checks that a host that goes for good leaves its share to the others.
 func TestGoneHost(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 1000}
+	bound := Limit{Rate: 1000, Burst: 1000}
 	cases := []struct {
 		name  string
 		keep  bool
@@ -302,10 +302,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
 			b.SetHosts(2, 0)
-			b.Heard(0, "a", 1, Told{})
+			b.ApplyReport(0, "a", 1, Report{})
 			passes(b, 10*time.Second, bound, 10)
 			if tc.keep {
-				b.Keep(nil)
+				b.RetainPeers(nil)
 				b.SetHosts(1, 0)
 			}
 			used := 0.0
@@ -319,27 +319,27 @@
 
 // TestNewHostLearns checks that a host that starts beside others takes their levels.
 func TestNewHostLearns(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 5000}
+	bound := Limit{Rate: 1000, Burst: 5000}
 	b := NewBook(0)
 	b.SetHosts(2, 0)
-	b.Heard(0, "a", 1, Told{Left: map[string]float64{"w": -900}})
+	b.ApplyReport(0, "a", 1, Report{Left: map[string]float64{"w": -900}})
 	must.EqOp(t, 0, passes(b, 0, bound, 10))
-	b.Heard(3*time.Second, "a", 1, Told{Left: map[string]float64{"w": -4000}}) // no longer young
+	b.ApplyReport(3*time.Second, "a", 1, Report{Left: map[string]float64{"w": -4000}}) // no longer young
 	must.Greater(t, 0, passes(b, 3*time.Second, bound, 10))
 }
 
 // TestYoungTeachNobody checks that hosts that started together do not lower each
 // other's levels: none of them knows what was used before.
 func TestYoungTeachNobody(t *testing.T) {
-	bound := Bound{Rate: 1000, Burst: 5000}
+	bound := Limit{Rate: 1000, Burst: 5000}
 	young := NewBook(0)
 	_, _ = young.Take(time.Second, "w", bound, 2000)
-	must.MapEmpty(t, young.Tell(time.Second).Left)
-	must.EqOp(t, 1000, young.Tell(3 * time.Second).Left["w"])
+	must.MapEmpty(t, young.Report(time.Second).Left)
+	must.EqOp(t, 1000, young.Report(3 * time.Second).Left["w"])
 	first := NewBook(0)
-	first.Full = true
+	first.StartFull = true
 	_, _ = first.Take(0, "w", bound, 4000)
-	must.EqOp(t, 1000, first.Tell(0).Left["w"]) // the first start knows that nothing was used
+	must.EqOp(t, 1000, first.Report(0).Left["w"]) // the first start knows that nothing was used
 }
 
 // TestSilenceGrows checks that hosts of a large fleet, which hear of each other seldom,
@@ -360,8 +360,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
 			b.SetHosts(2, tc.every)
-			b.Heard(0, "a", 1, Told{})
-			_, _ = b.Take(tc.at, "w", Bound{Rate: 10, Burst: 10}, 1)
+			b.ApplyReport(0, "a", 1, Report{})
+			_, _ = b.Take(tc.at, "w", Limit{Rate: 10, Burst: 10}, 1)
 			must.EqOp(t, tc.silent, b.peers["a"].silent)
 		})
 	}
@@ -371,7 +371,7 @@
 // heard nobody uses one share of what may be left, however often it is asked.
 func TestStartAmongMany(t *testing.T) {
 	const hosts = 60
-	bound := Bound{Rate: 1000, Burst: 2000}
+	bound := Limit{Rate: 1000, Burst: 2000}
 	tol := Tolerance{Slack: 100000}
 	b := NewBook(0)
 	b.Tolerance = tol
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -22,12 +22,12 @@
 }
 
 // debt is how far below zero a level may go and requests still pass.
-func (t Tolerance) debt(b Bound) float64 {
+func (t Tolerance) debt(b Limit) float64 {
 	return debtShare * (t.Overshoot*(b.Rate*t.Window.Seconds()+b.Burst) + t.Slack)
 }
 
-// Bound is what a workspace may use.
-type Bound struct {
+// Limit is what a workspace may use.
+type Limit struct {
 	// Rate is in units a second and Burst in units, over all hosts.
 	Rate, Burst float64
 }
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -4,25 +4,25 @@
 
 package quota
 
-// Retries bounds the repeated sends of one service on one host.
-type Retries struct {
+// RetryBudget bounds the repeated sends of one service on one host.
+type RetryBudget struct {
 	// Ratio is the credit that each first send earns.
 	Ratio float64
-	// Most is the largest credit.
-	Most float64
+	// MaxCredit is the largest credit.
+	MaxCredit float64
 
 	credit float64
 	begun  bool
 }
 
-// First notes a first send.
-func (r *Retries) First() {
+// NoteFirstAttempt notes a first send.
+func (r *RetryBudget) NoteFirstAttempt() {
 	r.begin()
-	r.credit = min(r.credit+r.Ratio, r.Most)
+	r.credit = min(r.credit+r.Ratio, r.MaxCredit)
 }
 
 // Take takes the credit for one repeated send, or tells that there is none.
-func (r *Retries) Take() bool {
+func (r *RetryBudget) Take() bool {
 	r.begin()
 	if r.credit < 1 {
 		return false
@@ -32,9 +32,9 @@
 }
 
 // begin gives the credit that a host starts with.
-func (r *Retries) begin() {
+func (r *RetryBudget) begin() {
 	if !r.begun {
 		r.begun = true
-		r.credit = r.Most
+		r.credit = r.MaxCredit
 	}
 }
--- a/quota/told.go
+++ b/quota/told.go
@@ -17,8 +17,8 @@
 	learnFor = 2 * time.Second
 )
 
-// Told is what a host tells of its accounts, or a relay of those of several hosts, by workspace.
-type Told struct {
+// Report is what a host tells of its accounts, or a relay of those of several hosts, by workspace.
+type Report struct {
 	// Hosts is the number of hosts that it speaks of; 0 means 1.
 	Hosts int
 	// Used is what they used in the life of the one that tells.
@@ -28,11 +28,11 @@
 }
 
 // young tells whether peers know better than this book what was used of late.
-func (b *Book) young(now time.Duration) bool { return !b.Full && now-b.first < learnFor }
+func (b *Book) young(now time.Duration) bool { return !b.StartFull && now-b.first < learnFor }
 
-// Tell tells what this host used in its life and, once it knows, which levels are low.
-func (b *Book) Tell(now time.Duration) Told {
-	t := Told{Used: make(map[string]float64, len(b.accounts)), Left: make(map[string]float64)}
+// Report tells what this host used in its life and, once it knows, which levels are low.
+func (b *Book) Report(now time.Duration) Report {
+	t := Report{Used: make(map[string]float64, len(b.accounts)), Left: make(map[string]float64)}
 	for name, a := range b.accounts {
 		b.fill(now, name, a)
 		if a.used != 0 {
@@ -45,9 +45,9 @@
 	return t
 }
 
-// Heard takes what a peer told. The first tell of a life is where the counting starts.
+// ApplyReport takes what a peer told. The first tell of a life is where the counting starts.
 // After a silence, a peer's further words set right what was taken as used meanwhile.
-func (b *Book) Heard(now time.Duration, name string, life uint64, told Told) {
+func (b *Book) ApplyReport(now time.Duration, name string, life uint64, told Report) {
 	b.learn(now, told.Left)
 	p := b.peers[name]
 	if p == nil {
@@ -140,8 +140,8 @@
 	}
 }
 
-// Keep drops the peers that are surely gone: those not named.
-func (b *Book) Keep(names map[string]bool) {
+// RetainPeers drops the peers that are surely gone: those not named.
+func (b *Book) RetainPeers(names map[string]bool) {
 	for name := range b.peers {
 		if !names[name] {
 			delete(b.peers, name)
