--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -46,7 +46,7 @@
 		h.agent.Init()
 		go h.fetchSettings(ctx)
 		go h.fetchEndpoints(ctx)
-		h.Proved(peers.Proof{Host: "b", Control: control, Settings: peers.Version{Known: true, Revision: 9}, Endpoints: peers.Version{Known: true, Revision: 7, Sum: 1}})
+		h.ProofReceived(peers.Proof{Host: "b", Control: control, Settings: peers.Version{Known: true, Revision: 9}, Endpoints: peers.Version{Known: true, Revision: 7, Sum: 1}})
 		time.Sleep(fetchTimeout / 10)
 		list, ok := h.endpoints.List()
 		must.True(t, ok)
--- a/edge/host.go
+++ b/edge/host.go
@@ -214,13 +214,13 @@
 // newTable puts a configuration in force and tells the other hosts of it at once.
 func (h *Host) newTable(t *route.Table) {
 	h.ingress.SetTable(t)
-	h.agent.Kick()
+	h.agent.TriggerHeartbeat()
 }
 
 // newEndpoints puts a list of endpoints in force and tells the other hosts of it at once.
 func (h *Host) newEndpoints(list []feed.Endpoint) {
 	h.ingress.SetEndpoints(list)
-	h.agent.Kick()
+	h.agent.TriggerHeartbeat()
 }
 
 // bodyMemory bounds the bytes of requests held.
@@ -241,13 +241,13 @@
 		return err
 	}
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, Look: h.watch.Look,
+		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Look,
 		Rand: rand.New(rand.NewPCG(h.life, 1)), Log: h.Log.WithName("peers"),
 	}
 	h.agent.Places = h.ingress
 	h.agent.Init()
-	h.ingress.SetKick(h.agent.KickAsks)
-	h.ingress.SetCrashed(h.agent.Kick)
+	h.ingress.SetKick(h.agent.TriggerAsks)
+	h.ingress.SetCrashed(h.agent.TriggerHeartbeat)
 	return nil
 }
 
@@ -387,7 +387,7 @@
 	began := h.now()
 	close(h.stopping)
 	h.ingress.Stop()
-	h.agent.Kick()
+	h.agent.TriggerHeartbeat()
 	h.Log.Info("stopping", "active", h.ingress.Active())
 	for h.now()-began < h.Boot.Grace-graceRest {
 		if h.now()-began > min(lingerLeast, h.Boot.Grace/2) && h.ingress.Active() == 0 {
--- a/edge/join.go
+++ b/edge/join.go
@@ -87,7 +87,7 @@
 		seeds = append(seeds, e.Address)
 		hosts = max(hosts, e.Hosts)
 	}
-	h.agent.AddSeeds(seeds)
+	h.agent.SetExtraSeeds(seeds)
 	h.found.Store(int64(hosts))
 	h.shareHosts()
 }
@@ -103,7 +103,7 @@
 }
 
 // knownHosts is the number of hosts that may run, this one included.
-func (h *Host) knownHosts() int { return 1 + len(h.agent.Counted()) }
+func (h *Host) knownHosts() int { return 1 + len(h.agent.Unexpired()) }
 
 // keepsEntry tells whether this host is one of those that keep an entry in the store.
 func (h *Host) keepsEntry() bool {
@@ -111,7 +111,7 @@
 	if h.keeping {
 		most = entriesMost
 	}
-	h.keeping = h.agent.Order() < most
+	h.keeping = h.agent.Rank() < most
 	return h.keeping
 }
 
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -200,13 +200,13 @@
 // addresses lists where callers may connect: hosts that take requests and know the
 // newest settings, else those that take requests.
 func (h *Host) addresses() []string {
-	self := peers.Row{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.Fresh()}
-	rows := []peers.Row{self}
+	self := peers.HostInfo{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.Fresh()}
+	rows := []peers.HostInfo{self}
 	for _, m := range h.agent.Live() {
-		rows = append(rows, m.Row)
+		rows = append(rows, m.Info)
 	}
-	rows = slices.DeleteFunc(rows, func(r peers.Row) bool { return !r.Ready })
-	rows = prefer(rows, func(r peers.Row) bool { return r.Fresh })
+	rows = slices.DeleteFunc(rows, func(r peers.HostInfo) bool { return !r.Ready })
+	rows = prefer(rows, func(r peers.HostInfo) bool { return r.Fresh })
 	rand.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
 	var out []string
 	for _, r := range rows[:min(mostAddresses, len(rows))] {
@@ -216,8 +216,8 @@
 }
 
 // prefer returns the rows that satisfy ok, or all if none does.
-func prefer(rows []peers.Row, ok func(peers.Row) bool) []peers.Row {
-	var out []peers.Row
+func prefer(rows []peers.HostInfo, ok func(peers.HostInfo) bool) []peers.HostInfo {
+	var out []peers.HostInfo
 	for _, r := range rows {
 		if ok(r) {
 			out = append(out, r)
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -79,7 +79,7 @@
 		clear(k.since)
 		return
 	}
-	order := h.agent.Order()
+	order := h.agent.Rank()
 	for i := range unkept {
 		if !k.due(h.now(), unkept[i].Fingerprint, order) {
 			continue
--- a/edge/share.go
+++ b/edge/share.go
@@ -19,8 +19,8 @@
 )
 
 // Fill implements peers.Host.
-func (h *Host) Fill(b *peers.Beat) {
-	b.Row = peers.Row{
+func (h *Host) Fill(b *peers.Heartbeat) {
+	b.Info = peers.HostInfo{
 		Address: h.peerAddress(), Front: h.Boot.Front, Control: h.Boot.Control, Zone: h.Boot.Zone, Region: h.Boot.Region,
 		Capacity: h.Boot.Capacity(), Ready: h.ready(), Fresh: h.ingress.Fresh(),
 	}
@@ -43,26 +43,28 @@
 	return settings, endpoints
 }
 
-// Heard implements peers.Host.
-func (h *Host) Heard(u peers.Usage) {
+// UsageReceived implements peers.Host.
+func (h *Host) UsageReceived(u peers.Usage) {
 	h.ingress.Heard(u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // Crashes implements peers.Host.
 func (h *Host) Crashes(to quarantine.Scope) quarantine.Told { return h.ingress.Crashes(to) }
 
-// HearCrashes implements peers.Host.
-func (h *Host) HearCrashes(t *quarantine.Told) bool { return h.ingress.HearCrashes(t) }
+// CrashesReceived implements peers.Host.
+func (h *Host) CrashesReceived(t *quarantine.Told) bool { return h.ingress.HearCrashes(t) }
 
-// Changes implements peers.Host.
-func (h *Host) Changes() (map[string]peers.Load, map[string][]int, bool) { return h.ingress.Changes() }
+// LoadChanges implements peers.Host.
+func (h *Host) LoadChanges() (map[string]peers.Load, map[string][]int, bool) {
+	return h.ingress.Changes()
+}
 
-// LoadsHeard implements peers.Host.
-func (h *Host) LoadsHeard() { h.shareLoads() }
+// LoadsReceived implements peers.Host.
+func (h *Host) LoadsReceived() { h.shareLoads() }
 
-// Proved implements peers.Host: settings and endpoints that a peer knows to be newest are
+// ProofReceived implements peers.Host: settings and endpoints that a peer knows to be newest are
 // so here too, and newer ones are asked for.
-func (h *Host) Proved(p peers.Proof) {
+func (h *Host) ProofReceived(p peers.Proof) {
 	settings, endpoints := false, false
 	if v := p.Settings; v.Known {
 		switch have := h.settings.Age.Revision(); {
@@ -185,7 +187,7 @@
 
 // shareLoads gives the ingress what the other hosts told of their requests.
 func (h *Host) shareLoads() {
-	h.ingress.SetOthers(h.agent.Others())
+	h.ingress.SetOthers(h.agent.PeerLoads())
 }
 
 // foundFor is the time after its start for which a host counts the entries in the store among
@@ -196,15 +198,15 @@
 
 // shareHosts tells the ingress which hosts share amounts and endpoints with this one.
 func (h *Host) shareHosts() {
-	h.ingress.KeepHosts(h.agent.Sources())
-	n := 1 + len(h.agent.Counted())
+	h.ingress.KeepHosts(h.agent.UsageSources())
+	n := 1 + len(h.agent.Unexpired())
 	if n == 1 && len(h.Boot.Seeds) > 1 {
 		n = len(h.Boot.Seeds)
 	}
 	if h.now() < foundFor {
 		n = max(n, int(h.found.Load()))
 	}
-	h.ingress.SetHosts(n, peers.Interval(n))
+	h.ingress.SetHosts(n, peers.ReportInterval(n))
 }
 
 // settingsBody is how hosts pass the configuration on.
--- a/edge/vars.go
+++ b/edge/vars.go
@@ -67,7 +67,7 @@
 	v := vars{
 		Requests: h.ingress.Count.All(), Series: h.ingress.Metrics.Export(), Active: h.ingress.Active(), SettingsAgeMS: -1,
 		SettingsRevision: h.settings.Age.Revision(), SettingsRefused: h.settings.Refused(),
-		PeersLive: len(h.agent.Live()), PeersCounted: len(h.agent.Counted()),
+		PeersLive: len(h.agent.Live()), PeersCounted: len(h.agent.Unexpired()),
 		Connections: h.ingress.Connections(), Ready: h.ready(), Fresh: h.ingress.Fresh(),
 	}
 	if age, ok := h.settings.Age.At(h.now()); ok {
--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -203,7 +203,7 @@
 }
 
 // setOthers takes what all other hosts together have running and waiting.
-func (b *balancer) setOthers(now time.Duration, o peers.Others) {
+func (b *balancer) setOthers(now time.Duration, o peers.PeerLoads) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, t := range b.targets {
@@ -213,7 +213,7 @@
 		b.sched.ApplyPeerEvidence(now, name, t.evidence())
 	}
 	b.report(now)
-	b.sched.SetSilentPeers(o.Unheard)
+	b.sched.SetSilentPeers(o.Unreported)
 	b.sched.SetPeerState(sched.PeerState{Waiting: o.Waiting, Age: o.Age})
 	b.poll(now)
 }
--- a/ingress/balance_test.go
+++ b/ingress/balance_test.go
@@ -54,9 +54,9 @@
 // TestPaceFromPeers checks that the pace that others tell is used until an own one is known.
 func TestPaceFromPeers(t *testing.T) {
 	b, now := engines(1)
-	b.setOthers(*now, peers.Others{Load: map[string]peers.Load{"e0": {Running: 1, Step: 8000}}})
+	b.setOthers(*now, peers.PeerLoads{Load: map[string]peers.Load{"e0": {Running: 1, Step: 8000}}})
 	must.EqOp(t, 8*time.Millisecond, b.targets["e0"].pace())
-	b.setOthers(*now, peers.Others{})
+	b.setOthers(*now, peers.PeerLoads{})
 	must.EqOp(t, 8*time.Millisecond, b.targets["e0"].pace()) // it stays known
 	b.paced(&call{at: feed.Endpoint{Instance: "e0"}}, 2*time.Millisecond)
 	must.EqOp(t, 2*time.Millisecond, b.targets["e0"].pace())
@@ -95,7 +95,7 @@
 				send()
 			}
 			b.tick(*now)
-			b.setOthers(*now, peers.Others{})
+			b.setOthers(*now, peers.PeerLoads{})
 			got := make(map[string]bool)
 			for range 40 {
 				got[send()] = true
--- a/ingress/places.go
+++ b/ingress/places.go
@@ -69,8 +69,8 @@
 	return out, len(wants) > 0
 }
 
-// Asked implements peers.PlaceHost.
-func (s *Server) Asked(host string, run uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+// HandleAsks implements peers.PlaceHost.
+func (s *Server) HandleAsks(host string, run uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,8 +112,8 @@
 	out[host][life] = g
 }
 
-// Granted implements peers.PlaceHost.
-func (s *Server) Granted(grants map[string]places.Grant) {
+// HandleGrants implements peers.PlaceHost.
+func (s *Server) HandleGrants(grants map[string]places.Grant) {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ingress/places_test.go
+++ b/ingress/places_test.go
@@ -38,7 +38,7 @@
 	*now += refreshAsks
 	asks, _ = s.Asks()
 	must.Eq(t, one, asks) // told again
-	s.Granted(map[string]places.Grant{d.Endpoint: {Slots: 1}})
+	s.HandleGrants(map[string]places.Grant{d.Endpoint: {Slots: 1}})
 	asks, _ = s.Asks()
 	must.Eq(t, map[string]places.Request{d.Endpoint: {Running: 1, Rank: -1, Returned: true}}, asks) // nothing waits for it
 	b.done(c, sched.Completed, 10, 0)
@@ -50,11 +50,11 @@
 func TestAsked(t *testing.T) {
 	b, _ := engines(1)
 	s := &Server{balance: b}
-	got := s.Asked("x", 1, 1, map[string]places.Request{"e0": {Running: 9, Rank: -1}, "unknown": {Running: 1, Rank: 0}})
+	got := s.HandleAsks("x", 1, 1, map[string]places.Request{"e0": {Running: 9, Rank: -1}, "unknown": {Running: 1, Rank: 0}})
 	must.MapEmpty(t, got)
-	got = s.Asked("y", 1, 1, map[string]places.Request{"e0": {Rank: 1}})
+	got = s.HandleAsks("y", 1, 1, map[string]places.Request{"e0": {Rank: 1}})
 	must.Eq(t, map[string]map[string]places.Grant{"y": {"e0": {Running: 9}}}, got) // the last one is the top tier's
-	got = s.Asked("x", 1, 2, map[string]places.Request{"e0": {Running: 5, Rank: -1}})
+	got = s.HandleAsks("x", 1, 2, map[string]places.Request{"e0": {Running: 5, Rank: -1}})
 	must.Eq(t, map[string]map[string]places.Grant{"y": {"e0": {Slots: 1, Running: 5}}}, got) // who waits is told when places get free
 	b.setEndpoints(0, nil)
 	must.MapEmpty(t, b.owner.books)
--- a/ingress/state.go
+++ b/ingress/state.go
@@ -25,4 +25,4 @@
 }
 
 // SetOthers takes what all other hosts together have running and waiting.
-func (s *Server) SetOthers(o peers.Others) { s.balance.setOthers(s.Now(), o) }
+func (s *Server) SetOthers(o peers.PeerLoads) { s.balance.setOthers(s.Now(), o) }
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -20,8 +20,8 @@
 
 // Figures of the agent.
 const (
-	// DefaultEvery is the time between heartbeats.
-	DefaultEvery = 200 * time.Millisecond
+	// DefaultInterval is the time between heartbeats.
+	DefaultInterval = 200 * time.Millisecond
 	// fanout is the number of members that get a heartbeat directly. In larger fleets
 	// heartbeats go to a relay.
 	fanout = 8
@@ -48,35 +48,35 @@
 	largestBeat = 60 << 10
 )
 
-// Interval is the longest usual time between two words of a host that reach another one
+// ReportInterval is the longest usual time between two words of a host that reach another one
 // where n hosts run: by way of two relays, three heartbeats.
-func Interval(n int) time.Duration {
+func ReportInterval(n int) time.Duration {
 	if n <= fanout+1 {
-		return DefaultEvery
+		return DefaultInterval
 	}
-	return 3 * DefaultEvery
+	return 3 * DefaultInterval
 }
 
 // Host is what an agent tells and asks of the program it runs in.
 type Host interface {
 	// Fill adds the host's own words to a heartbeat, but for its stamps.
-	Fill(b *Beat)
+	Fill(b *Heartbeat)
 	// Stamps tells what the host knows of the settings and of the endpoints now, and how old that is.
 	Stamps() (settings, endpoints Stamp)
-	// Heard is called with what other hosts used of shared amounts.
-	Heard(u Usage)
-	// Changes gives the loads that changed since its last call and what waits, and false
+	// UsageReceived is called with what other hosts used of shared amounts.
+	UsageReceived(u Usage)
+	// LoadChanges gives the loads that changed since its last call and what waits, and false
 	// if nothing did.
-	Changes() (map[string]Load, map[string][]int, bool)
-	// LoadsHeard is called soon after other hosts told of changed loads.
-	LoadsHeard()
-	// Proved is called when a peer proved what it knows.
-	Proved(p Proof)
+	LoadChanges() (map[string]Load, map[string][]int, bool)
+	// LoadsReceived is called soon after other hosts told of changed loads.
+	LoadsReceived()
+	// ProofReceived is called when a peer proved what it knows.
+	ProofReceived(p Proof)
 	// Crashes tells of requests under which endpoints crashed.
 	Crashes(to quarantine.Scope) quarantine.Told
-	// HearCrashes is called with what a peer knows of requests under which endpoints crashed. It returns true if some of it
+	// CrashesReceived is called with what a peer knows of requests under which endpoints crashed. It returns true if some of it
 	// is new.
-	HearCrashes(t *quarantine.Told) bool
+	CrashesReceived(t *quarantine.Told) bool
 }
 
 // Usage is what one or several other hosts used of shared amounts.
@@ -102,14 +102,14 @@
 	// Host is the program.
 	Host Host
 	// Places is the program as an owner of places and one that asks for them, or nil.
-	Places PlaceHost
+	Places SlotHost
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
-	// Look looks whether the process did not run for a while, which Woke is then told, or nil. It is called before what was
+	// CheckGap looks whether the process did not run for a while, which Woke is then told, or nil. It is called before what was
 	// received is taken.
-	Look func()
-	// Every is the time between heartbeats; 0 means DefaultEvery.
-	Every time.Duration
+	CheckGap func()
+	// Interval is the time between heartbeats; 0 means DefaultEvery.
+	Interval time.Duration
 	// Rand is the source of chance.
 	Rand *rand.Rand
 	// Log takes changes of state.
@@ -123,11 +123,11 @@
 	ticks  int
 	live   map[string]bool // as it was logged last
 	lines  outcome.Budget
-	row    Row     // what this host told last of itself
-	relay  Relay   // what this host passes on
-	uplink uplink  // the relay that passes on what this host tells
-	stale  bool    // what lies in the socket came while the process did not run
-	told   history // what this host told
+	row    HostInfo // what this host told last of itself
+	relay  Relay    // what this host passes on
+	uplink uplink   // the relay that passes on what this host tells
+	stale  bool     // what lies in the socket came while the process did not run
+	told   history  // what this host told
 	asking chan struct{}
 	askSeq uint32
 	owners owners
@@ -143,13 +143,13 @@
 	a.live = make(map[string]bool)
 	a.lines = outcome.Budget{Rate: liveLines, Burst: mostLiveLines}
 	a.relay = Relay{Host: a.Table.Host, Life: a.Table.Life}
-	if a.Every == 0 {
-		a.Every = DefaultEvery
+	if a.Interval == 0 {
+		a.Interval = DefaultInterval
 	}
 }
 
-// Kick sends a heartbeat at once.
-func (a *Agent) Kick() {
+// TriggerHeartbeat sends a heartbeat at once.
+func (a *Agent) TriggerHeartbeat() {
 	select {
 	case a.kick <- struct{}{}:
 	default:
@@ -163,8 +163,8 @@
 	a.Seeds = s
 }
 
-// AddSeeds adds addresses of hosts that were learned elsewhere.
-func (a *Agent) AddSeeds(s []string) {
+// SetExtraSeeds adds addresses of hosts that were learned elsewhere.
+func (a *Agent) SetExtraSeeds(s []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.extra = s
@@ -177,11 +177,11 @@
 	return values(a.Table.Live(a.Now()))
 }
 
-// Counted returns copies of the members that may still run.
-func (a *Agent) Counted() []Member {
+// Unexpired returns copies of the members that may still run.
+func (a *Agent) Unexpired() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return values(a.Table.Counted(a.Now()))
+	return values(a.Table.Unexpired(a.Now()))
 }
 
 // values copies members.
@@ -193,8 +193,8 @@
 	return out
 }
 
-// Sources names who tells this host what the others used.
-func (a *Agent) Sources() map[string]bool {
+// UsageSources names who tells this host what the others used.
+func (a *Agent) UsageSources() map[string]bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
@@ -203,7 +203,7 @@
 		out[a.uplink.host] = true
 		return out
 	}
-	for _, m := range a.Table.Counted(now) {
+	for _, m := range a.Table.Unexpired(now) {
 		out[m.Host] = true
 	}
 	return out
@@ -219,7 +219,7 @@
 	if a.Places != nil {
 		go a.ask(ctx)
 	}
-	t := time.NewTicker(a.Every)
+	t := time.NewTicker(a.Interval)
 	defer t.Stop()
 	for {
 		a.send()
@@ -238,10 +238,10 @@
 // send sends one heartbeat: to all others, or to the relay, and now and then to the seeds
 // and to some hosts that it names others to.
 func (a *Agent) send() {
-	b := Beat{Host: a.Table.Host, Life: a.Table.Life}
+	b := Heartbeat{Host: a.Table.Host, Life: a.Table.Life}
 	a.Host.Fill(&b)
 	a.mu.Lock()
-	a.row = b.Row
+	a.row = b.Info
 	now := a.Now()
 	relayed := a.relayed()
 	// Without a relay that tells of the others, hosts find each other as in small fleets.
@@ -250,11 +250,11 @@
 	if told {
 		to = to[:min(gossipFanout, len(to))]
 	}
-	b.Seq, b.LoadSeq = a.Table.Next(now), a.Table.NextLoad()
+	b.Seq, b.LoadSeq = a.Table.NextSeq(now), a.Table.NextLoadSeq()
 	b.Echo, b.Size = a.Table.Echo(to), a.Table.Size()
 	turn := a.ticks%knownEvery == 0
 	if turn || (relayed && !told) {
-		b.Known = a.Table.KnownRows(now, "")
+		b.Known = a.Table.KnownHosts(now, "")
 	}
 	var addresses []string
 	if turn || !told {
@@ -272,7 +272,7 @@
 			}
 		}
 		a.greet = a.greet[n:]
-		b.Known = a.Table.KnownRows(now, "")
+		b.Known = a.Table.KnownHosts(now, "")
 	}
 	a.ticks++
 	a.noteLive(now)
@@ -303,7 +303,7 @@
 func rowAddresses(ms []*Member) []string {
 	out := make([]string, 0, len(ms))
 	for _, m := range ms {
-		out = append(out, m.Row.Address)
+		out = append(out, m.Info.Address)
 	}
 	return out
 }
@@ -386,7 +386,7 @@
 		a.heard = false
 		a.mu.Unlock()
 		if heard {
-			a.Host.LoadsHeard()
+			a.Host.LoadsReceived()
 		}
 	}
 }
@@ -402,13 +402,13 @@
 	if len(to) == 0 {
 		return
 	}
-	load, waiting, ok := a.Host.Changes()
+	load, waiting, ok := a.Host.LoadChanges()
 	if !ok {
 		return
 	}
 	u := Update{Host: a.Table.Host, Life: a.Table.Life, Load: load, Waiting: waiting}
 	a.mu.Lock()
-	u.LoadSeq = a.Table.NextLoad()
+	u.LoadSeq = a.Table.NextLoadSeq()
 	a.mu.Unlock()
 	a.write(&u, to)
 }
--- a/peers/amounts_test.go
+++ b/peers/amounts_test.go
@@ -28,7 +28,7 @@
 	bound quota.Limit   // of the workspace
 }
 
-func (p *payer) Fill(b *Beat) {
+func (p *payer) Fill(b *Heartbeat) {
 	p.node.Fill(b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	b.Used, b.Left = told.Used, told.Left
 }
 
-func (p *payer) Heard(u Usage) {
+func (p *payer) UsageReceived(u Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.book.ApplyReport(p.now(), u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
@@ -46,7 +46,7 @@
 func (p *payer) begin(ctx context.Context, i int, seed string, tol quota.Tolerance, full bool) {
 	p.mu.Lock()
 	p.book, p.since = quota.NewBook(p.now()), p.now()
-	p.book.SetHosts(max(1, p.found), Interval(p.found))
+	p.book.SetHosts(max(1, p.found), ReportInterval(p.found))
 	p.book.Tolerance, p.book.StartFull = tol, full
 	p.book.Open(p.now(), "w", p.bound)
 	p.mu.Unlock()
@@ -61,14 +61,14 @@
 
 // count tells the book how many hosts there are, as a host does five times a second.
 func (p *payer) count() {
-	sources, n := p.agent.Sources(), 1+len(p.agent.Counted())
+	sources, n := p.agent.UsageSources(), 1+len(p.agent.Unexpired())
 	if p.now()-p.since < 2*time.Second {
 		n = max(n, p.found)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.book.RetainPeers(sources)
-	p.book.SetHosts(n, Interval(n))
+	p.book.SetHosts(n, ReportInterval(n))
 }
 
 // take asks for an amount.
@@ -101,7 +101,7 @@
 	}
 	for i := range n {
 		p := &payer{node: &node{now: func() time.Duration { return time.Since(start) }, conn: f.net.open(i), heard: make(map[string]Usage)}, found: n, bound: bound}
-		p.row = Row{
+		p.row = HostInfo{
 			Address: p.conn.address.String(), Front: fmt.Sprintf("10.0.0.%d:80", i), Control: fmt.Sprintf("10.0.0.%d:81", i),
 			Zone: fmt.Sprint("z", i%3), Region: "r", Capacity: []float64{0.2, 0.8}[i%2], Ready: true, Fresh: true,
 		}
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -10,8 +10,8 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Beat is a heartbeat. It is one datagram of JSON.
-type Beat struct {
+// Heartbeat is a heartbeat. It is one datagram of JSON.
+type Heartbeat struct {
 	// Host names the sender, Life one run of its process.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
@@ -19,12 +19,12 @@
 	Seq uint32 `json:"s"`
 	// Echo is the newest Seq heard of each receiver.
 	Echo map[string]uint32 `json:"e,omitempty"`
-	// Row is what the sender tells of itself.
-	Row Row `json:"r"`
+	// Info is what the sender tells of itself.
+	Info HostInfo `json:"r"`
 	// Known are other hosts that the sender heard of lately, and Size the number of those
 	// that it knows.
-	Known []Known `json:"k,omitempty"`
-	Size  int     `json:"m,omitempty"`
+	Known []KnownHost `json:"k,omitempty"`
+	Size  int         `json:"m,omitempty"`
 	Words
 }
 
@@ -47,8 +47,8 @@
 	Endpoints Stamp `json:"w"`
 }
 
-// Row is where a host is and whether it takes requests.
-type Row struct {
+// HostInfo is where a host is and whether it takes requests.
+type HostInfo struct {
 	// Address is where it hears heartbeats, Front where callers connect and
 	// Control where other hosts ask it.
 	Address string `json:"a"`
@@ -65,13 +65,13 @@
 	Fresh bool `json:"w"`
 }
 
-// Known is another host as the sender knows it.
-type Known struct {
+// KnownHost is another host as the sender knows it.
+type KnownHost struct {
 	// Host and Life name it.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
-	// Row is what it told.
-	Row Row `json:"r"`
+	// Info is what it told.
+	Info HostInfo `json:"r"`
 	// Age is the time in milliseconds since it was heard.
 	Age int64 `json:"a"`
 }
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -34,15 +34,15 @@
 )
 
 // member is a heartbeat to a relay, which is to pass on its words.
-type member struct{ Beat }
+type member struct{ Heartbeat }
 
 // encode writes a *Beat, *member, *Digest, *Update, *Asks or *Grants.
 func encode(msg any) ([]byte, error) {
 	switch msg := msg.(type) {
-	case *Beat:
+	case *Heartbeat:
 		return deflate(kindBeat, msg)
 	case *member:
-		return deflate(kindMember, &msg.Beat)
+		return deflate(kindMember, &msg.Heartbeat)
 	case *Digest:
 		return deflate(kindDigest, msg)
 	case *Update:
@@ -90,11 +90,11 @@
 	}
 	switch kind, data := data[0], data[1:]; kind {
 	case kindBeat:
-		var b Beat
+		var b Heartbeat
 		return &b, inflate(data, &b)
 	case kindMember:
 		var m member
-		return &m, inflate(data, &m.Beat)
+		return &m, inflate(data, &m.Heartbeat)
 	case kindDigest:
 		var d Digest
 		return &d, inflate(data, &d)
--- a/peers/codec_test.go
+++ b/peers/codec_test.go
@@ -15,14 +15,14 @@
 )
 
 // fullBeat is a heartbeat with n hosts and endpoints.
-func fullBeat(n int) *Beat {
-	b := &Beat{
+func fullBeat(n int) *Heartbeat {
+	b := &Heartbeat{
 		Host: "edge-a-1", Life: 1 << 50, Seq: 7, Echo: map[string]uint32{},
 		Words: Words{Load: map[string]Load{}, Used: map[string]float64{"w": 1234567}, Settings: Stamp{Revision: 9, AgeMS: 300}},
 	}
 	for i := range n {
 		b.Echo[fmt.Sprintf("edge-a-%d", i)] = uint32(i)
-		b.Known = append(b.Known, Known{Host: fmt.Sprintf("edge-a-%d", i), Row: Row{Address: fmt.Sprintf("10.0.0.%d:7600", i)}})
+		b.Known = append(b.Known, KnownHost{Host: fmt.Sprintf("edge-a-%d", i), Info: HostInfo{Address: fmt.Sprintf("10.0.0.%d:7600", i)}})
 		b.Load[fmt.Sprintf("i-%08x", i*7919)] = Load{Running: i, Prefill: i * 100, Step: 2700}
 	}
 	return b
@@ -72,10 +72,10 @@
 			return
 		}
 		switch msg := msg.(type) {
-		case *Beat:
-			table.Hear(0, msg)
+		case *Heartbeat:
+			table.ReceiveHeartbeat(0, msg)
 		case *Update:
-			table.HearUpdate(msg)
+			table.ReceiveUpdate(msg)
 		}
 	})
 }
--- a/peers/crashes_test.go
+++ b/peers/crashes_test.go
@@ -23,7 +23,7 @@
 	book quarantine.Book
 }
 
-func (h *holder) Fill(b *Beat) {
+func (h *holder) Fill(b *Heartbeat) {
 	h.node.Fill(b)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,7 +36,7 @@
 	return h.book.Tell(h.now(), to)
 }
 
-func (h *holder) HearCrashes(t *quarantine.Told) bool {
+func (h *holder) CrashesReceived(t *quarantine.Told) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.book.Hear(h.now(), t)
@@ -53,7 +53,7 @@
 	h.book.Host = h.agent.Table.Host
 	h.book.Crashed(h.now(), f, e)
 	h.mu.Unlock()
-	h.agent.Kick()
+	h.agent.TriggerHeartbeat()
 }
 
 // holds tells whether a host refuses a request.
--- a/peers/digest.go
+++ b/peers/digest.go
@@ -12,18 +12,18 @@
 	Life uint64 `json:"l"`
 	// Seq numbers the relay's heartbeats and digests.
 	Seq uint32 `json:"s"`
-	// Part says that it is the sum of the relay's own members, for other relays; else it
+	// Partial says that it is the sum of the relay's own members, for other relays; else it
 	// is the sum of all hosts, for the members.
-	Part bool `json:"b,omitempty"`
+	Partial bool `json:"b,omitempty"`
 	// Hosts is the number of hosts whose words are in it.
 	Hosts int `json:"m"`
 	// Echo is the newest Seq of each receiver whose words are in it.
 	Echo map[string]uint32 `json:"e,omitempty"`
-	// Row is what the relay tells of itself.
-	Row Row `json:"r"`
+	// Info is what the relay tells of itself.
+	Info HostInfo `json:"r"`
 	// Known are hosts that were heard of lately, and Lost those that fell silent.
-	Known []Known  `json:"k,omitempty"`
-	Lost  []string `json:"d,omitempty"`
+	Known []KnownHost `json:"k,omitempty"`
+	Lost  []string    `json:"d,omitempty"`
 	// Words are sums; Used counts from the relay's start.
 	Words
 }
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -25,7 +25,7 @@
 	mu     sync.Mutex
 	agent  *Agent
 	conn   *endConn
-	row    Row
+	row    HostInfo
 	now    func() time.Duration
 	used   float64
 	heard  map[string]Usage
@@ -34,10 +34,10 @@
 	host   Host // what the agent runs in
 }
 
-func (n *node) Fill(b *Beat) {
+func (n *node) Fill(b *Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b.Row = n.row
+	b.Info = n.row
 	// Prefill holds the time in milliseconds; every host uses an endpoint of its own and
 	// one that all share.
 	b.Load = map[string]Load{n.agent.Table.Host: {Running: 1, Prefill: int(n.now().Milliseconds())}, "shared": {Running: 1}}
@@ -49,21 +49,21 @@
 	return Stamp{Revision: 3, AgeMS: 0}, Stamp{AgeMS: -1}
 }
 
-func (n *node) Heard(u Usage) {
+func (n *node) UsageReceived(u Usage) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heard[u.Source] = u
 }
 
-func (n *node) Changes() (map[string]Load, map[string][]int, bool) { return nil, nil, false }
+func (n *node) LoadChanges() (map[string]Load, map[string][]int, bool) { return nil, nil, false }
 
-func (n *node) LoadsHeard() {}
+func (n *node) LoadsReceived() {}
 
 func (n *node) Crashes(quarantine.Scope) quarantine.Told { return quarantine.Told{} }
 
-func (n *node) HearCrashes(*quarantine.Told) bool { return false }
+func (n *node) CrashesReceived(*quarantine.Told) bool { return false }
 
-func (n *node) Proved(p Proof) {
+func (n *node) ProofReceived(p Proof) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.proofs) == 0 || p.Settings.At > n.proofs[0].Settings.At {
@@ -92,7 +92,7 @@
 	nodes := make([]*node, n)
 	for i := range nodes {
 		nodes[i] = &node{now: func() time.Duration { return time.Since(start) }, conn: network.open(i)}
-		nodes[i].row = Row{
+		nodes[i].row = HostInfo{
 			Address: nodes[i].conn.address.String(), Front: fmt.Sprintf("10.0.0.%d:80", i), Control: fmt.Sprintf("10.0.0.%d:81", i),
 			Zone: fmt.Sprint("z", i%zones), Region: "r", Capacity: []float64{0.2, 0.8}[i%2], Ready: true, Fresh: true,
 		}
@@ -123,7 +123,7 @@
 // ages gives the ages of what a host knows of the loads of some others, and how many of
 // these it knows nothing of.
 func (n *node) ages(of []*node) (sum, worst time.Duration, unknown int) {
-	load := n.agent.Others().Load
+	load := n.agent.PeerLoads().Load
 	for _, o := range of {
 		if o == n {
 			continue
@@ -187,9 +187,9 @@
 					if _, self := n.agent.Relaying(); self {
 						relaying++
 					}
-					o := n.agent.Others()
+					o := n.agent.PeerLoads()
 					load, waiting := o.Load, o.Waiting
-					must.Zero(t, o.Unheard)
+					must.Zero(t, o.Unreported)
 					must.EqOp(t, tc.hosts-1, load["shared"].Running)
 					must.EqOp(t, tc.hosts-1, waiting["s"][0])
 					must.Len(t, tc.hosts-1, n.agent.Live())
@@ -268,7 +268,7 @@
 					if n.conn.off {
 						continue
 					}
-					load := n.agent.Others().Load
+					load := n.agent.PeerLoads().Load
 					// The own loads and those of what is dark must be out of the sums; with
 					// losses, one host of ten may be missing for a moment.
 					got := load["shared"].Running
--- a/peers/histories_test.go
+++ b/peers/histories_test.go
@@ -149,7 +149,7 @@
 		o.mu.Unlock()
 		o.conn = h.net.open(i)
 		o.start(h.ctx, i, h.hosts[0].row.Address)
-		o.agent.AddSeeds([]string{h.hosts[1].row.Address, h.hosts[2].row.Address}) // settings name three hosts
+		o.agent.SetExtraSeeds([]string{h.hosts[1].row.Address, h.hosts[2].row.Address}) // settings name three hosts
 		h.setUp(i, true)
 	}
 	h.trouble(hosts)
@@ -166,7 +166,7 @@
 	for _, i := range hosts {
 		if h.isUp(i) {
 			h.hosts[i].conn.asleep(false)
-			h.hosts[i].agent.Woke(h.now() - began)
+			h.hosts[i].agent.NoteGap(h.now() - began)
 		}
 	}
 	h.trouble(hosts)
@@ -210,7 +210,7 @@
 // keep writes records as hosts do: the first in the order of hosts.
 func (h *crashHistory) keep() {
 	for i, o := range h.hosts {
-		if !h.isUp(i) || o.agent.Order() > 0 {
+		if !h.isUp(i) || o.agent.Rank() > 0 {
 			continue
 		}
 		o.mu.Lock()
--- a/peers/live_test.go
+++ b/peers/live_test.go
@@ -23,14 +23,14 @@
 	a.Init()
 	hear := func(now time.Duration, i int) {
 		m := a.Table.member(fmt.Sprint("host-", i))
-		m.Heard = now
+		m.LastHeard = now
 	}
 	now := time.Duration(0)
 	for beat := range beats {
-		now += DefaultEvery
+		now += DefaultInterval
 		for i := range hosts {
 			if i != hosts-1 || beat < beats/2 { // the last one goes for good
-				hear(now-time.Duration((i+beat)%2)*2*DefaultSilent, i)
+				hear(now-time.Duration((i+beat)%2)*2*DefaultSilenceTimeout, i)
 			}
 		}
 		a.noteLive(now)
--- a/peers/others.go
+++ b/peers/others.go
@@ -14,27 +14,27 @@
 	relayedAge = 450 * time.Millisecond
 )
 
-// Others is what the other hosts have running and waiting.
-type Others struct {
+// PeerLoads is what the other hosts have running and waiting.
+type PeerLoads struct {
 	// Load is what runs, by endpoint, and Waiting the number of requests that wait, by
 	// service and tier.
 	Load    map[string]Load
 	Waiting map[string][]int
 	// Age is how old that is in the mean.
 	Age time.Duration
-	// Unheard is the number of hosts that may be serving and whose words are not in it.
-	Unheard int
+	// Unreported is the number of hosts that may be serving and whose words are not in it.
+	Unreported int
 }
 
-// Others sums up what the other hosts have running and waiting.
-func (a *Agent) Others() Others {
+// PeerLoads sums up what the other hosts have running and waiting.
+func (a *Agent) PeerLoads() PeerLoads {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
-	serving := a.Table.Serving(now)
+	serving := a.Table.ServingCount(now)
 	if a.relayed() {
 		o, heard := a.uplink.others(now, &a.told)
-		o.Age, o.Unheard = relayedAge, max(0, serving-heard)
+		o.Age, o.Unreported = relayedAge, max(0, serving-heard)
 		return o
 	}
 	var sum loadSum
@@ -42,5 +42,5 @@
 	for _, m := range live {
 		sum.add(&Words{Load: m.Load, Waiting: m.Waiting})
 	}
-	return Others{Load: sum.loads(), Waiting: sum.waiting, Age: directAge, Unheard: max(0, serving-len(live))}
+	return PeerLoads{Load: sum.loads(), Waiting: sum.waiting, Age: directAge, Unreported: max(0, serving-len(live))}
 }
--- a/peers/places.go
+++ b/peers/places.go
@@ -41,16 +41,16 @@
 	Grants map[string]places.Grant `json:"g"`
 }
 
-// PlaceHost is what an agent asks of the program about places.
-type PlaceHost interface {
+// SlotHost is what an agent asks of the program about places.
+type SlotHost interface {
 	// ZoneOf names the zone of an endpoint, by its life.
 	ZoneOf(endpoint string) string
 	// Asks gives what is to be told to owners, and whether something waits.
 	Asks() (asks map[string]places.Request, waits bool)
-	// Asked takes what a host tells this one as an owner and returns the grants, by host.
-	Asked(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
-	// Granted takes what an owner answers.
-	Granted(grants map[string]places.Grant)
+	// HandleAsks takes what a host tells this one as an owner and returns the grants, by host.
+	HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
+	// HandleGrants takes what an owner answers.
+	HandleGrants(grants map[string]places.Grant)
 }
 
 // owners remembers who owns the places of endpoints.
@@ -66,8 +66,8 @@
 	if o.names == nil || now-o.at >= ownersEvery {
 		o.at, o.names, o.hosts = now, make(map[string]string), o.hosts[:0]
 		for _, m := range a.Table.Live(now) {
-			if m.Row.Ready {
-				o.hosts = append(o.hosts, places.Candidate{Host: m.Host, Zone: m.Row.Zone})
+			if m.Info.Ready {
+				o.hosts = append(o.hosts, places.Candidate{Host: m.Host, Zone: m.Info.Zone})
 			}
 		}
 		if a.row.Ready {
@@ -82,8 +82,8 @@
 	return name
 }
 
-// KickAsks makes the agent ask for places soon.
-func (a *Agent) KickAsks() {
+// TriggerAsks makes the agent ask for places soon.
+func (a *Agent) TriggerAsks() {
 	select {
 	case a.asking <- struct{}{}:
 	default:
@@ -139,13 +139,13 @@
 	to := make(map[string]string, len(by))
 	for name := range by {
 		if m := a.Table.members[name]; m != nil {
-			to[name] = m.Row.Address
+			to[name] = m.Info.Address
 		}
 	}
 	a.mu.Unlock()
 	for name, part := range by {
 		if name == a.Table.Host {
-			a.answerAsks(a.Places.Asked(name, a.Table.Life, seq, part))
+			a.answerAsks(a.Places.HandleAsks(name, a.Table.Life, seq, part))
 		} else if to[name] != "" {
 			a.write(&Asks{Host: a.Table.Host, Life: a.Table.Life, Seq: seq, Asks: part}, []string{to[name]})
 		}
@@ -156,14 +156,14 @@
 func (a *Agent) answerAsks(grants map[string]map[string]places.Grant) {
 	for host, part := range grants {
 		if host == a.Table.Host {
-			a.Places.Granted(part)
+			a.Places.HandleGrants(part)
 			continue
 		}
 		a.mu.Lock()
 		m := a.Table.members[host]
 		address, life := "", uint64(0)
 		if m != nil {
-			address, life = m.Row.Address, m.Life
+			address, life = m.Info.Address, m.Life
 		}
 		a.mu.Unlock()
 		if address != "" {
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -66,7 +66,7 @@
 	return out, p.waiting > 0
 }
 
-func (p *placeNode) Asked(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+func (p *placeNode) HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.node.now()
@@ -92,7 +92,7 @@
 	return out
 }
 
-func (p *placeNode) Granted(grants map[string]places.Grant) {
+func (p *placeNode) HandleGrants(grants map[string]places.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for e, g := range grants {
@@ -107,10 +107,10 @@
 			p.running[e]--
 			p.waiting++
 			p.mu.Unlock()
-			p.node.agent.KickAsks()
+			p.node.agent.TriggerAsks()
 		})
 	}
-	p.node.agent.KickAsks()
+	p.node.agent.TriggerAsks()
 }
 
 // TestPlacesAreGiven lets fleets that have 1.5 times as many requests as there are places ask owners for them: how many of the
@@ -155,7 +155,7 @@
 					p.mu.Lock()
 					p.waiting++
 					p.mu.Unlock()
-					p.node.agent.KickAsks()
+					p.node.agent.TriggerAsks()
 				}
 				if tc.dies > 0 {
 					time.Sleep(time.Second)
--- a/peers/receive.go
+++ b/peers/receive.go
@@ -25,11 +25,11 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(a.Every)
+			time.Sleep(a.Interval)
 			continue
 		}
-		if a.Look != nil {
-			a.Look()
+		if a.CheckGap != nil {
+			a.CheckGap()
 		}
 		if a.isStale() {
 			a.skim(buf)
@@ -46,12 +46,12 @@
 // take takes one message.
 func (a *Agent) take(msg any) {
 	switch msg := msg.(type) {
-	case *Beat:
+	case *Heartbeat:
 		a.hear(msg)
 	case *member:
-		a.hear(&msg.Beat)
+		a.hear(&msg.Heartbeat)
 		a.mu.Lock()
-		a.relay.HearBeat(a.Now(), &msg.Beat)
+		a.relay.ReceiveHeartbeat(a.Now(), &msg.Heartbeat)
 		a.mu.Unlock()
 	case *Digest:
 		a.hearDigest(msg)
@@ -60,12 +60,12 @@
 	case *Asks:
 		if a.Places != nil && msg.Host != a.Table.Host {
 			a.lives(msg.Host, msg.Life)
-			a.answerAsks(a.Places.Asked(msg.Host, msg.Life, msg.Seq, msg.Asks))
+			a.answerAsks(a.Places.HandleAsks(msg.Host, msg.Life, msg.Seq, msg.Asks))
 		}
 	case *Grants:
 		if a.Places != nil && msg.To == a.Table.Life {
 			a.lives(msg.Host, 0)
-			a.Places.Granted(msg.Grants)
+			a.Places.HandleGrants(msg.Grants)
 		}
 	}
 }
@@ -74,25 +74,25 @@
 func (a *Agent) lives(host string, life uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.Table.Lives(a.Now(), host, life)
+	a.Table.MarkAlive(a.Now(), host, life)
 }
 
 // hear takes one heartbeat.
-func (a *Agent) hear(b *Beat) {
+func (a *Agent) hear(b *Heartbeat) {
 	if b.Host == a.Table.Host {
 		return
 	}
 	a.mu.Lock()
 	now := a.Now()
 	a.welcome(b)
-	proof, ok := a.Table.Hear(now, b)
+	proof, ok := a.Table.ReceiveHeartbeat(now, b)
 	relayed := a.relayed()
 	a.mu.Unlock()
 	if !relayed {
-		a.Host.Heard(Usage{Source: b.Host, Life: b.Life, Hosts: 1, Used: b.Used, Left: b.Left})
+		a.Host.UsageReceived(Usage{Source: b.Host, Life: b.Life, Hosts: 1, Used: b.Used, Left: b.Left})
 	}
 	if ok {
-		a.Host.Proved(proof)
+		a.Host.ProofReceived(proof)
 	}
 	a.hearCrashes(&b.Crashes)
 }
@@ -100,8 +100,8 @@
 // hearCrashes takes what a peer knows of requests under which endpoints crashed. What concerns all hosts a relay passes on at once: its
 // members would else hear of it with the next two heartbeats.
 func (a *Agent) hearCrashes(t *quarantine.Told) {
-	if !t.Empty() && a.Host.HearCrashes(t) && a.relays() {
-		a.Kick()
+	if !t.Empty() && a.Host.CrashesReceived(t) && a.relays() {
+		a.TriggerHeartbeat()
 	}
 }
 
@@ -114,20 +114,20 @@
 
 // welcome lets a host be answered with the next heartbeat that knows less than half of the
 // hosts that this one knows, so that it learns of the others; mu must be held.
-func (a *Agent) welcome(b *Beat) {
-	g := greeted{b.Host, b.Row.Address}
+func (a *Agent) welcome(b *Heartbeat) {
+	g := greeted{b.Host, b.Info.Address}
 	if g.address == "" || 2*b.Size >= a.Table.Size() || slices.Contains(a.greet, g) {
 		return
 	}
 	a.greet = append(a.greet, g)
-	a.Kick()
+	a.TriggerHeartbeat()
 }
 
 // hearUpdate takes changed loads.
 func (a *Agent) hearUpdate(u *Update) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.Table.HearUpdate(u) {
+	if a.Table.ReceiveUpdate(u) {
 		a.heard = true
 	}
 }
@@ -139,18 +139,18 @@
 	}
 	a.mu.Lock()
 	now := a.Now()
-	proof, ok := a.Table.HearDigest(now, d)
-	if d.Part {
-		a.relay.HearPart(now, d)
+	proof, ok := a.Table.ReceiveDigest(now, d)
+	if d.Partial {
+		a.relay.ReceivePartial(now, d)
 	}
 	u, whole := a.uplink.hear(now, d, &a.told)
 	a.heard = a.heard || whole
 	a.mu.Unlock()
 	if whole {
-		a.Host.Heard(u)
+		a.Host.UsageReceived(u)
 	}
 	if ok {
-		a.Host.Proved(proof)
+		a.Host.ProofReceived(proof)
 	}
 	a.hearCrashes(&d.Crashes)
 }
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -58,11 +58,11 @@
 	r.partUsed, r.wholeUsed = make(map[string]float64), make(map[string]float64)
 }
 
-// HearBeat takes a member's heartbeat.
-func (r *Relay) HearBeat(now time.Duration, b *Beat) {
+// ReceiveHeartbeat takes a member's heartbeat.
+func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
-	used, ok := hear(r.members, b.Host, &source{life: b.Life, seq: b.Seq, heard: now, hosts: 1, address: b.Row.Address, words: b.Words})
+	used, ok := hear(r.members, b.Host, &source{life: b.Life, seq: b.Seq, heard: now, hosts: 1, address: b.Info.Address, words: b.Words})
 	if !ok {
 		return
 	}
@@ -72,10 +72,10 @@
 	}
 }
 
-// HearPart takes another relay's part.
-func (r *Relay) HearPart(now time.Duration, d *Digest) {
+// ReceivePartial takes another relay's part.
+func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
-	used, ok := hear(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, heard: now, hosts: d.Hosts, address: d.Row.Address, lost: d.Lost, words: d.Words})
+	used, ok := hear(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, heard: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
 	if !ok {
 		return
 	}
@@ -105,8 +105,8 @@
 	return used, true
 }
 
-// Members are the addresses of the other hosts that send their heartbeats here.
-func (r *Relay) Members(now time.Duration) []string {
+// MemberAddresses are the addresses of the other hosts that send their heartbeats here.
+func (r *Relay) MemberAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
 	for name, s := range r.members {
@@ -117,8 +117,8 @@
 	return out
 }
 
-// Relays are the addresses of the relays that sent their parts here.
-func (r *Relay) Relays(now time.Duration) []string {
+// RelayAddresses are the addresses of the relays that sent their parts here.
+func (r *Relay) RelayAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
 	for _, s := range r.relays {
@@ -144,10 +144,10 @@
 // digests to be lost on the way.
 const lostFor = 2 * time.Second
 
-// Part is the sum of the members, for other relays.
-func (r *Relay) Part(now time.Duration) Digest {
+// PartialDigest is the sum of the members, for other relays.
+func (r *Relay) PartialDigest(now time.Duration) Digest {
 	r.expire(now)
-	d := Digest{Host: r.Host, Life: r.Life, Part: true, Echo: make(map[string]uint32)}
+	d := Digest{Host: r.Host, Life: r.Life, Partial: true, Echo: make(map[string]uint32)}
 	var sum loadSum
 	for _, s := range r.members {
 		d.Hosts += s.hosts
@@ -161,8 +161,8 @@
 	return d
 }
 
-// Whole is the sum of all hosts, for the members.
-func (r *Relay) Whole(now time.Duration) Digest {
+// FullDigest is the sum of all hosts, for the members.
+func (r *Relay) FullDigest(now time.Duration) Digest {
 	r.expire(now)
 	d := Digest{Host: r.Host, Life: r.Life, Echo: make(map[string]uint32)}
 	var sum loadSum
--- a/peers/start_test.go
+++ b/peers/start_test.go
@@ -23,12 +23,12 @@
 	told time.Duration // when it was told, or -1
 }
 
-func (s *starter) Fill(b *Beat) {
+func (s *starter) Fill(b *Heartbeat) {
 	s.node.Fill(b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.told < 0 {
-		b.Row.Ready = false
+		b.Info.Ready = false
 	}
 }
 
@@ -43,7 +43,7 @@
 	return settings, endpoints
 }
 
-func (s *starter) Proved(p Proof) {
+func (s *starter) ProofReceived(p Proof) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.Settings.Known && s.told < 0 {
@@ -89,7 +89,7 @@
 				var seeds []string
 				for i := range all {
 					s := &starter{node: &node{now: func() time.Duration { return time.Since(start) }, conn: network.open(i), heard: make(map[string]Usage)}}
-					s.row = Row{Address: s.conn.address.String(), Control: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%tc.zones), Region: "r", Capacity: 0.5, Ready: true, Fresh: true}
+					s.row = HostInfo{Address: s.conn.address.String(), Control: fmt.Sprint("c", i), Zone: fmt.Sprint("z", i%tc.zones), Region: "r", Capacity: 0.5, Ready: true, Fresh: true}
 					all[i] = s
 					if i < 3 {
 						seeds = append(seeds, s.row.Address)
--- a/peers/table.go
+++ b/peers/table.go
@@ -16,15 +16,15 @@
 
 // Figures of the table.
 const (
-	// DefaultSilent is the silence after which a host is not given to callers, in
+	// DefaultSilenceTimeout is the silence after which a host is not given to callers, in
 	// fleets of up to directHosts hosts; it grows with the fleet, as a relay then names
 	// each host more seldom, up to longestSilent. Relays tell at once of hosts that fell
 	// silent, so that this time only counts where a relay went with them.
-	DefaultSilent = 1200 * time.Millisecond
-	directHosts   = 50
-	longestSilent = 12 * time.Second
-	// DefaultForget is the silence after which a host is dropped.
-	DefaultForget = 20 * time.Second
+	DefaultSilenceTimeout = 1200 * time.Millisecond
+	directHosts           = 50
+	longestSilent         = 12 * time.Second
+	// DefaultForgetTimeout is the silence after which a host is dropped.
+	DefaultForgetTimeout = 20 * time.Second
 	// leastKnown is the number of hosts passed on in a heartbeat or a digest, if that many
 	// are known; in large fleets it is more, so that knownRound of them name all.
 	leastKnown = 24
@@ -38,10 +38,10 @@
 	// Host and Life name it.
 	Host string
 	Life uint64
-	// Row is what it told.
-	Row Row
-	// Heard is when it was last known to live.
-	Heard time.Duration
+	// Info is what it told.
+	Info HostInfo
+	// LastHeard is when it was last known to live.
+	LastHeard time.Duration
 	// Load is what it has running, by endpoint, and Waiting the number of requests that
 	// wait there, by service and tier.
 	Load    map[string]Load
@@ -66,8 +66,8 @@
 	// Host and Life name this host.
 	Host string
 	Life uint64
-	// Silent and Forget are silences; see the defaults.
-	Silent, Forget time.Duration
+	// SilenceTimeout and Forget are silences; see the defaults.
+	SilenceTimeout, ForgetTimeout time.Duration
 
 	members map[string]*Member
 	seq     uint32
@@ -76,15 +76,15 @@
 	sent    [seqRing]time.Duration
 }
 
-// Next numbers a heartbeat that is sent now.
-func (t *Table) Next(now time.Duration) uint32 {
+// NextSeq numbers a heartbeat that is sent now.
+func (t *Table) NextSeq(now time.Duration) uint32 {
 	t.seq++
 	t.sent[t.seq%seqRing] = now
 	return t.seq
 }
 
-// NextLoad numbers loads that are told now.
-func (t *Table) NextLoad() uint32 {
+// NextLoadSeq numbers loads that are told now.
+func (t *Table) NextLoadSeq() uint32 {
 	t.loadSeq++
 	return t.loadSeq
 }
@@ -100,10 +100,10 @@
 	return out
 }
 
-// Hear takes a heartbeat. The proof is valid if the peer told an age and had
+// ReceiveHeartbeat takes a heartbeat. The proof is valid if the peer told an age and had
 // heard of a heartbeat whose sending time is still known: the peer's words were
 // written after that time, so its age can only be counted from there.
-func (t *Table) Hear(now time.Duration, b *Beat) (Proof, bool) {
+func (t *Table) ReceiveHeartbeat(now time.Duration, b *Heartbeat) (Proof, bool) {
 	if b.Host == t.Host || b.Host == "" {
 		return Proof{}, false
 	}
@@ -114,18 +114,18 @@
 	if b.Life != m.Life || b.LoadSeq >= m.loadSeq {
 		m.Load, m.Waiting, m.loadSeq = b.Load, b.Waiting, b.LoadSeq
 	}
-	m.setRow(now, b.Row)
+	m.setRow(now, b.Info)
 	t.back(now, m)
 	m.Life, m.lastSeq = b.Life, b.Seq
-	m.Heard, m.direct = now, now
+	m.LastHeard, m.direct = now, now
 	for _, k := range b.Known {
 		t.hearOf(now, k)
 	}
-	return t.proof(b.Host, &b.Row, b.Echo, &b.Words)
+	return t.proof(b.Host, &b.Info, b.Echo, &b.Words)
 }
 
-// HearDigest takes a relay's digest of all hosts. The hosts that it lost are silent from now.
-func (t *Table) HearDigest(now time.Duration, d *Digest) (Proof, bool) {
+// ReceiveDigest takes a relay's digest of all hosts. The hosts that it lost are silent from now.
+func (t *Table) ReceiveDigest(now time.Duration, d *Digest) (Proof, bool) {
 	if d.Host == t.Host || d.Host == "" {
 		return Proof{}, false
 	}
@@ -133,32 +133,32 @@
 	if d.Life == m.Life && d.Seq <= m.lastSeq {
 		return Proof{}, false
 	}
-	m.setRow(now, d.Row)
+	m.setRow(now, d.Info)
 	m.Life, m.lastSeq = d.Life, d.Seq
-	m.Heard, m.direct = now, now
+	m.LastHeard, m.direct = now, now
 	for _, k := range d.Known {
 		t.hearOf(now, k)
 	}
 	for _, name := range d.Lost {
 		if m := t.members[name]; m != nil && now-m.direct > sourceLife {
-			m.Heard = min(m.Heard, now-t.silent()-1)
+			m.LastHeard = min(m.LastHeard, now-t.silent()-1)
 		}
 	}
-	return t.proof(d.Host, &d.Row, d.Echo, &d.Words)
+	return t.proof(d.Host, &d.Info, d.Echo, &d.Words)
 }
 
-// Lives notes that a known member, in one life of its process or in the one that is known if life is 0, sent something but a heartbeat. A relay that
+// MarkAlive notes that a known member, in one life of its process or in the one that is known if life is 0, sent something but a heartbeat. A relay that
 // lost some heartbeats takes it for silent; who hears from it knows better.
-func (t *Table) Lives(now time.Duration, host string, life uint64) {
+func (t *Table) MarkAlive(now time.Duration, host string, life uint64) {
 	if m := t.members[host]; m != nil && (life == 0 || life == m.Life) {
 		t.back(now, m)
-		m.Heard, m.direct = now, now
+		m.LastHeard, m.direct = now, now
 	}
 }
 
 // proof gives what a peer's words prove: they were written after it had heard the datagram
 // of this host that it echoes.
-func (t *Table) proof(host string, row *Row, echoes map[string]uint32, w *Words) (Proof, bool) {
+func (t *Table) proof(host string, row *HostInfo, echoes map[string]uint32, w *Words) (Proof, bool) {
 	echo, ok := echoes[t.Host]
 	if !ok || echo > t.seq || t.seq-echo >= seqRing {
 		return Proof{}, false
@@ -182,12 +182,12 @@
 	var out []*Member
 	largest := 0.0
 	for _, m := range all {
-		if m.Row.Zone == zone && m.Row.Ready {
+		if m.Info.Zone == zone && m.Info.Ready {
 			out = append(out, m)
-			largest = max(largest, m.Row.Capacity)
+			largest = max(largest, m.Info.Capacity)
 		}
 	}
-	out = slices.DeleteFunc(out, func(m *Member) bool { return m.Row.Capacity < relayCapacity*largest })
+	out = slices.DeleteFunc(out, func(m *Member) bool { return m.Info.Capacity < relayCapacity*largest })
 	slices.SortFunc(out, func(a, b *Member) int {
 		return cmp.Compare(xxhash.Sum64String(a.Host), xxhash.Sum64String(b.Host))
 	})
@@ -198,23 +198,23 @@
 func zonesOf(all []*Member) []string {
 	var out []string
 	for _, m := range all {
-		if !slices.Contains(out, m.Row.Zone) {
-			out = append(out, m.Row.Zone)
+		if !slices.Contains(out, m.Info.Zone) {
+			out = append(out, m.Info.Zone)
 		}
 	}
 	return out
 }
 
 // setRow takes what a member tells of itself.
-func (m *Member) setRow(now time.Duration, row Row) {
-	if m.Row != row {
-		m.Row, m.changed = row, now
+func (m *Member) setRow(now time.Duration, row HostInfo) {
+	if m.Info != row {
+		m.Info, m.changed = row, now
 	}
 }
 
 // back notes that a member which was silent is heard again: that is passed on before others.
 func (t *Table) back(now time.Duration, m *Member) {
-	if now-m.Heard > t.silent() {
+	if now-m.LastHeard > t.silent() {
 		m.changed = now
 	}
 }
@@ -233,35 +233,35 @@
 }
 
 // hearOf takes what a peer says of another host.
-func (t *Table) hearOf(now time.Duration, k Known) {
+func (t *Table) hearOf(now time.Duration, k KnownHost) {
 	heard := now - time.Duration(k.Age)*time.Millisecond
 	if k.Host == t.Host || k.Host == "" || now-heard > t.silent() {
 		return
 	}
 	m := t.member(k.Host)
-	if m.Row.Address == "" || (heard > m.direct && heard > m.Heard) {
+	if m.Info.Address == "" || (heard > m.direct && heard > m.LastHeard) {
 		if m.Life != k.Life {
 			m.Life, m.lastSeq, m.loadSeq = k.Life, 0, 0
 		}
-		m.setRow(now, k.Row)
+		m.setRow(now, k.Info)
 		t.back(now, m)
-		m.Heard = max(heard, m.Heard)
+		m.LastHeard = max(heard, m.LastHeard)
 	}
 }
 
 func (t *Table) silent() time.Duration {
-	base := t.Silent
+	base := t.SilenceTimeout
 	if base <= 0 {
-		base = DefaultSilent
+		base = DefaultSilenceTimeout
 	}
 	return min(base*time.Duration(max(directHosts, len(t.members)))/directHosts, max(base, longestSilent))
 }
 
 func (t *Table) forget() time.Duration {
-	if t.Forget > 0 {
-		return t.Forget
+	if t.ForgetTimeout > 0 {
+		return t.ForgetTimeout
 	}
-	return DefaultForget
+	return DefaultForgetTimeout
 }
 
 // Live returns the members heard of lately, sorted by name.
@@ -269,17 +269,17 @@
 	return t.within(now, t.silent())
 }
 
-// Counted returns the members that may still run: those not silent for long.
-func (t *Table) Counted(now time.Duration) []*Member {
+// Unexpired returns the members that may still run: those not silent for long.
+func (t *Table) Unexpired(now time.Duration) []*Member {
 	return t.within(now, t.forget())
 }
 
-// Serving counts the members that may be serving: those that may still run and did not say
+// ServingCount counts the members that may be serving: those that may still run and did not say
 // that they stop.
-func (t *Table) Serving(now time.Duration) int {
+func (t *Table) ServingCount(now time.Duration) int {
 	n := 0
 	for _, m := range t.members {
-		if m.Row.Ready && now-m.Heard <= t.forget() {
+		if m.Info.Ready && now-m.LastHeard <= t.forget() {
 			n++
 		}
 	}
@@ -290,7 +290,7 @@
 func (t *Table) within(now, limit time.Duration) []*Member {
 	out := make([]*Member, 0, len(t.members))
 	for name, m := range t.members {
-		switch age := now - m.Heard; {
+		switch age := now - m.LastHeard; {
 		case age > t.forget():
 			delete(t.members, name)
 		case age <= limit:
@@ -303,18 +303,18 @@
 
 // Targets picks at most n members to send a heartbeat to.
 func (t *Table) Targets(now time.Duration, n int, r *rand.Rand) []*Member {
-	all := t.Counted(now)
+	all := t.Unexpired(now)
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// KnownRows picks members to pass on, of one zone if it is not empty: first those that
+// KnownHosts picks members to pass on, of one zone if it is not empty: first those that
 // relay, which a host that knows few others needs most, then those whose row changed
 // lately, and the others in turn.
-func (t *Table) KnownRows(now time.Duration, zone string) []Known {
-	all := slices.DeleteFunc(t.Live(now), func(m *Member) bool { return zone != "" && m.Row.Zone != zone })
+func (t *Table) KnownHosts(now time.Duration, zone string) []KnownHost {
+	all := slices.DeleteFunc(t.Live(now), func(m *Member) bool { return zone != "" && m.Info.Zone != zone })
 	most := max(leastKnown, len(all)/knownRound)
-	out := make([]Known, 0, most)
+	out := make([]KnownHost, 0, most)
 	named := make(map[string]bool, most)
 	add := func(m *Member) {
 		if !named[m.Host] && len(out) < most {
@@ -349,8 +349,8 @@
 const newsFor = time.Second
 
 // known is how a member is passed on.
-func (m *Member) known(now time.Duration) Known {
-	return Known{m.Host, m.Life, m.Row, (now - m.Heard).Milliseconds()}
+func (m *Member) known(now time.Duration) KnownHost {
+	return KnownHost{m.Host, m.Life, m.Info, (now - m.LastHeard).Milliseconds()}
 }
 
 // heardSeq is the number of the newest heartbeat heard of a host, 0 for none.
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -14,10 +14,10 @@
 )
 
 // beat makes a heartbeat as a host would send it.
-func beat(t *Table, now time.Duration, to []*Member, age int64) *Beat {
-	return &Beat{
-		Host: t.Host, Life: t.Life, Seq: t.Next(now), Echo: t.Echo(to), Known: t.KnownRows(now, ""),
-		Row: Row{Address: t.Host, Ready: true}, Words: Words{Settings: Stamp{Revision: 7, AgeMS: age}, Endpoints: Stamp{AgeMS: -1}},
+func beat(t *Table, now time.Duration, to []*Member, age int64) *Heartbeat {
+	return &Heartbeat{
+		Host: t.Host, Life: t.Life, Seq: t.NextSeq(now), Echo: t.Echo(to), Known: t.KnownHosts(now, ""),
+		Info: HostInfo{Address: t.Host, Ready: true}, Words: Words{Settings: Stamp{Revision: 7, AgeMS: age}, Endpoints: Stamp{AgeMS: -1}},
 	}
 }
 
@@ -30,7 +30,7 @@
 	type mail struct {
 		at time.Duration
 		to *Table
-		b  *Beat
+		b  *Heartbeat
 	}
 	var post []mail
 	proofs := 0
@@ -41,7 +41,7 @@
 				if from == a {
 					to = b
 				}
-				m := mail{now + time.Duration(r.IntN(3000))*time.Millisecond, to, beat(from, now, from.Counted(now), (now - proven).Milliseconds())}
+				m := mail{now + time.Duration(r.IntN(3000))*time.Millisecond, to, beat(from, now, from.Unexpired(now), (now - proven).Milliseconds())}
 				post = append(post, m, m)
 			}
 		}
@@ -49,7 +49,7 @@
 			if post[i].b == nil || post[i].at > now {
 				continue
 			}
-			if p, ok := post[i].to.Hear(now, post[i].b); ok {
+			if p, ok := post[i].to.ReceiveHeartbeat(now, post[i].b); ok {
 				proofs++
 				must.True(t, p.Settings.Known)
 				must.LessEq(t, proven, p.Settings.At)
@@ -69,23 +69,23 @@
 		at   time.Duration
 		live []string
 	}{
-		{"heard", func(tb *Table) { tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 1}) }, time.Second, []string{"b"}},
-		{"silent", func(tb *Table) { tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 1}) }, 2 * time.Second, nil},
-		{"itself", func(tb *Table) { tb.Hear(0, &Beat{Host: "a", Life: 9, Seq: 1}) }, 0, nil},
-		{"nameless", func(tb *Table) { tb.Hear(0, &Beat{Seq: 1}) }, 0, nil},
+		{"heard", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1}) }, time.Second, []string{"b"}},
+		{"silent", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1}) }, 2 * time.Second, nil},
+		{"itself", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "a", Life: 9, Seq: 1}) }, 0, nil},
+		{"nameless", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Seq: 1}) }, 0, nil},
 		{"a heartbeat that comes twice keeps nobody alive", func(tb *Table) {
-			tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 5})
-			tb.Hear(time.Second, &Beat{Host: "b", Life: 1, Seq: 5})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 5})
+			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 1, Seq: 5})
 		}, 2 * time.Second, nil},
 		{"a new life starts its numbers again", func(tb *Table) {
-			tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 500})
-			tb.Hear(time.Second, &Beat{Host: "b", Life: 2, Seq: 1})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 500})
+			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 2, Seq: 1})
 		}, 2 * time.Second, []string{"b"}},
 		{"heard of", func(tb *Table) {
-			tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 1, Known: []Known{{Host: "c", Life: 1, Row: Row{Address: "c"}, Age: 300}}})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Info: HostInfo{Address: "c"}, Age: 300}}})
 		}, 500 * time.Millisecond, []string{"b", "c"}},
 		{"heard of long ago", func(tb *Table) {
-			tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 1, Known: []Known{{Host: "c", Life: 1, Age: 30000}}})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Age: 30000}}})
 		}, 0, []string{"b"}},
 	}
 	for _, tc := range cases {
@@ -104,9 +104,9 @@
 // TestForget checks that a silent host is counted for a while and then dropped.
 func TestForget(t *testing.T) {
 	tb := &Table{Host: "a"}
-	tb.Hear(0, &Beat{Host: "b", Life: 1, Seq: 1})
-	must.Len(t, 1, tb.Counted(DefaultForget))
-	must.Len(t, 0, tb.Counted(DefaultForget+1))
+	tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1})
+	must.Len(t, 1, tb.Unexpired(DefaultForgetTimeout))
+	must.Len(t, 0, tb.Unexpired(DefaultForgetTimeout+1))
 	must.MapEmpty(t, tb.members)
 }
 
@@ -124,17 +124,17 @@
 			}
 			rounds, full := 0, false
 			for ; rounds < 60 && !full; rounds++ {
-				now := time.Duration(rounds) * DefaultEvery
+				now := time.Duration(rounds) * DefaultInterval
 				full = true
 				for _, name := range names {
 					tb := tables[name]
 					to := tb.Targets(now, fanout, r)
 					b := beat(tb, now, to, -1)
 					if rounds%seedEvery == 0 && name != names[0] {
-						tables[names[0]].Hear(now, b)
+						tables[names[0]].ReceiveHeartbeat(now, b)
 					}
 					for _, m := range to {
-						tables[m.Row.Address].Hear(now, b)
+						tables[m.Info.Address].ReceiveHeartbeat(now, b)
 					}
 					full = full && len(tb.Live(now)) >= (n-1)*95/100
 				}
@@ -149,11 +149,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tb := &Table{Host: "a", Life: 1}
 			for i := range n {
-				tb.Hear(0, &Beat{Host: fmt.Sprint(i), Life: 1, Seq: 1})
+				tb.ReceiveHeartbeat(0, &Heartbeat{Host: fmt.Sprint(i), Life: 1, Seq: 1})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				tb.Hear(time.Duration(i), &Beat{Host: "0", Life: 1, Seq: uint32(i + 2)})
+				tb.ReceiveHeartbeat(time.Duration(i), &Heartbeat{Host: "0", Life: 1, Seq: uint32(i + 2)})
 				tb.Live(time.Duration(i))
 			}
 		})
@@ -164,8 +164,8 @@
 	cases := []struct {
 		hosts int
 		want  time.Duration
-	}{{1, DefaultEvery}, {7, DefaultEvery}, {9, DefaultEvery}, {10, 3 * DefaultEvery}, {63, 3 * DefaultEvery}, {930, 3 * DefaultEvery}}
+	}{{1, DefaultInterval}, {7, DefaultInterval}, {9, DefaultInterval}, {10, 3 * DefaultInterval}, {63, 3 * DefaultInterval}, {930, 3 * DefaultInterval}}
 	for _, tc := range cases {
-		must.EqOp(t, tc.want, Interval(tc.hosts))
+		must.EqOp(t, tc.want, ReportInterval(tc.hosts))
 	}
 }
--- a/peers/turn.go
+++ b/peers/turn.go
@@ -21,7 +21,7 @@
 	if len(live) == 0 {
 		return 0, false
 	}
-	self := &Member{Host: a.Table.Host, Life: a.Table.Life, Row: a.row}
+	self := &Member{Host: a.Table.Host, Life: a.Table.Life, Info: a.row}
 	if !a.relayed() {
 		return before(live, self.Host), false
 	}
@@ -49,8 +49,8 @@
 	return n
 }
 
-// Order is this host's place among all in an order drawn from names.
-func (a *Agent) Order() int {
+// Rank is this host's place among all in an order drawn from names.
+func (a *Agent) Rank() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return before(a.Table.Live(a.Now()), a.Table.Host)
--- a/peers/update.go
+++ b/peers/update.go
@@ -20,9 +20,9 @@
 	Waiting map[string][]int `json:"t,omitempty"`
 }
 
-// HearUpdate takes an update and reports whether it told anything new: one that was
+// ReceiveUpdate takes an update and reports whether it told anything new: one that was
 // overtaken, or that comes from a host or a life not known yet, does not.
-func (t *Table) HearUpdate(u *Update) bool {
+func (t *Table) ReceiveUpdate(u *Update) bool {
 	m := t.members[u.Host]
 	if m == nil || m.Life != u.Life || u.LoadSeq <= m.loadSeq {
 		return false
--- a/peers/update_test.go
+++ b/peers/update_test.go
@@ -15,11 +15,11 @@
 // holds of that host's loads in the end must be the newest that was told.
 func TestUpdates(t *testing.T) {
 	two, three, none := Load{Running: 2}, Load{Running: 3}, Load{}
-	first := &Beat{Host: "b", Life: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
+	first := &Heartbeat{Host: "b", Life: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
 	second := &Update{Host: "b", Life: 1, LoadSeq: 2, Load: map[string]Load{"f": two}, Waiting: map[string][]int{"s": {1}}}
 	third := &Update{Host: "b", Life: 1, LoadSeq: 3, Load: map[string]Load{"e": none, "f": three}}
-	full := &Beat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
-	reborn := &Beat{Host: "b", Life: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
+	full := &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
+	reborn := &Heartbeat{Host: "b", Life: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
 	cases := []struct {
 		name    string
 		heard   []any
@@ -29,7 +29,7 @@
 		{"in order", []any{first, second}, map[string]Load{"e": two, "f": two}, 1},
 		{"an endpoint without requests any more", []any{first, second, third}, map[string]Load{"e": none, "f": three}, 0},
 		{"an overtaken update is passed over", []any{first, third, second}, map[string]Load{"e": none, "f": three}, 0},
-		{"an overtaken heartbeat keeps the loads", []any{first, third, &Beat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
+		{"an overtaken heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
 		{"a lost update is made good", []any{first, full}, map[string]Load{"f": three}, 0},
 		{"an update of a host not known yet", []any{second}, nil, 0},
 		{"an update of an ended life", []any{first, reborn, third}, map[string]Load{"g": two}, 0},
@@ -40,10 +40,10 @@
 			var given []Member
 			for _, msg := range tc.heard {
 				switch msg := msg.(type) {
-				case *Beat:
-					table.Hear(time.Second, msg)
+				case *Heartbeat:
+					table.ReceiveHeartbeat(time.Second, msg)
 				case *Update:
-					table.HearUpdate(msg)
+					table.ReceiveUpdate(msg)
 				}
 				if len(given) == 0 {
 					given = values(table.Live(time.Second))
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -62,7 +62,7 @@
 // hear takes a digest of the relay in use and returns what the other hosts used.
 func (u *uplink) hear(now time.Duration, d *Digest, told *history) (Usage, bool) {
 	old := u.digest
-	if d.Part || d.Host != u.host || (old != nil && old.Host == d.Host && old.Life == d.Life && d.Seq <= old.Seq) {
+	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Life == d.Life && d.Seq <= old.Seq) {
 		return Usage{}, false
 	}
 	u.heard = now
@@ -84,9 +84,9 @@
 
 // others gives what the other hosts have running and waiting by the last digest: the sum
 // of all but what this host had told of itself; and the number of these hosts.
-func (u *uplink) others(now time.Duration, told *history) (o Others, hosts int) {
+func (u *uplink) others(now time.Duration, told *history) (o PeerLoads, hosts int) {
 	load, waiting := make(map[string]Load), make(map[string][]int)
-	o = Others{Load: load, Waiting: waiting}
+	o = PeerLoads{Load: load, Waiting: waiting}
 	if u.digest == nil || now-u.at > digestLife {
 		return o, 0
 	}
@@ -128,7 +128,7 @@
 const historySize = 16
 
 // note keeps the words of a heartbeat.
-func (h *history) note(b *Beat) {
+func (h *history) note(b *Heartbeat) {
 	i := b.Seq % historySize
 	h.host, h.words[i], h.seqs[i] = b.Host, b.Words, b.Seq
 }
--- a/peers/woke.go
+++ b/peers/woke.go
@@ -6,23 +6,23 @@
 
 import "time"
 
-// Woke notes that this process did not run for a time that ends now. The hosts that were known to live before are taken to live for as long
+// NoteGap notes that this process did not run for a time that ends now. The hosts that were known to live before are taken to live for as long
 // again as they would have been: most do, and without them this host would know no relay and nobody to tell of itself. What lies in the
 // socket is as old as that time and is passed over.
-func (a *Agent) Woke(gap time.Duration) {
+func (a *Agent) NoteGap(gap time.Duration) {
 	a.mu.Lock()
 	now := a.Now()
-	a.Table.Woke(gap)
+	a.Table.NoteGap(gap)
 	a.uplink.restart(now)
 	a.stale = true
 	a.mu.Unlock()
-	a.Kick()
+	a.TriggerHeartbeat()
 }
 
-// Woke lets a time pass in which nothing was heard because this host did not run.
-func (t *Table) Woke(gap time.Duration) {
+// NoteGap lets a time pass in which nothing was heard because this host did not run.
+func (t *Table) NoteGap(gap time.Duration) {
 	for _, m := range t.members {
-		m.Heard += gap
+		m.LastHeard += gap
 		m.direct += gap
 		m.changed += gap
 	}
--- a/peers/woke_test.go
+++ b/peers/woke_test.go
@@ -26,7 +26,7 @@
 	newest           func() time.Duration
 }
 
-func (s *sleeper) Fill(b *Beat) {
+func (s *sleeper) Fill(b *Heartbeat) {
 	s.node.Fill(b)
 	if s.inFill {
 		s.doze()
@@ -49,7 +49,7 @@
 	return settings, endpoints
 }
 
-func (s *sleeper) Proved(p Proof) {
+func (s *sleeper) ProofReceived(p Proof) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.Settings.Known && p.Settings.At > s.newest() && s.wrong == "" {
@@ -111,7 +111,7 @@
 					time.Sleep(gap)
 					n.conn.asleep(false)
 					n.resume(ctx)
-					n.agent.Woke(gap)
+					n.agent.NoteGap(gap)
 					began := n.now()
 					n.mu.Lock()
 					n.proofs = nil
@@ -131,7 +131,7 @@
 					t.Logf("proof of what others know after %v, all others know it to live after %v", proven, known)
 					must.Between(t, 0, proven, 500*time.Millisecond)
 					must.Between(t, 0, known, most)
-					must.EqOp(t, hosts-1, len(n.agent.Counted()))
+					must.EqOp(t, hosts-1, len(n.agent.Unexpired()))
 					cancel()
 					synctest.Wait()
 				})
@@ -159,7 +159,7 @@
 	crashes int
 }
 
-func (c *counter) HearCrashes(*quarantine.Told) bool {
+func (c *counter) CrashesReceived(*quarantine.Told) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crashes++
@@ -180,7 +180,7 @@
 			return n
 		})
 		time.Sleep(time.Second)
-		told := &Beat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Told{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
+		told := &Heartbeat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Told{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
 		tell := func() {
 			told.Seq = 1000 + nodes[1].agent.Table.seq
 			nodes[1].agent.write(told, []string{nodes[0].row.Address})
@@ -188,7 +188,7 @@
 		}
 		tell()
 		must.EqOp(t, 1, c.crashes)
-		c.agent.Woke(8 * time.Second)
+		c.agent.NoteGap(8 * time.Second)
 		c.conn.in <- []byte("an old datagram")
 		data, err := encode(told)
 		must.NoError(t, err)
