--- a/cmd/hkctl/quarantine.go
+++ b/cmd/hkctl/quarantine.go
@@ -93,7 +93,7 @@
 	fmt.Fprintln(w, "FINGERPRINT\tSTATE\tLEFT\tENDPOINTS\tKEPT\tREQUEST")
 	for i := range list {
 		e := &list[i]
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%s\n", e.Fingerprint, state(e), left(e), len(e.Crashes), e.Kept, e.Request)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%t\t%s\n", e.Fingerprint, state(e), left(e), len(e.Crashes), e.Saved, e.Request)
 	}
 	return w.Flush()
 }
@@ -135,15 +135,15 @@
 	if t.JSON {
 		return t.printJSON(e)
 	}
-	fmt.Fprintf(t.out, "%s: %s\n%s, for %s yet; held %d times; sent on trial %d times; kept in the store: %t\n", e.Fingerprint, e.Request, state(e), left(e), e.Times, e.Trials, e.Kept)
+	fmt.Fprintf(t.out, "%s: %s\n%s, for %s yet; held %d times; sent on trial %d times; kept in the store: %t\n", e.Fingerprint, e.Request, state(e), left(e), e.HoldCount, e.Trials, e.Saved)
 	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "ENDPOINT\tENDED\tAFTER\tANSWER\tSEEN BY")
 	for _, c := range e.Crashes {
 		answer := "begun"
-		if c.Mute {
+		if c.NoResponse {
 			answer = "none"
 		}
-		fmt.Fprintf(w, "%s\t%s ago\t%d ms\t%s\t%s\n", c.Life, (time.Duration(c.AgeMS) * time.Millisecond).Round(time.Second), c.RanMS, answer, c.Host)
+		fmt.Fprintf(w, "%s\t%s ago\t%d ms\t%s\t%s\n", c.Incarnation, (time.Duration(c.AgeMS) * time.Millisecond).Round(time.Second), c.RequestAgeMS, answer, c.Host)
 	}
 	return w.Flush()
 }
--- a/cmd/hkctl/quarantine_test.go
+++ b/cmd/hkctl/quarantine_test.go
@@ -22,8 +22,8 @@
 func TestQuarantine(t *testing.T) {
 	held, suspected := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 	list := []quarantine.Entry{
-		{Fingerprint: held, Request: "POST shop.example/draft/a of w", Held: true, LeftMS: 65000, Times: 1, Kept: true, Crashes: []quarantine.Crash{
-			{Fingerprint: held, Life: "e-1", AgeMS: 3000, RanMS: 120, Mute: true, Host: "host-2"},
+		{Fingerprint: held, Request: "POST shop.example/draft/a of w", Held: true, LeftMS: 65000, HoldCount: 1, Saved: true, Crashes: []quarantine.Crash{
+			{Fingerprint: held, Incarnation: "e-1", AgeMS: 3000, RequestAgeMS: 120, NoResponse: true, Host: "host-2"},
 		}},
 		{Fingerprint: suspected, Request: "POST shop.example/draft/b of w"},
 	}
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -64,7 +64,7 @@
 		cctx, cancel := context.WithTimeout(ctx, keepTimeout)
 		err := h.records.remove(cctx, f, answered.unixMS)
 		cancel()
-		if err != nil && h.now()-answered.at < quarantine.RecordLife {
+		if err != nil && h.now()-answered.at < quarantine.RecordTTL {
 			h.Log.V(1).Info("record of an answered request not removed yet", "fingerprint", f.String(), "cause", err.Error())
 			continue
 		}
--- a/edge/records.go
+++ b/edge/records.go
@@ -80,7 +80,7 @@
 		if err != nil || swapped {
 			return r, err
 		}
-		if at != 0 && stands.Keeps(&r) {
+		if at != 0 && stands.Covers(&r) {
 			return stands, nil
 		}
 		revision = at
@@ -117,7 +117,7 @@
 		return lease, nil
 	}
 	began := k.now()
-	lease, err := k.store.Grant(ctx, quarantine.RecordLife)
+	lease, err := k.store.Grant(ctx, quarantine.RecordTTL)
 	if err != nil {
 		return 0, err
 	}
--- a/edge/records_test.go
+++ b/edge/records_test.go
@@ -124,7 +124,7 @@
 // TestRecordsKeepAndRemove checks that a hold is written unless one stands that says as much, and that only what was written before the answer is removed.
 func TestRecordsKeepAndRemove(t *testing.T) {
 	f := quarantine.Fingerprint{1}
-	held := quarantine.Record{Fingerprint: f, WrittenMS: 1000, UntilMS: 600000, Times: 1, Trials: 3}
+	held := quarantine.Record{Fingerprint: f, WrittenMS: 1000, UntilMS: 600000, HoldCount: 1, Trials: 3}
 	more, less := held, held
 	more.UntilMS, less.UntilMS = 2*held.UntilMS, held.UntilMS/2
 	cases := []struct {
--- a/edge/share.go
+++ b/edge/share.go
@@ -27,7 +27,7 @@
 	b.Load, b.Waiting = h.ingress.Loads()
 	told := h.ingress.Tell()
 	b.Used, b.Left = told.Used, told.Left
-	b.Crashes = h.Crashes(quarantine.Own)
+	b.Crashes = h.Crashes(quarantine.Local)
 }
 
 // Stamps implements peers.Host.
@@ -49,10 +49,10 @@
 }
 
 // Crashes implements peers.Host.
-func (h *Host) Crashes(to quarantine.Scope) quarantine.Told { return h.ingress.Crashes(to) }
+func (h *Host) Crashes(to quarantine.Scope) quarantine.Evidence { return h.ingress.Crashes(to) }
 
 // CrashesReceived implements peers.Host.
-func (h *Host) CrashesReceived(t *quarantine.Told) bool { return h.ingress.HearCrashes(t) }
+func (h *Host) CrashesReceived(t *quarantine.Evidence) bool { return h.ingress.HearCrashes(t) }
 
 // LoadChanges implements peers.Host.
 func (h *Host) LoadChanges() (map[string]peers.Load, map[string][]int, bool) {
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -39,7 +39,7 @@
 	records Records
 
 	mu        sync.Mutex
-	book      quarantine.Book
+	book      quarantine.Registry
 	inquiries map[string]*inquiry // by life
 }
 
@@ -129,15 +129,15 @@
 func (k *crashes) note(l *loss, life string, at time.Duration) {
 	f := l.print
 	_, before := k.book.Held(k.now(), f)
-	if k.book.Crashed(k.now(), f, quarantine.End{Life: life, At: at, Ran: l.ran, Mute: l.mute, Unsure: l.unsure, Request: l.request}) {
+	if k.book.NoteCrash(k.now(), f, quarantine.Termination{Incarnation: life, At: at, RequestAge: l.ran, NoResponse: l.mute, Inconclusive: l.unsure, Request: l.request}) {
 		k.tell()
-		if v := k.book.Verdict(k.now(), f); v.Ends > 1 {
+		if v := k.book.Verdict(k.now(), f); v.Crashes > 1 {
 			k.log.Info("endpoint ended under a request again", "fingerprint", f.String(), "endpoint", life, "ran_ms", l.ran.Milliseconds(),
-				"ends", v.Ends, "mute", v.Mute, "surprise", v.Surprise, "on_trial", k.book.OnTrial(k.now(), f))
+				"ends", v.Crashes, "mute", v.NoResponse, "surprise", v.Surprisal, "on_trial", k.book.OnTrial(k.now(), f))
 		}
 	}
 	if left, held := k.book.Held(k.now(), f); held && !before {
-		k.log.Info("request held: endpoints crash under it", "fingerprint", f.String(), "request", l.request, "endpoints", k.book.Lives(f), "held_s", left.Seconds())
+		k.log.Info("request held: endpoints crash under it", "fingerprint", f.String(), "request", l.request, "endpoints", k.book.Incarnations(f), "held_s", left.Seconds())
 	}
 }
 
@@ -145,7 +145,7 @@
 func (k *crashes) answered(c *call) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.book.Empty() && k.book.Answered(k.now(), c.fingerprint()) {
+	if !k.book.Empty() && k.book.NoteAnswer(k.now(), c.fingerprint()) {
 		k.tell()
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	f := c.fingerprint()
 	_, held = k.book.Held(k.now(), f)
-	return k.book.After(k.now(), f), len(k.book.Lives(f)), held
+	return k.book.RetryAfter(k.now(), f), len(k.book.Incarnations(f)), held
 }
 
 // summary says what the request is, for operators, in at most 200 bytes.
@@ -211,19 +211,19 @@
 func (s *Server) SetCrashed(tell func()) { s.crashes.tell = tell }
 
 // Crashes gives what other hosts are to be told of requests under which endpoints crashed.
-func (s *Server) Crashes(to quarantine.Scope) quarantine.Told {
+func (s *Server) Crashes(to quarantine.Scope) quarantine.Evidence {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Tell(k.now(), to)
+	return k.book.Outgoing(k.now(), to)
 }
 
 // HearCrashes takes what another host tells of requests under which endpoints crashed, and returns true if some of it is new.
-func (s *Server) HearCrashes(t *quarantine.Told) bool {
+func (s *Server) HearCrashes(t *quarantine.Evidence) bool {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Hear(k.now(), t)
+	return k.book.Merge(k.now(), t)
 }
 
 // Suspected counts the requests under which endpoints crashed, and those of them that are refused now.
@@ -231,7 +231,7 @@
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Suspects(), k.book.HeldNow(k.now())
+	return k.book.Suspects(), k.book.CountHeld(k.now())
 }
 
 // Unkept gives the requests on trial and held that are to be written where they outlast all hosts.
@@ -239,7 +239,7 @@
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Unkept(k.now(), time.Now().UnixMilli())
+	return k.book.Unsaved(k.now(), time.Now().UnixMilli())
 }
 
 // FreedRecords gives the requests whose records this host is to remove, each once, and how long ago they were answered.
@@ -247,7 +247,7 @@
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Freed(k.now())
+	return k.book.TakeRecordsToRemove(k.now())
 }
 
 // Restore takes a record that was written.
@@ -266,7 +266,7 @@
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.book.Answered(k.now(), f) {
+	if !k.book.NoteAnswer(k.now(), f) {
 		return false
 	}
 	k.log.Info("request released by an operator", "fingerprint", f.String())
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -73,10 +73,10 @@
 	// ProofReceived is called when a peer proved what it knows.
 	ProofReceived(p Proof)
 	// Crashes tells of requests under which endpoints crashed.
-	Crashes(to quarantine.Scope) quarantine.Told
+	Crashes(to quarantine.Scope) quarantine.Evidence
 	// CrashesReceived is called with what a peer knows of requests under which endpoints crashed. It returns true if some of it
 	// is new.
-	CrashesReceived(t *quarantine.Told) bool
+	CrashesReceived(t *quarantine.Evidence) bool
 }
 
 // Usage is what one or several other hosts used of shared amounts.
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -41,7 +41,7 @@
 	Left map[string]float64 `json:"q,omitempty"`
 	// Crashes is what the sender saw of requests under which endpoints crashed; relays tell each other all that they know, and their
 	// members what concerns all hosts.
-	Crashes quarantine.Told `json:"x,omitzero"`
+	Crashes quarantine.Evidence `json:"x,omitzero"`
 	// Settings and Endpoints tell what the sender knows of either, and its age.
 	Settings  Stamp `json:"v"`
 	Endpoints Stamp `json:"w"`
--- a/peers/crashes_test.go
+++ b/peers/crashes_test.go
@@ -20,38 +20,38 @@
 // holder is a host of a fleet that holds requests under which endpoints crash.
 type holder struct {
 	*node
-	book quarantine.Book
+	book quarantine.Registry
 }
 
 func (h *holder) Fill(b *Heartbeat) {
 	h.node.Fill(b)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b.Crashes = h.book.Tell(h.now(), quarantine.Own)
+	b.Crashes = h.book.Outgoing(h.now(), quarantine.Local)
 }
 
-func (h *holder) Crashes(to quarantine.Scope) quarantine.Told {
+func (h *holder) Crashes(to quarantine.Scope) quarantine.Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.book.Tell(h.now(), to)
+	return h.book.Outgoing(h.now(), to)
 }
 
-func (h *holder) CrashesReceived(t *quarantine.Told) bool {
+func (h *holder) CrashesReceived(t *quarantine.Evidence) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.book.Hear(h.now(), t)
+	return h.book.Merge(h.now(), t)
 }
 
 // crash lets an endpoint crash under a request of this host.
 func (h *holder) crash(f quarantine.Fingerprint, life string) {
-	h.ended(f, quarantine.End{Life: life, At: h.now(), Ran: 100 * time.Millisecond, Mute: true})
+	h.ended(f, quarantine.Termination{Incarnation: life, At: h.now(), RequestAge: 100 * time.Millisecond, NoResponse: true})
 }
 
 // ended notes the end of an endpoint under a request of this host.
-func (h *holder) ended(f quarantine.Fingerprint, e quarantine.End) {
+func (h *holder) ended(f quarantine.Fingerprint, e quarantine.Termination) {
 	h.mu.Lock()
 	h.book.Host = h.agent.Table.Host
-	h.book.Crashed(h.now(), f, e)
+	h.book.NoteCrash(h.now(), f, e)
 	h.mu.Unlock()
 	h.agent.TriggerHeartbeat()
 }
@@ -131,7 +131,7 @@
 				last := live[len(live)-1]
 				last.cancel()
 				time.Sleep(5 * time.Second)
-				last.book = quarantine.Book{}
+				last.book = quarantine.Registry{}
 				last.conn = last.conn.network.open(c.hosts + 1)
 				last.row.Address = last.conn.address.String()
 				began = last.now()
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -59,9 +59,9 @@
 
 func (n *node) LoadsReceived() {}
 
-func (n *node) Crashes(quarantine.Scope) quarantine.Told { return quarantine.Told{} }
+func (n *node) Crashes(quarantine.Scope) quarantine.Evidence { return quarantine.Evidence{} }
 
-func (n *node) CrashesReceived(*quarantine.Told) bool { return false }
+func (n *node) CrashesReceived(*quarantine.Evidence) bool { return false }
 
 func (n *node) ProofReceived(p Proof) {
 	n.mu.Lock()
--- a/peers/histories_test.go
+++ b/peers/histories_test.go
@@ -142,7 +142,7 @@
 		}
 		o, kept := h.hosts[i], h.kept()
 		o.mu.Lock()
-		o.book = quarantine.Book{Host: o.agent.Table.Host}
+		o.book = quarantine.Registry{Host: o.agent.Table.Host}
 		for k := range kept {
 			o.book.Restore(o.now(), o.now().Milliseconds(), &kept[k])
 		}
@@ -215,11 +215,11 @@
 		}
 		o.mu.Lock()
 		h.mu.Lock()
-		for _, r := range o.book.Unkept(o.now(), o.now().Milliseconds()) {
+		for _, r := range o.book.Unsaved(o.now(), o.now().Milliseconds()) {
 			if h.down {
 				break
 			}
-			if stands, ok := h.store[r.Fingerprint]; !ok || !stands.Keeps(&r) {
+			if stands, ok := h.store[r.Fingerprint]; !ok || !stands.Covers(&r) {
 				h.store[r.Fingerprint] = r
 			}
 			stands := h.store[r.Fingerprint]
@@ -286,7 +286,7 @@
 		}
 		h.mu.Unlock()
 		if h.isUp(i) {
-			o.ended(f, quarantine.End{Life: life, At: o.now(), Ran: ran, Mute: !h.late})
+			o.ended(f, quarantine.Termination{Incarnation: life, At: o.now(), RequestAge: ran, NoResponse: !h.late})
 		}
 	})
 }
--- a/peers/receive.go
+++ b/peers/receive.go
@@ -99,7 +99,7 @@
 
 // hearCrashes takes what a peer knows of requests under which endpoints crashed. What concerns all hosts a relay passes on at once: its
 // members would else hear of it with the next two heartbeats.
-func (a *Agent) hearCrashes(t *quarantine.Told) {
+func (a *Agent) hearCrashes(t *quarantine.Evidence) {
 	if !t.Empty() && a.Host.CrashesReceived(t) && a.relays() {
 		a.TriggerHeartbeat()
 	}
--- a/peers/woke_test.go
+++ b/peers/woke_test.go
@@ -159,7 +159,7 @@
 	crashes int
 }
 
-func (c *counter) CrashesReceived(*quarantine.Told) bool {
+func (c *counter) CrashesReceived(*quarantine.Evidence) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crashes++
@@ -180,7 +180,7 @@
 			return n
 		})
 		time.Sleep(time.Second)
-		told := &Heartbeat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Told{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
+		told := &Heartbeat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Evidence{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
 		tell := func() {
 			told.Seq = 1000 + nodes[1].agent.Table.seq
 			nodes[1].agent.write(told, []string{nodes[0].row.Address})
--- a/quarantine/attribution_test.go
+++ b/quarantine/attribution_test.go
@@ -117,7 +117,7 @@
 	t.life, t.runs, t.down = fmt.Sprint("life-", w.lives), nil, w.now+back
 	for _, r := range runs {
 		r.over = true
-		e := End{Life: life, At: w.now, Ran: w.now - r.since, Mute: w.now-r.since < r.first}
+		e := Termination{Incarnation: life, At: w.now, RequestAge: w.now - r.since, NoResponse: w.now-r.since < r.first}
 		n := len(runs)
 		w.after(evidenceTime, func() { w.verdict.crashed(w.now, r.f, e, n) })
 		if r.guilty {
@@ -298,7 +298,7 @@
 		name string
 		make func(endpoints int) verdict
 	}{
-		{"kept", func(n int) verdict { return &byBook{Book{Endpoints: n}} }},
+		{"kept", func(n int) verdict { return &byBook{Registry{Endpoints: n}} }},
 		{"two ends", func(int) verdict { return &byCount{2, make(map[Fingerprint]map[string]bool)} }},
 		{"three ends", func(int) verdict { return &byCount{3, make(map[Fingerprint]map[string]bool)} }},
 		{"one trial", func(int) verdict {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -62,9 +62,9 @@
 	own         bool // seen by this host, not told to it
 }
 
-// Book is what a host knows of requests under which endpoints crashed. The zero value knows nothing. It is not safe for
+// Registry is what a host knows of requests under which endpoints crashed. The zero value knows nothing. It is not safe for
 // concurrent use.
-type Book struct {
+type Registry struct {
 	// Host names this host.
 	Host string
 	// Endpoints is the number of endpoints in use.
@@ -79,13 +79,13 @@
 }
 
 // Empty says that no request is known: none need be looked up.
-func (b *Book) Empty() bool { return len(b.suspects) == 0 }
+func (b *Registry) Empty() bool { return len(b.suspects) == 0 }
 
 // Suspects is the number of requests under which an endpoint crashed, those that are held included.
-func (b *Book) Suspects() int { return len(b.suspects) }
+func (b *Registry) Suspects() int { return len(b.suspects) }
 
-// Lives names the runs of endpoints that crashed under a request, by what this host knows.
-func (b *Book) Lives(f Fingerprint) []string {
+// Incarnations names the runs of endpoints that crashed under a request, by what this host knows.
+func (b *Registry) Incarnations(f Fingerprint) []string {
 	if s := b.suspects[f]; s != nil {
 		return slices.Sorted(maps.Keys(s.crashes))
 	}
@@ -93,7 +93,7 @@
 }
 
 // suspect returns what is known of a request, which is made if nothing is.
-func (b *Book) suspect(f Fingerprint) *suspect {
+func (b *Registry) suspect(f Fingerprint) *suspect {
 	s := b.suspects[f]
 	if s == nil {
 		if b.suspects == nil {
@@ -110,7 +110,7 @@
 
 // evict forgets the suspect with the fewest crashes, of those the one whose last was the longest ago, so that a flood of
 // requests under which one endpoint crashed does not wash out what is held.
-func (b *Book) evict() {
+func (b *Registry) evict() {
 	var worst Fingerprint
 	var least *suspect
 	for f, s := range b.suspects {
@@ -133,28 +133,28 @@
 }
 
 // drop forgets a suspect.
-func (b *Book) drop(f Fingerprint) {
+func (b *Registry) drop(f Fingerprint) {
 	delete(b.suspects, f)
 	b.watched = slices.DeleteFunc(b.watched, func(g Fingerprint) bool { return f == g })
 }
 
-// End is the end of an endpoint under a request of this host.
-type End struct {
-	// Life is the run of the endpoint's process that ended, At when it did.
-	Life string
-	At   time.Duration
-	// Ran is for how long it had had the request, and Mute says that nothing of an answer had come.
-	Ran  time.Duration
-	Mute bool
-	// Unsure says that it may have ended for another reason that is known: it was leaving, or this host did not run meanwhile.
-	Unsure bool
+// Termination is the end of an endpoint under a request of this host.
+type Termination struct {
+	// Incarnation is the run of the endpoint's process that ended, At when it did.
+	Incarnation string
+	At          time.Duration
+	// RequestAge is for how long it had had the request, and Mute says that nothing of an answer had come.
+	RequestAge time.Duration
+	NoResponse bool
+	// Inconclusive says that it may have ended for another reason that is known: it was leaving, or this host did not run meanwhile.
+	Inconclusive bool
 	// Request says what the request is, for operators.
 	Request string
 }
 
-// Crashed notes that an endpoint ended while it had a request of this host. It returns true if that is new.
-func (b *Book) Crashed(now time.Duration, f Fingerprint, e End) bool {
-	if !b.crashed(now, f, e.Life, crash{e.At, e.Ran, e.Mute && !e.Unsure, e.Unsure, b.Host}) {
+// NoteCrash notes that an endpoint ended while it had a request of this host. It returns true if that is new.
+func (b *Registry) NoteCrash(now time.Duration, f Fingerprint, e Termination) bool {
+	if !b.crashed(now, f, e.Incarnation, crash{e.At, e.RequestAge, e.NoResponse && !e.Inconclusive, e.Inconclusive, b.Host}) {
 		return false
 	}
 	b.suspects[f].request = e.Request
@@ -162,7 +162,7 @@
 }
 
 // crashed notes that an endpoint ended while it had a request of this host, or of another one.
-func (b *Book) crashed(now time.Duration, f Fingerprint, life string, c crash) bool {
+func (b *Registry) crashed(now time.Duration, f Fingerprint, life string, c crash) bool {
 	if s := b.suspects[f]; s != nil {
 		if _, known := s.crashes[life]; known || c.at <= s.cleared {
 			return false
@@ -189,7 +189,7 @@
 }
 
 // died notes the end of an endpoint.
-func (b *Book) died(life string, at time.Duration) {
+func (b *Registry) died(life string, at time.Duration) {
 	if b.deaths == nil {
 		b.deaths = make(map[string]death)
 	}
@@ -199,7 +199,7 @@
 }
 
 // repeat tells what was known of a request before a crash once more: only some hosts were told.
-func (b *Book) repeat(now time.Duration, f Fingerprint, s *suspect, but string) {
+func (b *Registry) repeat(now time.Duration, f Fingerprint, s *suspect, but string) {
 	for life := range s.crashes {
 		if life != but {
 			b.news = append(b.news, news{now, f, life, false})
@@ -216,7 +216,7 @@
 const mostDoublings = 8
 
 // watch puts a request on trial, and has it told before others.
-func (b *Book) watch(f Fingerprint, s *suspect) {
+func (b *Registry) watch(f Fingerprint, s *suspect) {
 	s.onTrial = true
 	i := slices.Index(b.watched, f)
 	if i < 0 {
@@ -227,7 +227,7 @@
 }
 
 // hold refuses a request until a moment. After it the request is on trial, with one send before it is held again.
-func (b *Book) hold(f Fingerprint, s *suspect, until time.Duration) {
+func (b *Registry) hold(f Fingerprint, s *suspect, until time.Duration) {
 	s.until, s.trials = until, max(s.trials, mostTrials)
 	b.watch(f, s)
 	for life := range s.crashes {
@@ -238,7 +238,7 @@
 }
 
 // release refuses a request no more.
-func (b *Book) release(f Fingerprint, s *suspect) {
+func (b *Registry) release(f Fingerprint, s *suspect) {
 	s.until, s.times, s.keptAt, s.onTrial, s.trials, s.tried = 0, 0, 0, false, 0, 0
 	b.watched = slices.DeleteFunc(b.watched, func(g Fingerprint) bool { return f == g })
 	for life, d := range b.deaths {
@@ -248,13 +248,13 @@
 	}
 }
 
-// Answered notes that a request was answered whole. It returns true if the request was suspected.
-func (b *Book) Answered(now time.Duration, f Fingerprint) bool {
+// NoteAnswer notes that a request was answered whole. It returns true if the request was suspected.
+func (b *Registry) NoteAnswer(now time.Duration, f Fingerprint) bool {
 	return b.clear(now, f, now, true)
 }
 
 // clear drops the crashes under a request up to a moment at which it was answered.
-func (b *Book) clear(now time.Duration, f Fingerprint, at time.Duration, own bool) bool {
+func (b *Registry) clear(now time.Duration, f Fingerprint, at time.Duration, own bool) bool {
 	s := b.suspects[f]
 	if s == nil || at <= s.cleared {
 		return false
@@ -272,7 +272,7 @@
 }
 
 // Held tells whether a request is refused now, and for how long yet.
-func (b *Book) Held(now time.Duration, f Fingerprint) (left time.Duration, held bool) {
+func (b *Registry) Held(now time.Duration, f Fingerprint) (left time.Duration, held bool) {
 	s := b.suspects[f]
 	if s == nil || now >= s.until {
 		return 0, false
@@ -280,8 +280,8 @@
 	return s.until - now, true
 }
 
-// HeldNow is the number of requests that are refused now.
-func (b *Book) HeldNow(now time.Duration) int {
+// CountHeld is the number of requests that are refused now.
+func (b *Registry) CountHeld(now time.Duration) int {
 	n := 0
 	for _, f := range b.watched {
 		if _, held := b.Held(now, f); held {
@@ -292,7 +292,7 @@
 }
 
 // Sweep forgets what is too old to count; call it now and then.
-func (b *Book) Sweep(now time.Duration) {
+func (b *Registry) Sweep(now time.Duration) {
 	for f, s := range b.suspects {
 		if now >= s.until && now-max(s.newest, s.cleared, s.until) >= forget {
 			b.drop(f)
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -21,8 +21,8 @@
 }
 
 // mute is the end of an endpoint under a request that had got nothing.
-func mute(life string, at time.Duration) End {
-	return End{Life: life, At: at, Ran: 100 * time.Millisecond, Mute: true, Request: "POST /a"}
+func mute(life string, at time.Duration) Termination {
+	return Termination{Incarnation: life, At: at, RequestAge: 100 * time.Millisecond, NoResponse: true, Request: "POST /a"}
 }
 
 // step is one thing that a book learns.
@@ -52,14 +52,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var b Book
+			var b Registry
 			f := print(1)
 			for _, s := range c.steps {
 				if s.crash != "" {
-					b.Crashed(s.at, f, mute(s.crash, s.at))
+					b.NoteCrash(s.at, f, mute(s.crash, s.at))
 				}
 				if s.answer {
-					b.Answered(s.at, f)
+					b.NoteAnswer(s.at, f)
 				}
 				left, held := b.Held(s.at, f)
 				must.EqOp(t, s.heldFor, left)
@@ -72,36 +72,36 @@
 }
 
 // tellAll gives what one book tells to another, over the wire.
-func tellAll(t *testing.T, now time.Duration, from, to *Book) bool {
+func tellAll(t *testing.T, now time.Duration, from, to *Registry) bool {
 	t.Helper()
-	told := from.Tell(now, All)
+	told := from.Outgoing(now, All)
 	data, err := json.Marshal(told)
 	must.NoError(t, err)
-	var got Told
+	var got Evidence
 	must.NoError(t, json.Unmarshal(data, &got))
 	must.Eq(t, told, got)
-	return to.Hear(now, &got)
+	return to.Merge(now, &got)
 }
 
 // TestEvidenceAddsUp checks that three hosts that each saw one crash come to the verdict, each by itself, and that what they told
 // each other is not told on for ever.
 func TestEvidenceAddsUp(t *testing.T) {
-	var books [3]Book
+	var books [3]Registry
 	f, now := print(1), time.Minute
 	for i := range books {
 		books[i].Host = fmt.Sprint("host-", i)
-		books[i].Crashed(now, f, mute(fmt.Sprint("life-", i), now))
+		books[i].NoteCrash(now, f, mute(fmt.Sprint("life-", i), now))
 	}
 	for i := range books {
 		for k := range books {
-			must.EqOp(t, i != k, i != k && (tellAll(t, now, &books[i], &books[k]) || len(books[k].Lives(f)) == 3))
+			must.EqOp(t, i != k, i != k && (tellAll(t, now, &books[i], &books[k]) || len(books[k].Incarnations(f)) == 3))
 		}
 	}
 	for i := range books {
 		_, held := books[i].Held(now, f)
 		must.True(t, held)
 		must.False(t, tellAll(t, now+tellFor/2, &books[i], &books[(i+1)%3]))
-		told := books[i].Tell(now+tellFor, All)
+		told := books[i].Outgoing(now+tellFor, All)
 		must.SliceEmpty(t, told.Crashes)
 		must.SliceLen(t, 1, told.Holds)
 	}
@@ -109,18 +109,18 @@
 
 // TestStarterLearnsOfHolds checks that a host which starts learns of all requests that are held, also long after the crashes.
 func TestStarterLearnsOfHolds(t *testing.T) {
-	var old, young Book
+	var old, young Registry
 	now := time.Second
 	for n := range 7 {
 		for i := range muteCrashes {
-			old.Crashed(now, print(n), mute(fmt.Sprint(n, "-", i), now))
+			old.NoteCrash(now, print(n), mute(fmt.Sprint(n, "-", i), now))
 		}
 	}
 	now += time.Minute
 	for range 4 {
 		tellAll(t, now, &old, &young)
 	}
-	must.EqOp(t, 7, young.HeldNow(now))
+	must.EqOp(t, 7, young.CountHeld(now))
 	left, _ := young.Held(now, print(0))
 	must.EqOp(t, firstHold-time.Minute, left)
 	// Told to and fro, a hold does not grow by the time that the telling takes.
@@ -135,42 +135,42 @@
 
 // TestClearWins checks that a request that was answered is not held again by a host which did not hear of that.
 func TestClearWins(t *testing.T) {
-	var deaf, cleared Book
+	var deaf, cleared Registry
 	f, now := print(1), time.Minute
 	for i := range muteCrashes {
-		deaf.Crashed(now, f, mute(fmt.Sprint(i), now))
+		deaf.NoteCrash(now, f, mute(fmt.Sprint(i), now))
 	}
 	tellAll(t, now, &deaf, &cleared)
-	cleared.Answered(now+firstHold+1, f)
+	cleared.NoteAnswer(now+firstHold+1, f)
 	now += firstHold / 2 // of deaf's clock: it holds the request yet
-	cleared.Hear(now+firstHold, &Told{Holds: deaf.Tell(now, Own).Holds})
+	cleared.Merge(now+firstHold, &Evidence{Holds: deaf.Outgoing(now, Local).Holds})
 	_, held := cleared.Held(now+firstHold, f)
 	must.False(t, held)
 }
 
 // TestFloodKeepsTheGuilty checks that many requests under which one endpoint crashed wash out none that is held, and none with two crashes.
 func TestFloodKeepsTheGuilty(t *testing.T) {
-	var b Book
+	var b Registry
 	for i := range muteCrashes {
-		b.Crashed(1, print(-1), mute(fmt.Sprint(i), 1))
+		b.NoteCrash(1, print(-1), mute(fmt.Sprint(i), 1))
 	}
-	b.Crashed(1, print(-2), mute("a", 1))
-	b.Crashed(1, print(-2), mute("b", 1))
+	b.NoteCrash(1, print(-2), mute("a", 1))
+	b.NoteCrash(1, print(-2), mute("b", 1))
 	for n := range mostSuspects + 100 {
-		b.Crashed(time.Duration(n+2), print(n), mute("flood", time.Duration(n+2)))
+		b.NoteCrash(time.Duration(n+2), print(n), mute("flood", time.Duration(n+2)))
 	}
 	must.LessEq(t, mostSuspects, b.Suspects())
 	_, held := b.Held(2, print(-1))
 	must.True(t, held)
-	must.SliceLen(t, 2, b.Lives(print(-2)))
+	must.SliceLen(t, 2, b.Incarnations(print(-2)))
 }
 
 // TestSweep checks that what is old is forgotten, and what is held is not.
 func TestSweep(t *testing.T) {
-	var b Book
-	b.Crashed(0, print(1), mute("a", 0))
+	var b Registry
+	b.NoteCrash(0, print(1), mute("a", 0))
 	for i := range 9 { // held for the longest time
-		b.Crashed(time.Duration(i), print(2), mute(fmt.Sprint(i), time.Duration(i)))
+		b.NoteCrash(time.Duration(i), print(2), mute(fmt.Sprint(i), time.Duration(i)))
 	}
 	b.Sweep(forget - 1)
 	must.EqOp(t, 2, b.Suspects())
@@ -178,23 +178,23 @@
 	must.EqOp(t, 1, b.Suspects())
 	b.Sweep(firstHold + forget + 10)
 	must.True(t, b.Empty())
-	must.EqOp(t, 0, b.HeldNow(0))
+	must.EqOp(t, 0, b.CountHeld(0))
 }
 
 // TestFalseWords checks that what cannot be has a bounded effect.
 func TestFalseWords(t *testing.T) {
-	var b Book
+	var b Registry
 	f := print(1)
 	long := string(make([]byte, longestName+1))
-	b.Hear(0, &Told{
+	b.Merge(0, &Evidence{
 		Crashes: []Crash{{f, "a", math.MaxInt64, math.MinInt64, true, "h", false}, {f, "b", math.MinInt64, math.MaxInt64, true, "h", false}, {f, long, 0, 0, true, "h", false}, {f, "c", 0, 0, true, long, false}},
 		Clears:  []Clear{{print(3), -1}},
 		Holds: []Hold{
-			{Fingerprint: print(2), LeftMS: math.MaxInt64, Times: math.MaxInt}, {Fingerprint: print(4), LeftMS: -1, Times: 1},
-			{Fingerprint: print(5), LeftMS: 1}, {Fingerprint: print(6), LeftMS: math.MaxInt64 / 2, Times: 1, AgeMS: math.MinInt64, Request: long},
+			{Fingerprint: print(2), LeftMS: math.MaxInt64, HoldCount: math.MaxInt}, {Fingerprint: print(4), LeftMS: -1, HoldCount: 1},
+			{Fingerprint: print(5), LeftMS: 1}, {Fingerprint: print(6), LeftMS: math.MaxInt64 / 2, HoldCount: 1, AgeMS: math.MinInt64, Request: long},
 		},
 	})
-	must.SliceLen(t, 2, b.Lives(f))
+	must.SliceLen(t, 2, b.Incarnations(f))
 	for _, n := range []int{2, 6} {
 		left, _ := b.Held(0, print(n))
 		must.LessEq(t, longestHold, left)
@@ -204,9 +204,9 @@
 
 // BenchmarkHeld looks a request up among 10,000 suspects.
 func BenchmarkHeld(b *testing.B) {
-	var book Book
+	var book Registry
 	for n := range mostSuspects {
-		book.Crashed(0, print(n), mute("life", 0))
+		book.NoteCrash(0, print(n), mute("life", 0))
 	}
 	f := print(1)
 	b.ReportAllocs()
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -10,16 +10,16 @@
 type Crash struct {
 	// Fingerprint is the request, Life the run of the endpoint's process that ended.
 	Fingerprint Fingerprint `json:"f"`
-	Life        string      `json:"l"`
+	Incarnation string      `json:"l"`
 	// AgeMS is the time in milliseconds since it ended, RanMS for how long it had had the request.
-	AgeMS int64 `json:"a"`
-	RanMS int64 `json:"r"`
-	// Mute says that nothing of an answer had come.
-	Mute bool `json:"m,omitempty"`
+	AgeMS        int64 `json:"a"`
+	RequestAgeMS int64 `json:"r"`
+	// NoResponse says that nothing of an answer had come.
+	NoResponse bool `json:"m,omitempty"`
 	// Host is who saw it.
 	Host string `json:"h"`
-	// Unsure says that it may have ended for another reason that is known.
-	Unsure bool `json:"u,omitempty"`
+	// Inconclusive says that it may have ended for another reason that is known.
+	Inconclusive bool `json:"u,omitempty"`
 }
 
 // Clear says that a request was answered whole: what ended under it before did not end of it.
@@ -36,22 +36,22 @@
 	Fingerprint Fingerprint `json:"f"`
 	// Request says what it is, for operators.
 	Request string `json:"q,omitempty"`
-	// KeptMS is the time in milliseconds since the hold was written where it outlasts all hosts, 0 if it was not.
-	KeptMS int64 `json:"k,omitempty"`
+	// SavedMS is the time in milliseconds since the hold was written where it outlasts all hosts, 0 if it was not.
+	SavedMS int64 `json:"k,omitempty"`
 	// LeftMS is the time in milliseconds that is left, Times the number of times that it was held, and AgeMS the time in
 	// milliseconds since the last crash under it.
-	LeftMS int64 `json:"l"`
-	Times  int   `json:"n"`
-	AgeMS  int64 `json:"a"`
+	LeftMS    int64 `json:"l"`
+	HoldCount int   `json:"n"`
+	AgeMS     int64 `json:"a"`
 	// OnTrial says that it is sent only if that is granted. Trials is the number of sends that were granted, TriedMS the time in milliseconds since
 	// the newest.
-	OnTrial bool  `json:"o,omitempty"`
-	Trials  int   `json:"t,omitempty"`
-	TriedMS int64 `json:"d,omitempty"`
+	OnTrial     bool  `json:"o,omitempty"`
+	Trials      int   `json:"t,omitempty"`
+	LastTrialMS int64 `json:"d,omitempty"`
 }
 
-// Told is what a host tells others.
-type Told struct {
+// Evidence is what a host tells others.
+type Evidence struct {
 	Crashes []Crash `json:"c,omitempty"`
 	Clears  []Clear `json:"k,omitempty"`
 	Holds   []Hold  `json:"h,omitempty"`
@@ -61,8 +61,8 @@
 type Scope uint8
 
 const (
-	// Own is for hosts that are told directly, or pass on: what this host saw itself.
-	Own Scope = iota
+	// Local is for hosts that are told directly, or pass on: what this host saw itself.
+	Local Scope = iota
 	// Repeated is for many hosts: what any host saw of requests under which two endpoints crashed or more. Most endpoints that
 	// crash have some ten requests, of which none comes under a crash again.
 	Repeated
@@ -71,7 +71,9 @@
 )
 
 // Empty says that nothing is told.
-func (t *Told) Empty() bool { return len(t.Crashes) == 0 && len(t.Clears) == 0 && len(t.Holds) == 0 }
+func (t *Evidence) Empty() bool {
+	return len(t.Crashes) == 0 && len(t.Clears) == 0 && len(t.Holds) == 0
+}
 
 // spent gives a span; one that cannot be is taken for the nearest that can.
 func spent(ms int64) time.Duration {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -20,8 +20,8 @@
 	// Trials is the number of sends that were granted since it was answered last.
 	Trials int `json:"trials"`
 	// UntilMS is the end of the hold as a Unix time in milliseconds, 0 for none, and Times the number of holds.
-	UntilMS int64 `json:"until_ms"`
-	Times   int   `json:"times"`
+	UntilMS   int64 `json:"until_ms"`
+	HoldCount int   `json:"times"`
 	// Crashes are the ends of endpoints that led to it, with their ages when it was written.
 	Crashes []Crash `json:"crashes"`
 }
@@ -35,36 +35,36 @@
 	r.WrittenMS = unixMS
 	r.Trials++
 	if r.Trials >= mostTrials {
-		r.Times++
-		r.UntilMS = unixMS + holdTime(r.Times).Milliseconds()
+		r.HoldCount++
+		r.UntilMS = unixMS + holdTime(r.HoldCount).Milliseconds()
 	}
 	return true
 }
 
 // Record gives what is known of a request, as it is to be written at a Unix time in milliseconds.
-func (b *Book) Record(now time.Duration, unixMS int64, f Fingerprint) Record {
+func (b *Registry) Record(now time.Duration, unixMS int64, f Fingerprint) Record {
 	r := Record{Fingerprint: f, WrittenMS: unixMS}
 	s := b.suspects[f]
 	if s == nil {
 		return r
 	}
-	r.Request, r.Trials, r.Times, r.Crashes = s.request, s.trials, s.times, s.ends(now, f)
+	r.Request, r.Trials, r.HoldCount, r.Crashes = s.request, s.trials, s.times, s.ends(now, f)
 	if left, held := b.Held(now, f); held {
 		r.UntilMS = unixMS + left.Milliseconds()
 	}
 	return r
 }
 
-// Keeps tells whether a record that stands says what another one is to say, and will for a while.
-func (r *Record) Keeps(o *Record) bool {
+// Covers tells whether a record that stands says what another one is to say, and will for a while.
+func (r *Record) Covers(o *Record) bool {
 	return r.UntilMS+holdStep.Milliseconds() >= o.UntilMS && r.Trials >= o.Trials && o.WrittenMS-r.WrittenMS < renewAfter.Milliseconds()
 }
 
-// RecordLife is the time for which a record stays that nobody writes again.
-const RecordLife = 10 * time.Minute
+// RecordTTL is the time for which a record stays that nobody writes again.
+const RecordTTL = 10 * time.Minute
 
 // renewAfter is the age from which the record of a hold is written again: two minutes of outage before its end are borne.
-const renewAfter = RecordLife - 2*time.Minute
+const renewAfter = RecordTTL - 2*time.Minute
 
 // keptFor is the time since a hold was written, 0 if it was not.
 func (s *suspect) keptFor(now time.Duration) time.Duration {
@@ -74,8 +74,8 @@
 	return max(now-s.keptAt, time.Millisecond)
 }
 
-// Unkept gives the requests on trial and held that are to be written, as of a Unix time in milliseconds. Only holds are written again.
-func (b *Book) Unkept(now time.Duration, unixMS int64) []Record {
+// Unsaved gives the requests on trial and held that are to be written, as of a Unix time in milliseconds. Only holds are written again.
+func (b *Registry) Unsaved(now time.Duration, unixMS int64) []Record {
 	var out []Record
 	for _, f := range b.watched {
 		s := b.suspects[f]
@@ -87,8 +87,8 @@
 	return out
 }
 
-// Freed gives the requests whose records this host is to remove, since it answered them, and how long ago that was, and forgets that.
-func (b *Book) Freed(now time.Duration) []Clear {
+// TakeRecordsToRemove gives the requests whose records this host is to remove, since it answered them, and how long ago that was, and forgets that.
+func (b *Registry) TakeRecordsToRemove(now time.Duration) []Clear {
 	var out []Clear
 	for _, f := range b.freed {
 		if s := b.suspects[f]; s != nil {
@@ -100,11 +100,11 @@
 }
 
 // Restore takes a record, at a Unix time in milliseconds. Times of day step: a hold lasts no longer than the longest one may.
-func (b *Book) Restore(now time.Duration, unixMS int64, r *Record) {
+func (b *Registry) Restore(now time.Duration, unixMS int64, r *Record) {
 	since := max(unixMS-r.WrittenMS, 0)
 	h := Hold{
-		Fingerprint: r.Fingerprint, Request: r.Request, KeptMS: since + 1, LeftMS: r.UntilMS - unixMS, Times: r.Times, AgeMS: since,
-		OnTrial: true, Trials: r.Trials, TriedMS: since,
+		Fingerprint: r.Fingerprint, Request: r.Request, SavedMS: since + 1, LeftMS: r.UntilMS - unixMS, HoldCount: r.HoldCount, AgeMS: since,
+		OnTrial: true, Trials: r.Trials, LastTrialMS: since,
 	}
 	if len(r.Crashes) > 0 {
 		h.AgeMS += slices.MinFunc(r.Crashes, func(x, y Crash) int { return cmp.Compare(x.AgeMS, y.AgeMS) }).AgeMS
@@ -119,10 +119,10 @@
 	Request string `json:"request"`
 	// Held says that it is refused, for LeftMS milliseconds yet; Times is the number of holds, and Kept says that this one outlasts all
 	// hosts.
-	Held   bool  `json:"held"`
-	LeftMS int64 `json:"left_ms"`
-	Times  int   `json:"times"`
-	Kept   bool  `json:"kept"`
+	Held      bool  `json:"held"`
+	LeftMS    int64 `json:"left_ms"`
+	HoldCount int   `json:"times"`
+	Saved     bool  `json:"kept"`
 	// OnTrial says that each send of it must be granted; Trials is the number of those that were.
 	OnTrial bool `json:"on_trial"`
 	Trials  int  `json:"trials"`
@@ -131,7 +131,7 @@
 }
 
 // List gives what is known, those that are held first, then those with the most crashes.
-func (b *Book) List(now time.Duration) []Entry {
+func (b *Registry) List(now time.Duration) []Entry {
 	out := make([]Entry, 0, len(b.suspects))
 	for f, s := range b.suspects {
 		left, held := b.Held(now, f)
@@ -139,7 +139,7 @@
 			continue // cleared
 		}
 		out = append(out, Entry{
-			Fingerprint: f, Request: s.request, Held: held, LeftMS: left.Milliseconds(), Times: s.times, Kept: s.keptAt != 0,
+			Fingerprint: f, Request: s.request, Held: held, LeftMS: left.Milliseconds(), HoldCount: s.times, Saved: s.keptAt != 0,
 			OnTrial: s.onTrial, Trials: s.trials, Crashes: s.ends(now, f),
 		})
 	}
@@ -161,6 +161,8 @@
 	for life, c := range s.crashes {
 		out = append(out, Crash{f, life, (now - c.at).Milliseconds(), c.ran.Milliseconds(), c.mute, c.host, c.unsure})
 	}
-	slices.SortFunc(out, func(x, y Crash) int { return cmp.Or(cmp.Compare(y.AgeMS, x.AgeMS), cmp.Compare(x.Life, y.Life)) })
+	slices.SortFunc(out, func(x, y Crash) int {
+		return cmp.Or(cmp.Compare(y.AgeMS, x.AgeMS), cmp.Compare(x.Incarnation, y.Incarnation))
+	})
 	return out
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -23,9 +23,9 @@
 		ok   bool
 	}{
 		{"the first", Record{}, 5, Record{WrittenMS: 5, Trials: 1}, true},
-		{"the last holds it", Record{Trials: mostTrials - 1}, 5, Record{WrittenMS: 5, Trials: mostTrials, Times: 1, UntilMS: 5 + first}, true},
-		{"none while it is held", Record{Trials: mostTrials, Times: 1, UntilMS: 7}, 6, Record{Trials: mostTrials, Times: 1, UntilMS: 7}, false},
-		{"one after that, for twice as long", Record{Trials: mostTrials, Times: 1, UntilMS: 7}, 7, Record{WrittenMS: 7, Trials: mostTrials + 1, Times: 2, UntilMS: 7 + second}, true},
+		{"the last holds it", Record{Trials: mostTrials - 1}, 5, Record{WrittenMS: 5, Trials: mostTrials, HoldCount: 1, UntilMS: 5 + first}, true},
+		{"none while it is held", Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, 6, Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, false},
+		{"one after that, for twice as long", Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, 7, Record{WrittenMS: 7, Trials: mostTrials + 1, HoldCount: 2, UntilMS: 7 + second}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -36,13 +36,15 @@
 }
 
 // late is the end of an endpoint that had answered for a while.
-func late(life string, at time.Duration) End { return End{Life: life, At: at, Ran: time.Minute} }
+func late(life string, at time.Duration) Termination {
+	return Termination{Incarnation: life, At: at, RequestAge: time.Minute}
+}
 
 // onTrial gives a book with a request on trial at a time.
-func onTrial(f Fingerprint, at time.Duration) *Book {
-	b := &Book{Endpoints: 1}
+func onTrial(f Fingerprint, at time.Duration) *Registry {
+	b := &Registry{Endpoints: 1}
 	for i := range trialEnds {
-		b.Crashed(at, f, late(fmt.Sprint("life-", i), at))
+		b.NoteCrash(at, f, late(fmt.Sprint("life-", i), at))
 	}
 	return b
 }
@@ -56,17 +58,17 @@
 		r := b.Record(now, unixMS, f)
 		must.EqOp(t, n, r.Trials)
 		must.True(t, r.Grant(unixMS))
-		b = &Book{}
+		b = &Registry{}
 		b.Restore(now, unixMS, &r)
 	}
 	left, held := b.Held(now, f)
 	must.True(t, held)
 	must.EqOp(t, firstHold, left)
-	must.EqOp(t, trialPause, b.After(now, f)) // the last one may be answered yet
-	must.EqOp(t, firstHold-trialTime, b.After(now+trialTime, f))
+	must.EqOp(t, trialPause, b.RetryAfter(now, f)) // the last one may be answered yet
+	must.EqOp(t, firstHold-trialTime, b.RetryAfter(now+trialTime, f))
 	must.SliceLen(t, 1, b.List(now))
-	must.SliceEmpty(t, b.Unkept(now+renewAfter-time.Second, unixMS))
-	must.SliceLen(t, 1, b.Unkept(now+renewAfter+time.Second, unixMS))
+	must.SliceEmpty(t, b.Unsaved(now+renewAfter-time.Second, unixMS))
+	must.SliceLen(t, 1, b.Unsaved(now+renewAfter+time.Second, unixMS))
 }
 
 // TestAnswerEndsTrial checks that an answer clears what was granted before it, in the record too, and nothing that was granted after it by a host
@@ -84,9 +86,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := onTrial(f, now-10*time.Second)
-			b.Crashed(now-5*time.Second, f, late("one more", now-5*time.Second))
+			b.NoteCrash(now-5*time.Second, f, late("one more", now-5*time.Second))
 			other := b.Record(now, unixMS-5000, f)
-			must.True(t, b.Answered(now, f))
+			must.True(t, b.NoteAnswer(now, f))
 			must.False(t, b.OnTrial(now, f))
 			must.True(t, other.Grant(unixMS+c.writes.Milliseconds()))
 			later := 2 * time.Second
@@ -106,11 +108,11 @@
 	b.Restore(now, unixMS, &r)
 	deaf.Restore(now, unixMS, &r)
 	now += time.Second
-	b.Answered(now, f)
-	told := b.Tell(now, All)
-	must.True(t, deaf.Hear(now, &told))
+	b.NoteAnswer(now, f)
+	told := b.Outgoing(now, All)
+	must.True(t, deaf.Merge(now, &told))
 	must.False(t, deaf.OnTrial(now, f))
-	must.SliceEmpty(t, deaf.Freed(now))
-	must.Eq(t, []Clear{{f, 1000}}, b.Freed(now+time.Second))
-	must.SliceEmpty(t, b.Freed(now))
+	must.SliceEmpty(t, deaf.TakeRecordsToRemove(now))
+	must.Eq(t, []Clear{{f, 1000}}, b.TakeRecordsToRemove(now+time.Second))
+	must.SliceEmpty(t, b.TakeRecordsToRemove(now))
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -21,14 +21,14 @@
 
 // OnTrial tells whether a request may be sent only if that is granted: endpoints ended under it, and it was not answered since. It bounds what a request
 // takes that lets endpoints work for a while and ends them then, however likely each of these ends was by chance.
-func (b *Book) OnTrial(now time.Duration, f Fingerprint) bool {
+func (b *Registry) OnTrial(now time.Duration, f Fingerprint) bool {
 	s := b.suspects[f]
 	return s != nil && s.onTrial && now >= s.until
 }
 
-// After is the time after which a request that is held may be sent again, as callers are told: soon while a send on trial may yet be answered, which
+// RetryAfter is the time after which a request that is held may be sent again, as callers are told: soon while a send on trial may yet be answered, which
 // would clear it.
-func (b *Book) After(now time.Duration, f Fingerprint) time.Duration {
+func (b *Registry) RetryAfter(now time.Duration, f Fingerprint) time.Duration {
 	left, held := b.Held(now, f)
 	s := b.suspects[f]
 	if held && s.tried > 0 && s.tried >= s.newest && now-s.tried < trialTime {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -23,15 +23,15 @@
 	leastRan = 10 * time.Millisecond
 )
 
-// Surprise is how unlikely it is, in nats, that a request which had been at an endpoint for a time met its end by chance, where an
+// Surprisal is how unlikely it is, in nats, that a request which had been at an endpoint for a time met its end by chance, where an
 // endpoint ends at a rate, in ends a second: -ln(1-exp(-rate·ran)).
-func Surprise(rate float64, ran time.Duration) float64 {
+func Surprisal(rate float64, ran time.Duration) float64 {
 	return -math.Log(-math.Expm1(-rate * max(ran, leastRan).Seconds()))
 }
 
 // rate is the rate at which an endpoint ends, in ends a second, as far as no request is known to have caused it. One end more than was seen keeps a quiet
 // time from making the next one a wonder.
-func (b *Book) rate(now time.Duration) float64 {
+func (b *Registry) rate(now time.Duration) float64 {
 	ends := 1
 	for _, d := range b.deaths {
 		if now-d.at < rateWindow && d.by == (Fingerprint{}) {
@@ -43,15 +43,15 @@
 
 // Verdict is what is made of the ends of endpoints under a request.
 type Verdict struct {
-	// Ends is the number of endpoints that ended under it, Mute that of those which ended before a sign of an answer, as far as no other request that is
+	// Crashes is the number of endpoints that ended under it, Mute that of those which ended before a sign of an answer, as far as no other request that is
 	// held has caused them.
-	Ends, Mute int
-	// Surprise is how unlikely the ends are by chance, in nats.
-	Surprise float64
+	Crashes, NoResponse int
+	// Surprisal is how unlikely the ends are by chance, in nats.
+	Surprisal float64
 }
 
 // Verdict gives what is made of a request now.
-func (b *Book) Verdict(now time.Duration, f Fingerprint) Verdict {
+func (b *Registry) Verdict(now time.Duration, f Fingerprint) Verdict {
 	var v Verdict
 	s := b.suspects[f]
 	if s == nil {
@@ -65,18 +65,18 @@
 		if d := b.deaths[life]; d.by != (Fingerprint{}) && d.by != f {
 			continue
 		}
-		v.Ends++
+		v.Crashes++
 		if c.mute {
-			v.Mute++
+			v.NoResponse++
 		}
-		v.Surprise += Surprise(rate, c.ran)
+		v.Surprisal += Surprisal(rate, c.ran)
 	}
 	return v
 }
 
 // crashes reports whether endpoints crash under a request. What a request that is held has caused is no evidence against others
 // that were there.
-func (b *Book) crashes(now time.Duration, f Fingerprint) bool {
+func (b *Registry) crashes(now time.Duration, f Fingerprint) bool {
 	v := b.Verdict(now, f)
-	return v.Mute >= muteCrashes || v.Surprise >= leastSurprise
+	return v.NoResponse >= muteCrashes || v.Surprisal >= leastSurprise
 }
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -8,18 +8,20 @@
 
 // verdict is a way to tell which requests crash endpoints.
 type verdict interface {
-	crashed(now time.Duration, f Fingerprint, e End, beside int)
+	crashed(now time.Duration, f Fingerprint, e Termination, beside int)
 	answered(now time.Duration, f Fingerprint)
 	held(now time.Duration, f Fingerprint) bool
 }
 
 // byBook is the way that is kept.
-type byBook struct{ Book }
+type byBook struct{ Registry }
 
-func (b *byBook) crashed(now time.Duration, f Fingerprint, e End, _ int) { b.Crashed(now, f, e) }
+func (b *byBook) crashed(now time.Duration, f Fingerprint, e Termination, _ int) {
+	b.NoteCrash(now, f, e)
+}
 func (b *byBook) answered(now time.Duration, f Fingerprint) {
 	if !b.Empty() {
-		b.Answered(now, f)
+		b.NoteAnswer(now, f)
 	}
 }
 
@@ -43,11 +45,11 @@
 	lives map[Fingerprint]map[string]bool
 }
 
-func (c *byCount) crashed(_ time.Duration, f Fingerprint, e End, _ int) {
+func (c *byCount) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
 	if c.lives[f] == nil {
 		c.lives[f] = make(map[string]bool)
 	}
-	c.lives[f][e.Life] = true
+	c.lives[f][e.Incarnation] = true
 }
 func (c *byCount) answered(_ time.Duration, f Fingerprint) { delete(c.lives, f) }
 func (c *byCount) held(_ time.Duration, f Fingerprint) bool {
@@ -63,11 +65,11 @@
 	runs map[Fingerprint]int
 }
 
-func (b *byTrials) crashed(_ time.Duration, f Fingerprint, e End, _ int) {
+func (b *byTrials) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
 	if b.ends[f] == nil {
 		b.ends[f] = make(map[string]bool)
 	}
-	b.ends[f][e.Life] = e.Mute
+	b.ends[f][e.Incarnation] = e.NoResponse
 }
 
 func (b *byTrials) answered(_ time.Duration, f Fingerprint) {
@@ -98,7 +100,7 @@
 	blame map[Fingerprint]float64
 }
 
-func (s *byShare) crashed(_ time.Duration, f Fingerprint, _ End, beside int) {
+func (s *byShare) crashed(_ time.Duration, f Fingerprint, _ Termination, beside int) {
 	s.blame[f] += 1 / float64(beside)
 }
 func (s *byShare) answered(_ time.Duration, f Fingerprint) { delete(s.blame, f) }
