--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -299,12 +299,12 @@
 		return unsent, holdUnreachable
 	}
 	if c.bar = c.checkSend(ctx); c.bar != nil {
-		conn.Done()
+		conn.Release()
 		return barred, 0
 	}
 	left := c.deadline - c.s.Now()
 	if left <= 0 || ctx.Err() != nil {
-		conn.Done()
+		conn.Release()
 		return given, 0
 	}
 	over, ok := c.s.balance.sending(c, func() {
@@ -313,7 +313,7 @@
 	})
 	defer over()
 	if !ok {
-		conn.Done()
+		conn.Release()
 		return unsent, 0
 	}
 	c.header.Set(c.s.Headers.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
@@ -331,7 +331,7 @@
 	}
 	clean := unwatch()
 	if tired || (!clean && c.mute && c.s.Now()-began >= silentFor) {
-		c.s.pool.Distrust(conn)
+		c.s.pool.CloseStale(conn)
 	}
 	if end != whole && (tired || !clean) {
 		c.countLostWork(tired, c.s.Now()-began)
@@ -342,7 +342,7 @@
 	case clean && (end == lost || end == given):
 		conn.Close()
 	case clean:
-		conn.Done()
+		conn.Release()
 	}
 	// What a send shows during which this process did not run tells nothing of the endpoint.
 	slept := c.s.Watch.WokeSince(began)
@@ -424,7 +424,7 @@
 	if err := conn.Send(&req); err != nil {
 		return lost, holdLost
 	}
-	resp, err := conn.Answer(c.r.Method, c.s.Headers.Attempt, c.id)
+	resp, err := conn.ReadResponse(c.r.Method, c.s.Headers.Attempt, c.id)
 	if err != nil {
 		return lost, holdLost
 	}
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -151,7 +151,7 @@
 		}
 	}
 	if least > 0 {
-		s.pool.SetIdle(int(idlePart * float64(least) / float64(hosts)))
+		s.pool.SetMaxIdle(int(idlePart * float64(least) / float64(hosts)))
 	}
 }
 
@@ -264,7 +264,7 @@
 }
 
 // Connections counts the connections opened to endpoints.
-func (s *Server) Connections() int64 { return s.pool.Opened() }
+func (s *Server) Connections() int64 { return s.pool.TotalOpened() }
 
 // Draw lets the host take its part of the free places; call it every 25 ms or so.
 func (s *Server) Draw() { s.balance.draw(s.Now()) }
--- a/ingress/woke.go
+++ b/ingress/woke.go
@@ -17,7 +17,7 @@
 // have mostly closed them, and what is learned of requests under way leaves the time out.
 func (s *Server) Woke(g clock.Gap) {
 	s.deadlines.woke()
-	s.pool.Drop()
+	s.pool.CloseIdle()
 	s.balance.woke(g.Ended - g.Began)
 }
 
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -97,16 +97,16 @@
 	return append(b, "\r\n"...)
 }
 
-// ErrForeign means that answers on the connection belong to other requests.
-var ErrForeign = eris.New("answer belongs to another request; the connection is dropped")
+// ErrWrongResponse means that answers on the connection belong to other requests.
+var ErrWrongResponse = eris.New("answer belongs to another request; the connection is dropped")
 
 // mostForeign bounds the surplus answers that are read over.
 const mostForeign = 3
 
-// Answer reads the head of the answer to a request. header names the header that
+// ReadResponse reads the head of the answer to a request. header names the header that
 // must hold id; a whole answer to an earlier request is read over, and the
 // connection is not used again.
-func (c *Conn) Answer(method, header, id string) (*http.Response, error) {
+func (c *Conn) ReadResponse(method, header, id string) (*http.Response, error) {
 	for range mostForeign {
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
 		if err != nil {
@@ -122,16 +122,16 @@
 		}
 		c.dirty = true
 		if resp.Header.Get(header) == "" {
-			return resp, ErrForeign
+			return resp, ErrWrongResponse
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, ErrForeign
+			return nil, ErrWrongResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrWrongResponse
 }
 
 // learn notes what an answer says of the connection.
@@ -151,8 +151,8 @@
 	}
 }
 
-// Done gives the connection back after a whole answer was read.
-func (c *Conn) Done() {
+// Release gives the connection back after a whole answer was read.
+func (c *Conn) Release() {
 	if c.writing != nil {
 		select {
 		case err := <-c.writing:
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	c.Done()
+	c.Release()
 	return nil
 }
 
@@ -99,16 +99,16 @@
 	return c
 }
 
-// Distrust closes the resting connections to the address of a connection on which an endpoint was
+// CloseStale closes the resting connections to the address of a connection on which an endpoint was
 // silent for too long, if they rest since before it was taken: what made one silent has mostly silenced
 // the others, and none of them tells. Those used since then have answered.
-func (p *Pool) Distrust(c *Conn) {
+func (p *Pool) CloseStale(c *Conn) {
 	p.drop(func(address string, o *Conn) bool { return address == c.address && o.idleAt <= c.takenAt })
 }
 
-// SetIdle bounds the idle connections of an address, so that all hosts together stay
+// SetMaxIdle bounds the idle connections of an address, so that all hosts together stay
 // well under what an endpoint takes.
-func (p *Pool) SetIdle(n int) {
+func (p *Pool) SetMaxIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = min(max(n, 1), mostIdle)
@@ -142,22 +142,22 @@
 	}
 }
 
-// Open tells how many connections to an address are open.
-func (p *Pool) Open(address string) int {
+// OpenCount tells how many connections to an address are open.
+func (p *Pool) OpenCount(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[address]
 }
 
-// Opened counts the connections ever opened.
-func (p *Pool) Opened() int64 {
+// TotalOpened counts the connections ever opened.
+func (p *Pool) TotalOpened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Drop closes all connections that rest.
-func (p *Pool) Drop() { p.drop(func(string, *Conn) bool { return true }) }
+// CloseIdle closes all connections that rest.
+func (p *Pool) CloseIdle() { p.drop(func(string, *Conn) bool { return true }) }
 
 // Sweep closes connections that rested too long; call it about once a second.
 func (p *Pool) Sweep() {
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -66,15 +66,15 @@
 			must.NoError(t, err)
 			must.False(t, reused)
 			far := <-conns
-			c.Done()
+			c.Release()
 			tc.rested(p, c, far)
 			c, reused, err = p.Get(context.Background(), address)
 			must.NoError(t, err)
 			must.EqOp(t, tc.reused, reused)
-			must.EqOp(t, 1, p.Open(address))
+			must.EqOp(t, 1, p.OpenCount(address))
 			c.Close()
 			c.Close() // twice does no harm
-			must.EqOp(t, 0, p.Open(address))
+			must.EqOp(t, 0, p.OpenCount(address))
 		})
 	}
 }
@@ -83,7 +83,7 @@
 func TestIdleBound(t *testing.T) {
 	address, _ := listen(t)
 	p := &Pool{Now: func() time.Duration { return 0 }, DialTimeout: 10 * time.Second}
-	p.SetIdle(2)
+	p.SetMaxIdle(2)
 	var all []*Conn
 	for range 5 {
 		c, _, err := p.Get(context.Background(), address)
@@ -91,10 +91,10 @@
 		all = append(all, c)
 	}
 	for _, c := range all {
-		c.Done()
+		c.Release()
 	}
-	must.EqOp(t, 2, p.Open(address))
-	must.EqOp(t, 5, p.Opened())
+	must.EqOp(t, 2, p.OpenCount(address))
+	must.EqOp(t, 5, p.TotalOpened())
 }
 
 // TestKeepAlive checks how long a connection rests by what the endpoint says.
@@ -120,7 +120,7 @@
 			}()
 			c := &Conn{pool: &Pool{}, net: near, rest: defaultRest}
 			c.br = bufio.NewReader(near)
-			_, err := c.Answer("GET", "X-Id", "7")
+			_, err := c.ReadResponse("GET", "X-Id", "7")
 			must.NoError(t, err)
 			must.EqOp(t, tc.want, c.rest)
 			must.EqOp(t, tc.dirty, c.dirty)
--- a/upstream/silent_test.go
+++ b/upstream/silent_test.go
@@ -46,16 +46,16 @@
 			}
 			for i, at := range tc.rests {
 				if at == 0 {
-					others[i].Done()
+					others[i].Release()
 				}
 			}
 			now = 200 * time.Millisecond
 			for i, at := range tc.rests {
 				if at != 0 {
-					others[i].Done()
+					others[i].Release()
 				}
 			}
-			p.Distrust(silent)
+			p.CloseStale(silent)
 			silent.Close()
 			for range tc.reused {
 				_, reused := get()
