--- a/edge/host.go
+++ b/edge/host.go
@@ -91,12 +91,12 @@
 	watch     clock.Watch
 	waking    waking
 	store     *platform.Store
-	reach     *feed.Reach
+	reach     *feed.StoreHealth
 	settings  *feed.Settings
 	endpoints *feed.Endpoints
 	ingress   *ingress.Server
 	agent     *peers.Agent
-	entry     *feed.Entry
+	entry     *feed.HostRegistry
 	records   *records
 	keeping   bool         // this host keeps an entry; of entry.Run only
 	found     atomic.Int64 // hosts that there are by their entries in the store
@@ -171,17 +171,17 @@
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
 		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
-	h.reach = &feed.Reach{
-		Now: h.now, Awake: h.watch.Ran, Silent: time.Duration(silentShare * float64(b.DrainTime)), Pause: endpointsPause,
-		Lapses: feed.Lapses{
-			After: lapseBeats * b.Heartbeat, Back: backTime, Keep: time.Duration(lapseShare * float64(b.ContactTime)),
+	h.reach = &feed.StoreHealth{
+		Now: h.now, RunTime: h.watch.Ran, OutageAfter: time.Duration(silentShare * float64(b.DrainTime)), RetryInterval: endpointsPause,
+		LapseTimes: feed.LapseTimes{
+			MinOutage: lapseBeats * b.Heartbeat, RenewTime: backTime, MaxKeep: time.Duration(lapseShare * float64(b.ContactTime)),
 		},
 	}
 	h.settings = &feed.Settings{
 		Store: h.store, Prefix: platform.PrefixConfig, Key: platform.KeyConfig, Parse: platform.ParseConfig, Now: h.now,
-		Wait: time.Duration(watchShare * float64(b.RevokeTime)), Pause: settingsPause, Turn: h.turn, Far: h.far,
-		Reach: h.reach, Most: time.Duration(settledShare * float64(b.ConfigTime)),
-		Changed: h.newTable, Log: h.Log.WithName("settings"),
+		WatchTimeout: time.Duration(watchShare * float64(b.RevokeTime)), RetryInterval: settingsPause, Rank: h.turn, ViaRelay: h.far,
+		StoreHealth: h.reach, MaxAge: time.Duration(settledShare * float64(b.ConfigTime)),
+		OnChange: h.newTable, Log: h.Log.WithName("settings"),
 	}
 	h.ingress.Settings = h.settings
 	h.ingress.Init()
@@ -190,19 +190,19 @@
 	h.ingress.SetAges(ages(b))
 	h.endpoints = &feed.Endpoints{
 		Store: h.store, Prefix: platform.PrefixEndpoints, Parse: platform.ParseEndpoint, Now: h.now,
-		Every: time.Duration(listShare * float64(b.DrainTime)), Wait: listWait, Pause: endpointsPause, Turn: h.turn, Far: h.far,
-		Reach: h.reach, Most: time.Duration(usableShare * float64(b.DrainTime)),
-		Changed: h.newEndpoints, Log: h.Log.WithName("endpoints"),
+		Interval: time.Duration(listShare * float64(b.DrainTime)), WatchTimeout: listWait, RetryInterval: endpointsPause, Rank: h.turn, ViaRelay: h.far,
+		StoreHealth: h.reach, MaxAge: time.Duration(usableShare * float64(b.DrainTime)),
+		OnChange: h.newEndpoints, Log: h.Log.WithName("endpoints"),
 	}
 	h.endpoints.Init()
-	h.entry = &feed.Entry{
+	h.entry = &feed.HostRegistry{
 		Store: h.store, Key: platform.PrefixHosts + b.Host, Prefix: platform.PrefixOwn, Value: h.entryValue,
-		Kept: h.keepsEntry, Hosts: h.knownHosts, Life: 10 * time.Second, Found: h.foundOwn, Log: h.Log.WithName("entry"),
+		ShouldRegister: h.keepsEntry, HostCount: h.knownHosts, TTL: 10 * time.Second, OnEntries: h.foundOwn, Log: h.Log.WithName("entry"),
 	}
 }
 
 // provenAt tells when the list of endpoints was surely the newest.
-func (h *Host) provenAt() (time.Duration, bool) { return h.endpoints.Proven() }
+func (h *Host) provenAt() (time.Duration, bool) { return h.endpoints.ProvenAt() }
 
 // storeDialTimeout bounds the opening of a connection to the store. It is longer than any call: a connection that is opened late because this
 // process waits for the processor must not fail before the call, whose silence is judged by the time in which the process ran.
--- a/edge/join.go
+++ b/edge/join.go
@@ -85,7 +85,7 @@
 	for _, it := range items {
 		e := feed.ParseHostEntry(it.Value)
 		seeds = append(seeds, e.Address)
-		hosts = max(hosts, e.Hosts)
+		hosts = max(hosts, e.HostCount)
 	}
 	h.agent.SetExtraSeeds(seeds)
 	h.found.Store(int64(hosts))
@@ -99,7 +99,7 @@
 		step := math.Ceil(math.Log(float64(n)) / math.Log(sizeSteps))
 		n = int(math.Ceil(math.Pow(sizeSteps, step)))
 	}
-	return feed.HostEntry{Address: h.peerAddress(), Hosts: n}.Bytes()
+	return feed.HostEntry{Address: h.peerAddress(), HostCount: n}.Encode()
 }
 
 // knownHosts is the number of hosts that may run, this one included.
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -54,7 +54,7 @@
 // TestEntryTellsHosts holds what entries tell of the number of hosts, and what a host makes of them.
 func TestEntryTellsHosts(t *testing.T) {
 	h := joiner(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600})
-	must.Eq(t, feed.HostEntry{Address: "10.0.0.1:7600", Hosts: 1}, feed.ParseHostEntry(h.entryValue()))
+	must.Eq(t, feed.HostEntry{Address: "10.0.0.1:7600", HostCount: 1}, feed.ParseHostEntry(h.entryValue()))
 	must.True(t, h.keepsEntry())
 	cases := []struct {
 		name  string
@@ -63,7 +63,7 @@
 	}{
 		{"none", nil, 1},
 		{"as many as entries", make([]feed.Item, 5), 5},
-		{"more than entries", []feed.Item{{Value: feed.HostEntry{Address: "10.0.0.2:7600", Hosts: 295}.Bytes()}, {Value: []byte("10.0.0.3:7600")}}, 295},
+		{"more than entries", []feed.Item{{Value: feed.HostEntry{Address: "10.0.0.2:7600", HostCount: 295}.Encode()}, {Value: []byte("10.0.0.3:7600")}}, 295},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/edge/records.go
+++ b/edge/records.go
@@ -57,7 +57,7 @@
 	}
 	key := platform.PrefixRecords + r.Fingerprint.String()
 	swapped, it, err := k.store.Swap(ctx, key, value, lease, revision)
-	if errors.Is(err, feed.ErrLease) {
+	if errors.Is(err, feed.ErrLeaseExpired) {
 		k.forget(lease)
 	}
 	if err != nil || swapped || it.Revision == 0 {
--- a/edge/records_test.go
+++ b/edge/records_test.go
@@ -34,7 +34,7 @@
 
 func (s *oneKey) Swap(_ context.Context, key string, value []byte, _, revision uint64) (bool, feed.Item, error) {
 	if s.over {
-		return false, feed.Item{}, feed.ErrLease
+		return false, feed.Item{}, feed.ErrLeaseExpired
 	}
 	if revision != s.item.Revision {
 		return false, s.item, nil
@@ -116,7 +116,7 @@
 	must.NoError(t, write())
 	must.EqOp(t, 2, s.leases)
 	s.over = true
-	must.ErrorIs(t, write(), feed.ErrLease)
+	must.ErrorIs(t, write(), feed.ErrLeaseExpired)
 	must.NoError(t, write())
 	must.EqOp(t, 3, s.leases)
 }
--- a/edge/share.go
+++ b/edge/share.go
@@ -38,7 +38,7 @@
 		settings = peers.Stamp{Revision: h.settings.Age.Revision(), AgeMS: age.Milliseconds() + 1}
 	}
 	if v, ok := h.endpoints.View(); ok {
-		endpoints = peers.Stamp{Revision: v.Revision, Sum: v.Sum, AgeMS: (now - v.At).Milliseconds() + 1}
+		endpoints = peers.Stamp{Revision: v.Revision, Sum: v.Checksum, AgeMS: (now - v.ProvenAt).Milliseconds() + 1}
 	}
 	return settings, endpoints
 }
@@ -75,7 +75,7 @@
 		}
 	}
 	if v := p.Endpoints; v.Known {
-		endpoints = h.endpoints.Proved(viewOf(v))
+		endpoints = h.endpoints.ReceiveView(viewOf(v))
 	}
 	if settings {
 		want(h.wantedSettings, p)
@@ -97,7 +97,9 @@
 }
 
 // viewOf names the endpoints that a peer proved.
-func viewOf(v peers.Version) feed.View { return feed.View{Revision: v.Revision, Sum: v.Sum, At: v.At} }
+func viewOf(v peers.Version) feed.View {
+	return feed.View{Revision: v.Revision, Checksum: v.Sum, ProvenAt: v.At}
+}
 
 // fetchSettings and fetchEndpoints ask peers for what they know better, until ctx ends. The list of endpoints does not wait for
 // settings, which may be large: both have bounds on their age.
@@ -144,7 +146,7 @@
 	var l feed.EndpointList
 	if h.ask(ctx, p.Control, pathEndpoints, &l) {
 		h.endpoints.Offer(l)
-		h.endpoints.Proved(viewOf(p.Endpoints))
+		h.endpoints.ReceiveView(viewOf(p.Endpoints))
 	}
 }
 
--- a/edge/vars.go
+++ b/edge/vars.go
@@ -29,9 +29,9 @@
 	SettingsRefused  int64  `json:"settings_refused"`
 	// Endpoints counts the endpoints by what this host takes them for; EndpointsRevision and
 	// EndpointsAgeMS tell which list is in force and how old it may be, -1 for none.
-	Endpoints         map[feed.Belief]int `json:"endpoints"`
-	EndpointsRevision uint64              `json:"endpoints_revision"`
-	EndpointsAgeMS    int64               `json:"endpoints_age_ms"`
+	Endpoints         map[feed.State]int `json:"endpoints"`
+	EndpointsRevision uint64             `json:"endpoints_revision"`
+	EndpointsAgeMS    int64              `json:"endpoints_age_ms"`
 	// EndpointsForeign counts the entries that another program wrote in the place of endpoints'.
 	EndpointsForeign int `json:"endpoints_foreign"`
 	// Fetches counts the questions to other hosts for newer settings and lists, FetchesFailed those without an answer in time, and
@@ -66,22 +66,22 @@
 func (h *Host) vars() vars {
 	v := vars{
 		Requests: h.ingress.Count.All(), Series: h.ingress.Metrics.Export(), Active: h.ingress.Active(), SettingsAgeMS: -1,
-		SettingsRevision: h.settings.Age.Revision(), SettingsRefused: h.settings.Refused(),
+		SettingsRevision: h.settings.Age.Revision(), SettingsRefused: h.settings.RefusedCount(),
 		PeersLive: len(h.agent.Live()), PeersCounted: len(h.agent.Unexpired()),
 		Connections: h.ingress.Connections(), Ready: h.ready(), Fresh: h.ingress.Fresh(),
 	}
 	if age, ok := h.settings.Age.At(h.now()); ok {
 		v.SettingsAgeMS = age.Milliseconds()
 	}
-	v.Endpoints, v.EndpointsAgeMS = h.endpoints.Beliefs(), -1
+	v.Endpoints, v.EndpointsAgeMS = h.endpoints.StateCounts(), -1
 	v.Fetches, v.FetchesFailed, v.FetchLongestMS = h.fetched.asked.Load(), h.fetched.failed.Load(), h.fetched.longestMS.Load()
 	v.PlacesOwned = h.ingress.PlacesOwned()
 	v.EndpointsEjected, v.Ejections = h.ingress.Ejected()
 	v.Wakes, v.AsleepMS = h.waking.count.Load(), h.waking.gapMS.Load()
 	v.RequestsSuspected, v.RequestsHeld = h.ingress.Suspected()
-	v.EndpointsForeign = h.endpoints.Foreign()
+	v.EndpointsForeign = h.endpoints.ForeignCount()
 	if view, ok := h.endpoints.View(); ok {
-		v.EndpointsRevision, v.EndpointsAgeMS = view.Revision, (h.now() - view.At).Milliseconds()
+		v.EndpointsRevision, v.EndpointsAgeMS = view.Revision, (h.now() - view.ProvenAt).Milliseconds()
 	}
 	return v
 }
--- a/edge/woke.go
+++ b/edge/woke.go
@@ -36,9 +36,9 @@
 	// Who is at the other end has mostly given the connections up.
 	h.store.HTTP.CloseIdleConnections()
 	h.peerHTTP.CloseIdleConnections()
-	h.settings.Wake()
-	h.endpoints.Wake()
-	h.entry.Wake()
+	h.settings.NoteGap()
+	h.endpoints.NoteGap()
+	h.entry.NoteGap()
 }
 
 // unproven reports whether the host woke and has heard nothing of settings and endpoints since: neither a proof that they were the
@@ -52,7 +52,7 @@
 	now, at := h.now(), time.Duration(woke)
 	view, listed := h.endpoints.View()
 	age, known := h.settings.Age.At(now)
-	proven := listed && view.At >= at && known && now-age >= at
+	proven := listed && view.ProvenAt >= at && known && now-age >= at
 	if level := time.Duration(h.waking.level.Load()); now-at < unprovenFor && !proven && level < at {
 		return true
 	}
--- a/feed/asker.go
+++ b/feed/asker.go
@@ -28,7 +28,7 @@
 
 // asker asks the store for one of those who follow it.
 type asker struct {
-	reach *Reach
+	reach *StoreHealth
 	// turn is this host's turn, or nil.
 	turn func() int
 	// pause is the time between tries while the store fails.
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if a.reach.isOut() {
-		if err := a.ask(ctx, 0); !errors.Is(err, ErrHistory) {
+		if err := a.ask(ctx, 0); !errors.Is(err, ErrCompacted) {
 			return err
 		}
 	}
@@ -71,7 +71,7 @@
 				over()
 				return nil
 			}
-			if !errors.Is(err, ErrHistory) || n > 1 {
+			if !errors.Is(err, ErrCompacted) || n > 1 {
 				sleep(ctx, a.pace(n))
 			} // else at once: what the store forgot is to be read anew
 		case <-pace.Done():
@@ -112,7 +112,7 @@
 	defer cancel()
 	err := a.call(cctx, call.sent, wait)
 	switch {
-	case err == nil || ctx.Err() != nil || errors.Is(err, ErrHistory):
+	case err == nil || ctx.Err() != nil || errors.Is(err, ErrCompacted):
 		a.reach.end(call)
 	case cctx.Err() != nil:
 		a.reach.giveUp(call)
--- a/feed/belief_test.go
+++ b/feed/belief_test.go
@@ -17,16 +17,16 @@
 	cases := []struct {
 		name     string
 		old, now []Endpoint
-		want     []Turnover
+		want     []Transition
 	}{
 		{"nothing", nil, nil, nil},
 		{"the same", []Endpoint{ready("a")}, []Endpoint{ready("a")}, nil},
 		{"a new place or pace alone", []Endpoint{ready("a")}, []Endpoint{{Instance: "a", Slots: 9}}, nil},
-		{"the first list", nil, []Endpoint{ready("a"), ready("b")}, []Turnover{{Unknown, Ready, []string{"a", "b"}}}},
-		{"one leaves", []Endpoint{ready("a"), ready("b")}, []Endpoint{ready("a"), leaving("b")}, []Turnover{{Ready, Leaving, []string{"b"}}}},
+		{"the first list", nil, []Endpoint{ready("a"), ready("b")}, []Transition{{Unknown, Ready, []string{"a", "b"}}}},
+		{"one leaves", []Endpoint{ready("a"), ready("b")}, []Endpoint{ready("a"), leaving("b")}, []Transition{{Ready, Leaving, []string{"b"}}}},
 		{
 			"one each", []Endpoint{ready("a"), leaving("b"), lapsed("c"), lapsed("d")}, []Endpoint{lapsed("a"), ready("c"), ready("e")},
-			[]Turnover{{Ready, Lapsed, []string{"a"}}, {Leaving, Unknown, []string{"b"}}, {Lapsed, Ready, []string{"c"}}, {Lapsed, Unknown, []string{"d"}}, {Unknown, Ready, []string{"e"}}},
+			[]Transition{{Ready, Lapsed, []string{"a"}}, {Leaving, Unknown, []string{"b"}}, {Lapsed, Ready, []string{"c"}}, {Lapsed, Unknown, []string{"d"}}, {Unknown, Ready, []string{"e"}}},
 		},
 	}
 	for _, tc := range cases {
--- a/feed/calls_test.go
+++ b/feed/calls_test.go
@@ -101,11 +101,11 @@
 				start := time.Now()
 				now := func() time.Duration { return time.Since(start) }
 				e := &Endpoints{
-					Store: m, Prefix: "servers/", Every: 1200 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond,
-					Most: 2700 * time.Millisecond, Parse: parseEndpoint, Now: now, Reach: testReach(now),
-					Changed: func([]Endpoint) {}, Log: logr.Discard(),
+					Store: m, Prefix: "servers/", Interval: 1200 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
+					MaxAge: 2700 * time.Millisecond, Parse: parseEndpoint, Now: now, StoreHealth: testReach(now),
+					OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 				}
-				e.Reach.Silent, e.Reach.Awake = 600*time.Millisecond, func() time.Duration { return now() / slowness }
+				e.StoreHealth.OutageAfter, e.StoreHealth.RunTime = 600*time.Millisecond, func() time.Duration { return now() / slowness }
 				e.Init()
 				go e.Run(ctx)
 				time.Sleep(2 * time.Second)
@@ -114,13 +114,13 @@
 				const looks = 600
 				for range looks {
 					time.Sleep(50 * time.Millisecond)
-					at, _ := e.Proven()
+					at, _ := e.ProvenAt()
 					if !e.Usable() {
 						continue
 					}
 					usable++
 					if !tc.dark {
-						must.LessEq(t, e.Most, now()-at)
+						must.LessEq(t, e.MaxAge, now()-at)
 					}
 				}
 				must.Greater(t, int(looks*tc.least), usable)
@@ -138,13 +138,13 @@
 }
 
 func (s longStore) Range(ctx context.Context, prefix string, stale bool) (Page, error) {
-	Heard(ctx)
+	AnswerStarted(ctx)
 	sleep(ctx, s.took)
 	return s.memoryStore.Range(ctx, prefix, stale)
 }
 
 func (s longStore) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (Page, error) {
-	Heard(ctx)
+	AnswerStarted(ctx)
 	sleep(ctx, s.took)
 	return s.memoryStore.Watch(ctx, prefix, since, wait)
 }
@@ -164,16 +164,16 @@
 				m := newMemoryStore()
 				m.put("servers/a", "ready")
 				e := &Endpoints{
-					Store: longStore{m, took}, Prefix: "servers/", Every: 800 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond,
-					Most: 2700 * time.Millisecond, Parse: parseEndpoint, Now: now, Reach: testReach(now),
-					Changed: func([]Endpoint) {}, Log: logr.Discard(),
+					Store: longStore{m, took}, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
+					MaxAge: 2700 * time.Millisecond, Parse: parseEndpoint, Now: now, StoreHealth: testReach(now),
+					OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 				}
 				e.Init()
 				go e.Run(ctx)
 				for range 400 {
 					time.Sleep(50 * time.Millisecond)
-					must.False(t, e.Reach.isOut())
-					must.False(t, e.Reach.Excuses())
+					must.False(t, e.StoreHealth.isOut())
+					must.False(t, e.StoreHealth.FailedRecently())
 				}
 				cancel()
 				synctest.Wait()
--- a/feed/drain_test.go
+++ b/feed/drain_test.go
@@ -302,7 +302,7 @@
 			if left && !e.Leaving && now > at+drainTime {
 				return fmt.Sprintf("host %d at %s uses %+v, which left at %s", i, now, e, at)
 			}
-			used[e.Life()] = !e.Leaving
+			used[e.Incarnation()] = !e.Leaving
 		}
 		for name, born := range p.live {
 			if p.restarts && now > p.sound[i]+missTime && now > p.since[name]+missTime && !used[fmt.Sprint(name, "@", born)] {
--- a/feed/endpoint.go
+++ b/feed/endpoint.go
@@ -15,9 +15,9 @@
 	// its name.
 	Instance string `json:"instance"`
 	Service  string `json:"service"`
-	// Born tells the lives of an instance apart: the Unix time of its start in milliseconds by
+	// StartedMS tells the lives of an instance apart: the Unix time of its start in milliseconds by
 	// its own clock, or 0 if it does not tell.
-	Born int64 `json:"born,omitempty"`
+	StartedMS int64 `json:"born,omitempty"`
 	// Address is its IP number and port, Zone its availability zone.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -25,17 +25,17 @@
 	Slots int `json:"slots"`
 	// Leaving says that it gets no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Cold is how much longer it stays slow after its start, in nanoseconds.
-	Cold time.Duration `json:"cold,omitempty"`
+	// ColdLeft is how much longer it stays slow after its start, in nanoseconds.
+	ColdLeft time.Duration `json:"cold,omitempty"`
 	// Lapsed says that its entry went while the store was in trouble.
 	Lapsed bool `json:"lapsed,omitempty"`
 }
 
-// Life names one life of the endpoint: what was learned of another life of the same instance does
+// Incarnation names one life of the endpoint: what was learned of another life of the same instance does
 // not hold for it, and what ran there has ended.
-func (e *Endpoint) Life() string {
-	if e.Born == 0 {
+func (e *Endpoint) Incarnation() string {
+	if e.StartedMS == 0 {
 		return e.Instance
 	}
-	return e.Instance + "@" + strconv.FormatInt(e.Born, 10)
+	return e.Instance + "@" + strconv.FormatInt(e.StartedMS, 10)
 }
--- a/feed/endpoints.go
+++ b/feed/endpoints.go
@@ -25,20 +25,20 @@
 	Parse func(key string, value []byte) (Endpoint, error)
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
-	// Reach judges whether the store fails for this host.
-	Reach *Reach
-	// Every is the time between readings, Wait how long one may be idle.
-	Every, Wait time.Duration
-	// Pause is the time between tries while the store fails.
-	Pause time.Duration
-	// Turn is this host's turn to read, see Turns; nil means that it always reads.
-	Turn func() int
-	// Far tells whether proofs of peers reach this host by way of relays; nil means not.
-	Far func() bool
-	// Most is the age up to which work may be sent by the list while the store does not fail for this host; 0 means any.
-	Most time.Duration
-	// Changed is called with the list when it changes, sorted by instance.
-	Changed func([]Endpoint)
+	// StoreHealth judges whether the store fails for this host.
+	StoreHealth *StoreHealth
+	// Interval is the time between readings, Wait how long one may be idle.
+	Interval, WatchTimeout time.Duration
+	// RetryInterval is the time between tries while the store fails.
+	RetryInterval time.Duration
+	// Rank is this host's turn to read, see Turns; nil means that it always reads.
+	Rank func() int
+	// ViaRelay tells whether proofs of peers reach this host by way of relays; nil means not.
+	ViaRelay func() bool
+	// MaxAge is the age up to which work may be sent by the list while the store does not fail for this host; 0 means any.
+	MaxAge time.Duration
+	// OnChange is called with the list when it changes, sorted by instance.
+	OnChange func([]Endpoint)
 	// Log takes changes of state.
 	Log logr.Logger
 
@@ -65,11 +65,11 @@
 	e.left = make(leavers)
 	e.lives = make(lives)
 	e.foreign = make(foreign)
-	e.asker = asker{reach: e.Reach, turn: e.Turn, pause: e.Pause, wait: e.wait, call: e.ask}
+	e.asker = asker{reach: e.StoreHealth, turn: e.Rank, pause: e.RetryInterval, wait: e.wait, call: e.ask}
 	e.expiry = time.AfterFunc(time.Hour, e.expire)
 	e.expiry.Stop() // until entries lapse
 	// What has lapsed is dropped at its time, whether or not anything is read until then.
-	e.Reach.ended = func(lapsed time.Duration) { e.expiry.Reset(lapsed) }
+	e.StoreHealth.ended = func(lapsed time.Duration) { e.expiry.Reset(lapsed) }
 }
 
 // Run follows the store until ctx ends.
@@ -82,11 +82,11 @@
 	}
 }
 
-// Wake makes this host ask the store at once: it did not run for a while. What it knew of the store's state says nothing
+// NoteGap makes this host ask the store at once: it did not run for a while. What it knew of the store's state says nothing
 // of now, and an entry that went meanwhile is taken for one whose endpoint left, as at a start.
-func (e *Endpoints) Wake() {
+func (e *Endpoints) NoteGap() {
 	e.mu.Lock()
-	e.Reach.restart()
+	e.StoreHealth.restart()
 	if e.read {
 		e.tell()
 	}
@@ -106,8 +106,8 @@
 		return
 	}
 	// What a reading took beyond the usual has made the list older.
-	late := max(0, e.Now()-began-e.Wait-tryPace)
-	sleep(ctx, e.Every-late)
+	late := max(0, e.Now()-began-e.WatchTimeout-tryPace)
+	sleep(ctx, e.Interval-late)
 }
 
 // untilTurn is the time until this host has to read: while peers prove the list it waits
@@ -118,14 +118,14 @@
 	if len(e.lives.holds(e.Now())) > 0 {
 		e.tell() // one may have stood for long enough
 	}
-	if e.Turn == nil || !e.read {
+	if e.Rank == nil || !e.read {
 		return 0
 	}
-	turn := e.Turn()
+	turn := e.Rank()
 	if turn == 0 {
 		return 0
 	}
-	return e.proven + Turns(e.Every, turn, e.Far != nil && e.Far()) - e.Now()
+	return e.proven + ReadAge(e.Interval, turn, e.ViaRelay != nil && e.ViaRelay()) - e.Now()
 }
 
 // follow reads and reports whether that succeeded.
@@ -142,10 +142,10 @@
 
 // wait is how long a call waits for changes: only the host that reads for all does.
 func (e *Endpoints) wait() time.Duration {
-	if e.Turn != nil && e.Turn() > 0 {
+	if e.Rank != nil && e.Rank() > 0 {
 		return 0
 	}
-	return e.Wait
+	return e.WatchTimeout
 }
 
 // ask does one call, which is sent at a moment and waits for changes for a time.
@@ -159,7 +159,7 @@
 	} else {
 		err = e.readAll(ctx, sent)
 	}
-	if errors.Is(err, ErrHistory) {
+	if errors.Is(err, ErrCompacted) {
 		e.noteForgotten(sent)
 	}
 	return err
@@ -170,7 +170,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.forgot = true
-	e.Reach.answer(sent)
+	e.StoreHealth.answer(sent)
 	e.Log.Info("store forgot its history; all entries are read", "for", e.Prefix, "revision", e.at)
 }
 
@@ -194,8 +194,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Reach.answer(sent)
-	if e.read && p.At < e.at {
+	e.StoreHealth.answer(sent)
+	if e.read && p.Revision < e.at {
 		e.forgot = false
 		return nil // a peer has told of newer entries meanwhile
 	}
@@ -211,7 +211,7 @@
 	}
 	e.foreign.keep(here)
 	e.lives.keep(here)
-	e.read, e.forgot, e.at = true, false, max(e.at, p.At)
+	e.read, e.forgot, e.at = true, false, max(e.at, p.Revision)
 	e.prove(sent)
 	e.tell()
 	return nil
@@ -230,19 +230,19 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Reach.answer(sent)
+	e.StoreHealth.answer(sent)
 	for _, it := range p.Items {
 		if it.Revision <= e.at && e.at > since {
 			continue // a peer has told of it meanwhile
 		}
-		if it.Gone {
+		if it.Deleted {
 			e.gone(e.instance(it))
 			e.foreign.forget(e.instance(it))
 			continue
 		}
 		e.take(it)
 	}
-	e.at = max(e.at, p.At)
+	e.at = max(e.at, p.Revision)
 	e.prove(proven)
 	e.tell() // under the same lock: a peer must never get the old list with the new revision
 	return nil
@@ -259,14 +259,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	if !e.read || e.Most == 0 || now-e.proven <= e.Most {
+	if !e.read || e.MaxAge == 0 || now-e.proven <= e.MaxAge {
 		return e.read
 	}
-	return e.Reach.Excuses()
+	return e.StoreHealth.FailedRecently()
 }
 
-// Proven tells when the list was surely the newest, and false if there is none.
-func (e *Endpoints) Proven() (time.Duration, bool) {
+// ProvenAt tells when the list was surely the newest, and false if there is none.
+func (e *Endpoints) ProvenAt() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.proven, e.read
@@ -290,7 +290,7 @@
 	now := e.Now()
 	n, ok := e.lives.admit(n, now)
 	if !ok {
-		e.Log.Info("endpoint entry of an older life held back", "instance", n.Instance, "born", n.Born, "revision", it.Revision)
+		e.Log.Info("endpoint entry of an older life held back", "instance", n.Instance, "born", n.StartedMS, "revision", it.Revision)
 		e.drop(n.Instance)
 		return
 	}
@@ -310,7 +310,7 @@
 	if !ok {
 		return
 	}
-	if n.Leaving || !e.Reach.mayLapse() {
+	if n.Leaving || !e.StoreHealth.mayLapse() {
 		delete(e.known, name)
 		return
 	}
@@ -329,11 +329,11 @@
 func (e *Endpoints) tell() {
 	now := e.Now()
 	for _, n := range e.lives.due(now, e.proven, e.known) {
-		e.Log.Info("endpoint's clock was set back before its last start", "instance", n.Instance, "born", n.Born)
+		e.Log.Info("endpoint's clock was set back before its last start", "instance", n.Instance, "born", n.StartedMS)
 		e.known[n.Instance] = e.left.mark(n, now)
 	}
 	e.left.prune(now, e.known)
-	if !e.Reach.mayLapse() {
+	if !e.StoreHealth.mayLapse() {
 		maps.DeleteFunc(e.known, func(_ string, n Endpoint) bool { return n.Lapsed })
 	}
 	list := make([]Endpoint, 0, len(e.known))
@@ -346,16 +346,16 @@
 	}
 	e.logBeliefs(list)
 	e.told = list
-	e.Changed(list)
+	e.OnChange(list)
 }
 
 // logBeliefs writes a line for each kind of change between the list in force and the next
 // one; mu must be held. Lines are few: entries change when endpoints come, leave or lapse.
 func (e *Endpoints) logBeliefs(next []Endpoint) {
 	now := e.Now()
-	answered, failed := e.Reach.last()
+	answered, failed := e.StoreHealth.last()
 	for _, t := range turnovers(e.told, next) {
-		e.Log.Info("endpoints changed", "was", t.Was, "now", t.Now, "instances", t.Instances, "revision", e.at,
+		e.Log.Info("endpoints changed", "was", t.From, "now", t.To, "instances", t.Instances, "revision", e.at,
 			"proven_ms", (now - e.proven).Milliseconds(), "proven_before_ms", (now - e.before).Milliseconds(), "answered_ms", (now - answered).Milliseconds(),
 			"failed_ms", (now - failed).Milliseconds(), "failing", e.bad)
 	}
--- a/feed/entry.go
+++ b/feed/entry.go
@@ -18,8 +18,8 @@
 type HostEntry struct {
 	// Address is where it hears heartbeats.
 	Address string `json:"address"`
-	// Hosts is about the number of hosts that it knows, itself included.
-	Hosts int `json:"hosts"`
+	// HostCount is about the number of hosts that it knows, itself included.
+	HostCount int `json:"hosts"`
 }
 
 // ParseHostEntry reads an entry. One that holds nothing but an address is taken too, with one host.
@@ -28,33 +28,33 @@
 	if json.Unmarshal(value, &e) != nil || e.Address == "" {
 		e = HostEntry{Address: string(value)}
 	}
-	e.Hosts = max(1, e.Hosts)
+	e.HostCount = max(1, e.HostCount)
 	return e
 }
 
-// Bytes writes an entry.
-func (e HostEntry) Bytes() []byte {
+// Encode writes an entry.
+func (e HostEntry) Encode() []byte {
 	b, _ := json.Marshal(e) // a string and a number are always written
 	return b
 }
 
-// Entry reads the hosts' entries in the store now and then, and keeps this host's if it is one of
+// HostRegistry reads the hosts' entries in the store now and then, and keeps this host's if it is one of
 // those that do, so that hosts find each other when no address that they were given answers.
-type Entry struct {
+type HostRegistry struct {
 	// Store is where the entries lie, below Prefix.
 	Store  Store
 	Prefix string
 	// Key is where this host's entry is and Value gives what it is to hold.
 	Key   string
 	Value func() []byte
-	// Kept tells whether this host keeps an entry; nil means that it does.
-	Kept func() bool
-	// Hosts is about the number of hosts, of which all read the entries; nil means 1.
-	Hosts func() int
-	// Life is the time to live of the entry.
-	Life time.Duration
-	// Found is called with the entries of all hosts.
-	Found func([]Item)
+	// ShouldRegister tells whether this host keeps an entry; nil means that it does.
+	ShouldRegister func() bool
+	// HostCount is about the number of hosts, of which all read the entries; nil means 1.
+	HostCount func() int
+	// TTL is the time to live of the entry.
+	TTL time.Duration
+	// OnEntries is called with the entries of all hosts.
+	OnEntries func([]Item)
 	// Log takes changes of state.
 	Log logr.Logger
 
@@ -69,7 +69,7 @@
 
 // Run keeps the entry until ctx ends. Nothing depends on any single call. The others' entries
 // are read first: a host that starts is to know how many there are before it serves.
-func (e *Entry) Run(ctx context.Context) {
+func (e *HostRegistry) Run(ctx context.Context) {
 	e.List(ctx)
 	sleep(ctx, settleTime)
 	for n := 1; ctx.Err() == nil; n++ {
@@ -79,22 +79,22 @@
 	}
 }
 
-// Wake makes this host renew its entry at once: it did not run for a while, and the lease may be over.
-func (e *Entry) Wake() { e.nudge.now() }
+// NoteGap makes this host renew its entry at once: it did not run for a while, and the lease may be over.
+func (e *HostRegistry) NoteGap() { e.nudge.now() }
 
 // step reads the entries if they are due, keeps the own one, and waits.
-func (e *Entry) step(ctx context.Context, n int) {
+func (e *HostRegistry) step(ctx context.Context, n int) {
 	if n%e.listEvery() == 0 {
 		e.List(ctx)
 	}
-	if e.Kept == nil || e.Kept() {
+	if e.ShouldRegister == nil || e.ShouldRegister() {
 		if err := e.keep(ctx); err != nil {
 			e.Log.V(1).Info("entry not kept", "cause", err.Error())
 		}
 	} else {
 		e.lease = 0 // what was written goes with its lease
 	}
-	sleep(ctx, e.Life/3)
+	sleep(ctx, e.TTL/3)
 }
 
 // listed is the number of hosts that read the entries with each fourth renewal; of more hosts each
@@ -106,15 +106,15 @@
 
 // listEvery is the number of renewals between two readings of all entries. A host that hears no
 // other reads them each time.
-func (e *Entry) listEvery() int {
-	if e.Hosts == nil || e.Hosts() <= 1 {
+func (e *HostRegistry) listEvery() int {
+	if e.HostCount == nil || e.HostCount() <= 1 {
 		return 1
 	}
-	return listEvery * max(1, e.Hosts()/listed)
+	return listEvery * max(1, e.HostCount()/listed)
 }
 
 // List reads the entries of all hosts.
-func (e *Entry) List(ctx context.Context) {
+func (e *HostRegistry) List(ctx context.Context) {
 	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	p, err := e.Store.Range(cctx, e.Prefix, true)
@@ -122,11 +122,11 @@
 		e.Log.V(1).Info("entries not read", "cause", err.Error())
 		return
 	}
-	e.Found(p.Items)
+	e.OnEntries(p.Items)
 }
 
 // keep renews the lease, or writes the entry under a new one, or anew if its value changed.
-func (e *Entry) keep(ctx context.Context) error {
+func (e *HostRegistry) keep(ctx context.Context) error {
 	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	value := e.Value()
@@ -134,7 +134,7 @@
 	if lease != 0 {
 		err := e.Store.Renew(cctx, lease)
 		switch {
-		case errors.Is(err, ErrLease):
+		case errors.Is(err, ErrLeaseExpired):
 			lease = 0
 		case err != nil || bytes.Equal(value, e.written):
 			return err
@@ -142,7 +142,7 @@
 	}
 	if lease == 0 {
 		var err error
-		if lease, err = e.Store.Grant(cctx, e.Life); err != nil {
+		if lease, err = e.Store.Grant(cctx, e.TTL); err != nil {
 			return err
 		}
 	}
--- a/feed/entry_test.go
+++ b/feed/entry_test.go
@@ -47,7 +47,7 @@
 func (s *entryStore) Renew(context.Context, uint64) error {
 	s.renewals++
 	if s.over {
-		return ErrLease
+		return ErrLeaseExpired
 	}
 	return nil
 }
@@ -75,12 +75,12 @@
 				defer cancel()
 				start := time.Now()
 				s := &entryStore{}
-				e := &Entry{
-					Store: s, Prefix: "hosts/", Key: "hosts/a", Life: 6 * time.Second, Found: func([]Item) {}, Log: logr.Discard(),
-					Value: func() []byte { return []byte("a") }, Hosts: func() int { return tc.hosts },
+				e := &HostRegistry{
+					Store: s, Prefix: "hosts/", Key: "hosts/a", TTL: 6 * time.Second, OnEntries: func([]Item) {}, Log: logr.Discard(),
+					Value: func() []byte { return []byte("a") }, HostCount: func() int { return tc.hosts },
 				}
 				if tc.kept != nil {
-					e.Kept = func() bool { return tc.kept(time.Since(start)) }
+					e.ShouldRegister = func() bool { return tc.kept(time.Since(start)) }
 				}
 				go e.Run(ctx)
 				time.Sleep(30 * time.Second)
@@ -101,9 +101,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s, value := &entryStore{}, "one"
-		e := &Entry{
-			Store: s, Prefix: "hosts/", Key: "hosts/a", Life: 6 * time.Second, Found: func([]Item) {}, Log: logr.Discard(),
-			Value: func() []byte { return []byte(value) }, Hosts: func() int { return 300 },
+		e := &HostRegistry{
+			Store: s, Prefix: "hosts/", Key: "hosts/a", TTL: 6 * time.Second, OnEntries: func([]Item) {}, Log: logr.Discard(),
+			Value: func() []byte { return []byte(value) }, HostCount: func() int { return 300 },
 		}
 		go e.Run(ctx)
 		time.Sleep(4 * time.Second)
@@ -125,7 +125,7 @@
 		name, value string
 		want        HostEntry
 	}{
-		{"whole", string(HostEntry{Address: "10.0.0.1:7600", Hosts: 295}.Bytes()), HostEntry{"10.0.0.1:7600", 295}},
+		{"whole", string(HostEntry{Address: "10.0.0.1:7600", HostCount: 295}.Encode()), HostEntry{"10.0.0.1:7600", 295}},
 		{"of a version that wrote the address alone", "10.0.0.1:7600", HostEntry{"10.0.0.1:7600", 1}},
 		{"no number", `{"address":"10.0.0.1:7600"}`, HostEntry{"10.0.0.1:7600", 1}},
 		{"bad number", `{"address":"10.0.0.1:7600","hosts":-4}`, HostEntry{"10.0.0.1:7600", 1}},
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -55,7 +55,7 @@
 	defer m.mu.Unlock()
 	m.at++
 	delete(m.items, key)
-	m.log = append(m.log, Item{Key: key, Revision: m.at, Gone: true})
+	m.log = append(m.log, Item{Key: key, Revision: m.at, Deleted: true})
 }
 
 func (m *memoryStore) set(f func()) {
@@ -87,7 +87,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := Page{At: m.at}
+	p := Page{Revision: m.at}
 	for k, it := range m.items {
 		if strings.HasPrefix(k, prefix) {
 			p.Items = append(p.Items, it)
@@ -105,9 +105,9 @@
 		if m.forgot || since < m.forgotten {
 			m.forgot = false
 			m.mu.Unlock()
-			return Page{}, ErrHistory
+			return Page{}, ErrCompacted
 		}
-		p := Page{At: m.at}
+		p := Page{Revision: m.at}
 		for _, it := range m.log {
 			if it.Revision > since && strings.HasPrefix(it.Key, prefix) {
 				p.Items = append(p.Items, it)
@@ -146,8 +146,8 @@
 // followBy starts a Settings on a store by a clock.
 func followBy(ctx context.Context, m *memoryStore, now func() time.Duration) *Settings {
 	s := &Settings{
-		Store: m, Prefix: "op/", Key: "op/config", Parse: parseVersion, Wait: 1200 * time.Millisecond, Pause: 300 * time.Millisecond,
-		Now: now, Reach: testReach(now), Changed: func(*route.Table) {}, Log: logr.Discard(),
+		Store: m, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: 1200 * time.Millisecond, RetryInterval: 300 * time.Millisecond,
+		Now: now, StoreHealth: testReach(now), OnChange: func(*route.Table) {}, Log: logr.Discard(),
 	}
 	go s.Run(ctx)
 	return s
@@ -220,7 +220,7 @@
 }
 
 func TestSettingsOnlyForward(t *testing.T) {
-	s := &Settings{Parse: parseVersion, Changed: func(*route.Table) {}, Log: logr.Discard()}
+	s := &Settings{Parse: parseVersion, OnChange: func(*route.Table) {}, Log: logr.Discard()}
 	offers := []struct {
 		value    string
 		revision uint64
@@ -232,7 +232,7 @@
 		s.Offer([]byte(o.value), o.revision)
 		must.EqOp(t, o.want, s.Current().Table.Document.Routes[0].Name)
 	}
-	must.EqOp(t, 1, s.Refused())
+	must.EqOp(t, 1, s.RefusedCount())
 }
 
 func TestAgeProofs(t *testing.T) {
@@ -263,7 +263,7 @@
 		if err != nil {
 			return Endpoint{}, err
 		}
-		n.Born = born
+		n.StartedMS = born
 	}
 	return n, nil
 }
@@ -274,16 +274,16 @@
 	var mu sync.Mutex
 	var list []Endpoint
 	e := &Endpoints{
-		Store: m, Prefix: "servers/", Every: 600 * time.Millisecond, Wait: time.Second, Pause: 400 * time.Millisecond,
+		Store: m, Prefix: "servers/", Interval: 600 * time.Millisecond, WatchTimeout: time.Second, RetryInterval: 400 * time.Millisecond,
 		Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
 		Parse: parseEndpoint,
-		Changed: func(l []Endpoint) {
+		OnChange: func(l []Endpoint) {
 			mu.Lock()
 			defer mu.Unlock()
 			list = l
 		},
 	}
-	e.Reach = testReach(e.Now)
+	e.StoreHealth = testReach(e.Now)
 	e.Init()
 	go e.Run(ctx)
 	return func() []Endpoint {
--- a/feed/foreign.go
+++ b/feed/foreign.go
@@ -33,8 +33,8 @@
 	maps.DeleteFunc(f, func(key, _ string) bool { return !here[key] })
 }
 
-// Foreign is the number of entries that name no endpoint to use, 0 while this host takes the list from a peer.
-func (e *Endpoints) Foreign() int {
+// ForeignCount is the number of entries that name no endpoint to use, 0 while this host takes the list from a peer.
+func (e *Endpoints) ForeignCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.foreign)
--- a/feed/lapse.go
+++ b/feed/lapse.go
@@ -6,18 +6,18 @@
 
 import "time"
 
-// Lapses are the times that decide for how long an endpoint whose entry went is still taken
+// LapseTimes are the times that decide for how long an endpoint whose entry went is still taken
 // for one that serves. Entries go when endpoints leave, and also when the store fails
 // for so long that endpoints cannot renew them.
-type Lapses struct {
-	// After is the shortest failure of the store in which entries can lapse: two
+type LapseTimes struct {
+	// MinOutage is the shortest failure of the store in which entries can lapse: two
 	// heartbeats of the endpoints, since an entry goes with the third that is missing.
-	After time.Duration
-	// Back is the time after the store's return in which the entries of endpoints that live
+	MinOutage time.Duration
+	// RenewTime is the time after the store's return in which the entries of endpoints that live
 	// are back.
-	Back time.Duration
-	// Keep is the time after the earliest moment at which the store may have returned for which
+	RenewTime time.Duration
+	// MaxKeep is the time after the earliest moment at which the store may have returned for which
 	// entries are taken for lapsed. It must be shorter than the time after which a
 	// host is held to the drain time again.
-	Keep time.Duration
+	MaxKeep time.Duration
 }
--- a/feed/lapse_test.go
+++ b/feed/lapse_test.go
@@ -19,11 +19,11 @@
 const contact = 3 * time.Second
 
 // testLapses are the times for endpoints with a heartbeat each 1.2 s and a contact time of 3 s.
-var testLapses = Lapses{After: 2400 * time.Millisecond, Back: 2 * time.Second, Keep: 2700 * time.Millisecond}
+var testLapses = LapseTimes{MinOutage: 2400 * time.Millisecond, RenewTime: 2 * time.Second, MaxKeep: 2700 * time.Millisecond}
 
 // testReach judges whether the store fails for a host of a deployment with these times.
-func testReach(now func() time.Duration) *Reach {
-	return &Reach{Now: now, Lapses: testLapses, Pause: 400 * time.Millisecond, Silent: 400 * time.Millisecond}
+func testReach(now func() time.Duration) *StoreHealth {
+	return &StoreHealth{Now: now, LapseTimes: testLapses, RetryInterval: 400 * time.Millisecond, OutageAfter: 400 * time.Millisecond}
 }
 
 // TestLeftInTrouble holds that an endpoint which left while the store was in trouble is in no
--- a/feed/leavers.go
+++ b/feed/leavers.go
@@ -20,7 +20,7 @@
 
 // mark returns an entry as leaving if its life ever said that it leaves.
 func (l leavers) mark(n Endpoint, now time.Duration) Endpoint {
-	name := n.Life()
+	name := n.Incarnation()
 	if _, ok := l[name]; ok {
 		n.Leaving = true
 	}
@@ -52,8 +52,8 @@
 // prune forgets those not seen for long. Those whose entries still stand are seen now.
 func (l leavers) prune(now time.Duration, known map[string]Endpoint) {
 	for _, n := range known {
-		if _, ok := l[n.Life()]; ok {
-			l[n.Life()] = now
+		if _, ok := l[n.Incarnation()]; ok {
+			l[n.Incarnation()] = now
 		}
 	}
 	maps.DeleteFunc(l, func(_ string, seen time.Duration) bool { return now-seen > leftFor })
--- a/feed/lives.go
+++ b/feed/lives.go
@@ -39,27 +39,29 @@
 func (l lives) admit(n Endpoint, now time.Duration) (Endpoint, bool) {
 	known := l[n.Instance]
 	if known == nil {
-		known = &life{born: n.Born}
+		known = &life{born: n.StartedMS}
 		l[n.Instance] = known
 	}
-	if n.Born == 0 {
-		n.Born = known.born
+	if n.StartedMS == 0 {
+		n.StartedMS = known.born
 	}
-	if n.Born < known.born {
-		if known.held == nil || known.held.Born != n.Born {
+	if n.StartedMS < known.born {
+		if known.held == nil || known.held.StartedMS != n.StartedMS {
 			known.since = now
 		}
 		known.held = &n
 		return n, false
 	}
-	*known = life{born: n.Born, seen: now}
+	*known = life{born: n.StartedMS, seen: now}
 	return n, true
 }
 
 // adopt takes the life that a peer takes for the newest: all hosts follow the one that read the store last. A
 // peer that has just started may take a late write of an older life for the newest, until
 // the next heartbeat of the endpoint.
-func (l lives) adopt(n Endpoint, now time.Duration) { l[n.Instance] = &life{born: n.Born, seen: now} }
+func (l lives) adopt(n Endpoint, now time.Duration) {
+	l[n.Instance] = &life{born: n.StartedMS, seen: now}
+}
 
 // gone notes that the entry of an instance went, and with it one that was held back.
 func (l lives) gone(instance string) {
@@ -77,30 +79,30 @@
 	}
 }
 
-// Held is an entry that is held back, since it names an older life than another one did before.
-type Held struct {
+// HeldEntry is an entry that is held back, since it names an older life than another one did before.
+type HeldEntry struct {
 	// Endpoint is what it says, and Age for how long it has stood, in nanoseconds.
 	Endpoint Endpoint      `json:"endpoint"`
 	Age      time.Duration `json:"age"`
-	// Newest is the time of the start of the life that is taken for the newest. A host that is told of the entry alone
+	// NewestStartedMS is the time of the start of the life that is taken for the newest. A host that is told of the entry alone
 	// would take a late write of a life it knew before, older than both, for the newest.
-	Newest int64 `json:"newest"`
+	NewestStartedMS int64 `json:"newest"`
 }
 
 // holds gives the entries that are held back.
-func (l lives) holds(now time.Duration) []Held {
-	var out []Held
+func (l lives) holds(now time.Duration) []HeldEntry {
+	var out []HeldEntry
 	for _, known := range l {
 		if known.held != nil {
-			out = append(out, Held{*known.held, now - known.since, known.born})
+			out = append(out, HeldEntry{*known.held, now - known.since, known.born})
 		}
 	}
-	slices.SortFunc(out, func(a, b Held) int { return strings.Compare(a.Endpoint.Instance, b.Endpoint.Instance) })
+	slices.SortFunc(out, func(a, b HeldEntry) int { return strings.Compare(a.Endpoint.Instance, b.Endpoint.Instance) })
 	return out
 }
 
 // adoptHeld takes the entries that a peer holds back.
-func (l lives) adoptHeld(list []Held, now time.Duration) {
+func (l lives) adoptHeld(list []HeldEntry, now time.Duration) {
 	for _, known := range l {
 		known.held = nil
 	}
@@ -110,7 +112,7 @@
 			known = &life{seen: now}
 			l[h.Endpoint.Instance] = known
 		}
-		known.held, known.since, known.born = &h.Endpoint, now-h.Age, cmp.Or(h.Newest, known.born)
+		known.held, known.since, known.born = &h.Endpoint, now-h.Age, cmp.Or(h.NewestStartedMS, known.born)
 	}
 }
 
@@ -123,7 +125,7 @@
 		switch {
 		case known.held != nil && proven-known.since >= heldFor:
 			n := *known.held
-			*known = life{born: n.Born, seen: now}
+			*known = life{born: n.StartedMS, seen: now}
 			out = append(out, n)
 		case known.held != nil || has(here, instance):
 			known.seen = now
--- a/feed/lives_test.go
+++ b/feed/lives_test.go
@@ -90,7 +90,7 @@
 				time.Sleep(tc.after)
 				got := ""
 				for _, n := range list() {
-					got += n.Life() + " " + string(n.Belief())
+					got += n.Incarnation() + " " + string(n.State())
 				}
 				must.EqOp(t, tc.want, got)
 			})
@@ -108,16 +108,16 @@
 		start := time.Now()
 		newEndpoints := func() *Endpoints {
 			e := &Endpoints{
-				Store: m, Prefix: "servers/", Every: 800 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond,
-				Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(), Changed: func([]Endpoint) {}, Parse: parseEndpoint,
+				Store: m, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
+				Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 			}
-			e.Reach = testReach(e.Now)
+			e.StoreHealth = testReach(e.Now)
 			e.Init()
 			return e
 		}
 		reads, hears := newEndpoints(), newEndpoints()
 		pass := func() {
-			must.NoError(t, reads.ask(ctx, reads.Now(), reads.Wait))
+			must.NoError(t, reads.ask(ctx, reads.Now(), reads.WatchTimeout))
 			l, ok := reads.List()
 			must.True(t, ok)
 			hears.Offer(l)
@@ -128,7 +128,7 @@
 		m.put("servers/a", "ready@7")
 		pass()
 		m.put("servers/a", "ready@5")
-		must.NoError(t, hears.ask(ctx, hears.Now(), hears.Wait))
+		must.NoError(t, hears.ask(ctx, hears.Now(), hears.WatchTimeout))
 		l, _ := hears.List()
 		must.SliceEmpty(t, l.Endpoints)
 	})
@@ -178,7 +178,7 @@
 					}
 					most := 0
 					for _, e := range s.ends {
-						most = max(most, e.Foreign())
+						most = max(most, e.ForeignCount())
 					}
 					must.EqOp(t, tc.count, most)
 				})
--- a/feed/outage_test.go
+++ b/feed/outage_test.go
@@ -33,7 +33,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				lapses := testLapses
-				lapses.Keep = tc.contact * 9 / 10
+				lapses.MaxKeep = tc.contact * 9 / 10
 				s := shareFor(ctx, tc.hosts, lapses)
 				time.Sleep(3 * time.Second)
 				s.store.set(func() { s.store.dark = true })
@@ -77,11 +77,11 @@
 					store := newMemoryStore()
 					store.put("servers/a", "ready")
 					e := &Endpoints{
-						Store: store, Prefix: "servers/", Every: 800 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond,
-						Turn: func() int { return tc.turn }, Parse: parseEndpoint,
-						Now: func() time.Duration { return time.Since(start) }, Changed: func([]Endpoint) {}, Log: logr.Discard(),
+						Store: store, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
+						Rank: func() int { return tc.turn }, Parse: parseEndpoint,
+						Now: func() time.Duration { return time.Since(start) }, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 					}
-					e.Reach = testReach(e.Now)
+					e.StoreHealth = testReach(e.Now)
 					e.Init()
 					go e.Run(ctx)
 					time.Sleep(time.Second)
--- a/feed/reach.go
+++ b/feed/reach.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Reach judges for all that follows the store on this host whether the store fails for it: then what no host can know, none is held to, and entries that go
+// StoreHealth judges for all that follows the store on this host whether the store fails for it: then what no host can know, none is held to, and entries that go
 // may have lapsed. All times are of the host's clock. The fields must be set before the first call; it is safe for concurrent use.
-type Reach struct {
+type StoreHealth struct {
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
-	// Awake is the time in which this process ran; nil means that it always does.
-	Awake func() time.Duration
-	// Silent is the time without any answer from the store, with several calls under way, that tells of an outage.
-	Silent time.Duration
-	// Lapses decides for how long entries that went are taken for endpoints that serve.
-	Lapses Lapses
-	// Pause is the time between two tries of the hosts that ask a failing store most often.
-	Pause time.Duration
+	// RunTime is the time in which this process ran; nil means that it always does.
+	RunTime func() time.Duration
+	// OutageAfter is the time without any answer from the store, with several calls under way, that tells of an outage.
+	OutageAfter time.Duration
+	// LapseTimes decides for how long entries that went are taken for endpoints that serve.
+	LapseTimes LapseTimes
+	// RetryInterval is the time between two tries of the hosts that ask a failing store most often.
+	RetryInterval time.Duration
 
 	mu    sync.Mutex
 	calls callLog
@@ -31,37 +31,37 @@
 }
 
 // awake is the time in which this process ran.
-func (r *Reach) awake() time.Duration {
-	if r.Awake == nil {
+func (r *StoreHealth) awake() time.Duration {
+	if r.RunTime == nil {
 		return r.Now()
 	}
-	return r.Awake()
+	return r.RunTime()
 }
 
 // begin notes that a call is sent which waits for changes for a time.
-func (r *Reach) begin(wait time.Duration) storeCall {
+func (r *StoreHealth) begin(wait time.Duration) storeCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls.silent, r.begun = r.Silent, r.Now()
+	r.calls.silent, r.begun = r.OutageAfter, r.Now()
 	return r.calls.begin(r.begun, r.awake()+wait)
 }
 
 // end notes that a call was answered, or was ended by this host for another reason than its silence.
-func (r *Reach) end(c storeCall) {
+func (r *StoreHealth) end(c storeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls.end(c)
 }
 
 // fail notes that a call failed.
-func (r *Reach) fail(c storeCall) {
+func (r *StoreHealth) fail(c storeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls.fail(c, r.Now())
 }
 
 // giveUp notes that this host gave a call up that had no answer.
-func (r *Reach) giveUp(c storeCall) {
+func (r *StoreHealth) giveUp(c storeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls.settle(r.Now(), r.awake())
@@ -72,16 +72,16 @@
 // moment. The first answer after an outage fixes how long lapsed entries are kept. The
 // store returned after the last own call that failed was sent; and if this host asks more seldom
 // than others, after the last one that failed for them, a pause and such a call's time before.
-func (r *Reach) answer(sent time.Duration) {
+func (r *StoreHealth) answer(sent time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := &r.calls
 	if sent <= l.answered {
 		return
 	}
-	if l.isOut() && sent-l.answered >= r.Lapses.After {
-		returned := max(l.failed[0].sent, sent-r.Pause-l.took)
-		r.until = max(r.until, min(sent+r.Lapses.Back, returned+r.Lapses.Keep))
+	if l.isOut() && sent-l.answered >= r.LapseTimes.MinOutage {
+		returned := max(l.failed[0].sent, sent-r.RetryInterval-l.took)
+		r.until = max(r.until, min(sent+r.LapseTimes.RenewTime, returned+r.LapseTimes.MaxKeep))
 	}
 	l.answered = sent
 	if left := r.until - r.Now(); left > 0 && r.ended != nil {
@@ -90,37 +90,37 @@
 }
 
 // isOut reports whether the store fails for this host.
-func (r *Reach) isOut() bool {
+func (r *StoreHealth) isOut() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.settled().isOut()
 }
 
 // settled gives what is known of calls, those included that are silent for long; mu must be held.
-func (r *Reach) settled() *callLog {
+func (r *StoreHealth) settled() *callLog {
 	r.calls.settle(r.Now(), r.awake())
 	return &r.calls
 }
 
-// Excuses reports whether the store failed for this host so lately that it need not know what the store knows: had the store returned
+// FailedRecently reports whether the store failed for this host so lately that it need not know what the store knows: had the store returned
 // right after the last call that failed was sent, the host would not be held to any bound yet. That others have had an answer since
 // changes nothing.
-func (r *Reach) Excuses() bool {
+func (r *StoreHealth) FailedRecently() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.settled().out
-	return out > 0 && r.Now()-out <= r.Lapses.Keep
+	return out > 0 && r.Now()-out <= r.LapseTimes.MaxKeep
 }
 
 // mayAsk reports whether an asker whose rest ends at a moment may ask a store that fails: its rest is over, and the last call of the host was begun
 // some time before; or a call is due because the last one that failed soon excuses nothing any more. The next one must be late, or
 // refused, by then, and two pauses come before it. Of several that ask for the host it lets one.
-func (r *Reach) mayAsk(end, apart time.Duration) bool {
+func (r *StoreHealth) mayAsk(end, apart time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
 	over := now >= end && now >= r.begun+apart
-	due := now >= r.calls.out+r.Lapses.Keep-2*r.Pause-2*tryPace && now >= r.begun+r.Pause
+	due := now >= r.calls.out+r.LapseTimes.MaxKeep-2*r.RetryInterval-2*tryPace && now >= r.begun+r.RetryInterval
 	if over || due {
 		r.begun = now
 	}
@@ -128,15 +128,15 @@
 }
 
 // mayLapse reports whether an entry that goes now may belong to an endpoint that serves: in an outage that lasts, and some time after it.
-func (r *Reach) mayLapse() bool {
+func (r *StoreHealth) mayLapse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, l := r.Now(), &r.calls
-	return now < r.until || (l.isOut() && now-l.answered >= r.Lapses.After)
+	return now < r.until || (l.isOut() && now-l.answered >= r.LapseTimes.MinOutage)
 }
 
 // restart forgets the store's state: this host did not run until now.
-func (r *Reach) restart() {
+func (r *StoreHealth) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls.restart(r.Now())
@@ -144,14 +144,14 @@
 }
 
 // underWay is the number of calls that are under way.
-func (r *Reach) underWay() int {
+func (r *StoreHealth) underWay() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls.under)
 }
 
 // last gives when the store is known to have answered a host last, and when the last call that failed was sent.
-func (r *Reach) last() (answered, failed time.Duration) {
+func (r *StoreHealth) last() (answered, failed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls.answered, r.calls.failed[0].sent
--- a/feed/settings.go
+++ b/feed/settings.go
@@ -25,27 +25,27 @@
 	Parse func([]byte) (*route.Document, error)
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
-	// Wait is how long a watch may be idle.
-	Wait time.Duration
-	// Pause is the time between tries while the store fails.
-	Pause time.Duration
-	// Turn is this host's turn to watch, see Turns; nil means that it always watches.
-	Turn func() int
-	// Far tells whether proofs of peers reach this host by way of relays; nil means not.
-	Far func() bool
-	// Reach judges whether the store fails for this host.
-	Reach *Reach
-	// Most is the age up to which requests may be decided by the settings while the store does not fail for this host; 0 means any.
-	Most time.Duration
-	// Changed is called with each new table.
-	Changed func(*route.Table)
+	// WatchTimeout is how long a watch may be idle.
+	WatchTimeout time.Duration
+	// RetryInterval is the time between tries while the store fails.
+	RetryInterval time.Duration
+	// Rank is this host's turn to watch, see Turns; nil means that it always watches.
+	Rank func() int
+	// ViaRelay tells whether proofs of peers reach this host by way of relays; nil means not.
+	ViaRelay func() bool
+	// StoreHealth judges whether the store fails for this host.
+	StoreHealth *StoreHealth
+	// MaxAge is the age up to which requests may be decided by the settings while the store does not fail for this host; 0 means any.
+	MaxAge time.Duration
+	// OnChange is called with each new table.
+	OnChange func(*route.Table)
 	// Log takes changes of state.
 	Log logr.Logger
 
 	// Age knows how old the configuration may be.
 	Age Age
 
-	current atomic.Pointer[Source]
+	current atomic.Pointer[Config]
 	refused atomic.Int64
 	failing bool
 	nudge   nudge
@@ -56,8 +56,8 @@
 	read bool   // one was, and the store knows the changes since
 }
 
-// Source is a configuration as it was written, for passing on.
-type Source struct {
+// Config is a configuration as it was written, for passing on.
+type Config struct {
 	// Value is the document and Revision the number of its write.
 	Value    []byte
 	Revision uint64
@@ -66,14 +66,14 @@
 }
 
 // Current returns the configuration in force, or nil.
-func (s *Settings) Current() *Source { return s.current.Load() }
+func (s *Settings) Current() *Config { return s.current.Load() }
 
-// Refused counts documents that could not be read.
-func (s *Settings) Refused() int64 { return s.refused.Load() }
+// RefusedCount counts documents that could not be read.
+func (s *Settings) RefusedCount() int64 { return s.refused.Load() }
 
 // Run follows the store until ctx ends.
 func (s *Settings) Run(ctx context.Context) {
-	a := asker{reach: s.Reach, turn: s.Turn, pause: s.Pause, wait: s.wait, call: s.ask}
+	a := asker{reach: s.StoreHealth, turn: s.Rank, pause: s.RetryInterval, wait: s.wait, call: s.ask}
 	for ctx.Err() == nil {
 		turn, end := s.nudge.turn(ctx)
 		s.step(turn, &a)
@@ -81,9 +81,9 @@
 	}
 }
 
-// Wake makes this host read the settings at once: it did not run for a while, and calls and pauses that were under way
+// NoteGap makes this host read the settings at once: it did not run for a while, and calls and pauses that were under way
 // say nothing of now. A watch would prove nothing before it has been idle to its end.
-func (s *Settings) Wake() {
+func (s *Settings) NoteGap() {
 	s.woke.Store(true)
 	s.nudge.now()
 }
@@ -91,11 +91,11 @@
 // Usable reports whether requests may be decided by the settings now. Settings that are older than they may be are used only while the
 // store fails for this host: what no host can know, none is held to.
 func (s *Settings) Usable() bool {
-	if s.Most == 0 {
+	if s.MaxAge == 0 {
 		return true
 	}
 	age, ok := s.Age.At(s.Now())
-	return ok && (age <= s.Most || s.Reach.Excuses())
+	return ok && (age <= s.MaxAge || s.StoreHealth.FailedRecently())
 }
 
 // step waits for this host's turn, or asks the store once.
@@ -128,10 +128,10 @@
 // wait is how long a call waits for changes: only the hosts that always watch do. The others' turn comes when the settings are to be
 // proven soon.
 func (s *Settings) wait() time.Duration {
-	if s.Turn != nil && s.Turn() >= Readers {
+	if s.Rank != nil && s.Rank() >= WatcherCount {
 		return 0
 	}
-	return s.Wait
+	return s.WatchTimeout
 }
 
 // ask does one call, which is sent at a moment and waits for changes for a time.
@@ -143,8 +143,8 @@
 		return s.readKey(ctx, sent)
 	}
 	err := s.watch(ctx, at, sent, wait)
-	if errors.Is(err, ErrHistory) {
-		s.Reach.answer(sent)
+	if errors.Is(err, ErrCompacted) {
+		s.StoreHealth.answer(sent)
 		s.readAnew()
 	}
 	return err
@@ -161,14 +161,14 @@
 // told of changes at once; the others do while nobody proves the settings to them.
 func (s *Settings) untilTurn() time.Duration {
 	age, ok := s.Age.At(s.Now())
-	if s.Turn == nil || !ok {
+	if s.Rank == nil || !ok {
 		return 0
 	}
-	turn := s.Turn()
-	if turn < Readers {
+	turn := s.Rank()
+	if turn < WatcherCount {
 		return 0
 	}
-	return Turns(s.Wait, turn-Readers+1, s.Far != nil && s.Far()) - age
+	return ReadAge(s.WatchTimeout, turn-WatcherCount+1, s.ViaRelay != nil && s.ViaRelay()) - age
 }
 
 // readKey reads the key anew, with a call that is sent at a moment.
@@ -177,10 +177,10 @@
 	if err != nil {
 		return err
 	}
-	s.Reach.answer(sent)
+	s.StoreHealth.answer(sent)
 	s.take(p.Items)
 	s.prove(sent)
-	s.noteRead(p.At)
+	s.noteRead(p.Revision)
 	return nil
 }
 
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	s.Reach.answer(sent)
+	s.StoreHealth.answer(sent)
 	s.take(p.Items)
 	switch took := s.Now() - sent; {
 	case len(p.Items) > 0:
@@ -199,17 +199,17 @@
 		sent += wait
 	default:
 		// The store cut the watch; asking again at once would be a storm.
-		sleep(ctx, pauseAfterFailure(s.Pause, s.Turn))
+		sleep(ctx, pauseAfterFailure(s.RetryInterval, s.Rank))
 	}
 	s.prove(sent)
-	s.noteRead(p.At)
+	s.noteRead(p.Revision)
 	return nil
 }
 
 // take puts the newest value of the key in force.
 func (s *Settings) take(items []Item) {
 	for i := len(items) - 1; i >= 0; i-- {
-		if it := items[i]; it.Key == s.Key && !it.Gone {
+		if it := items[i]; it.Key == s.Key && !it.Deleted {
 			s.Offer(it.Value, it.Revision)
 			return
 		}
@@ -237,10 +237,10 @@
 			s.Log.Error(err, "configuration refused", "revision", revision)
 			return
 		}
-		next := &Source{Value: value, Revision: revision, Table: route.NewTable(d, revision)}
+		next := &Config{Value: value, Revision: revision, Table: route.NewTable(d, revision)}
 		if s.current.CompareAndSwap(old, next) {
 			s.Log.Info("configuration in force", "revision", revision, "version", d.Version, "routes", len(d.Routes))
-			s.Changed(next.Table)
+			s.OnChange(next.Table)
 			return
 		}
 	}
--- a/feed/shared.go
+++ b/feed/shared.go
@@ -45,13 +45,13 @@
 	return min(time.Duration(times*times*float64(pause)), max(pause, longestPause))
 }
 
-// Readers is the number of hosts, those with the first turns, that always watch the
+// WatcherCount is the number of hosts, those with the first turns, that always watch the
 // settings: one more than needed, so that the loss of one delays no change.
-const Readers = 2
+const WatcherCount = 2
 
-// Turns is the age of a view at which a host with a turn of 1 or more reads it itself; far says that proofs
+// ReadAge is the age of a view at which a host with a turn of 1 or more reads it itself; far says that proofs
 // reach it by way of relays.
-func Turns(every time.Duration, turn int, far bool) time.Duration {
+func ReadAge(every time.Duration, turn int, far bool) time.Duration {
 	part := 1 + proofShare + turnShare*float64(min(turn, lastTurn)-1)
 	age := time.Duration(part * float64(every))
 	if far {
@@ -66,49 +66,49 @@
 	Revision uint64 `json:"revision"`
 	// Endpoints are sorted by instance.
 	Endpoints []Endpoint `json:"endpoints"`
-	// Left are the lives of endpoints that said lately that they leave, and how long ago that was last
+	// RecentlyLeft are the lives of endpoints that said lately that they leave, and how long ago that was last
 	// seen, in nanoseconds. A host that takes a list now and then may have missed it.
-	Left map[string]time.Duration `json:"left,omitempty"`
+	RecentlyLeft map[string]time.Duration `json:"left,omitempty"`
 	// Held are entries that name older lives than were known.
-	Held []Held `json:"held,omitempty"`
+	Held []HeldEntry `json:"held,omitempty"`
 }
 
 // View names what a host knows of the endpoints.
 type View struct {
 	// Revision is the store's revision that it speaks of.
 	Revision uint64
-	// Sum tells views of different content apart.
-	Sum uint64
-	// At is when it was surely the newest.
-	At time.Duration
+	// Checksum tells views of different content apart.
+	Checksum uint64
+	// ProvenAt is when it was surely the newest.
+	ProvenAt time.Duration
 }
 
 // View names the view in force, and false if there is none.
 func (e *Endpoints) View() (View, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return View{Revision: e.at, Sum: e.sum(), At: e.proven}, e.read
+	return View{Revision: e.at, Checksum: e.sum(), ProvenAt: e.proven}, e.read
 }
 
 // List gives the endpoints to pass on, and false if none are known.
 func (e *Endpoints) List() (EndpointList, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EndpointList{Revision: e.at, Endpoints: e.told, Left: e.left.ages(e.Now()), Held: e.lives.holds(e.Now())}, e.read
+	return EndpointList{Revision: e.at, Endpoints: e.told, RecentlyLeft: e.left.ages(e.Now()), Held: e.lives.holds(e.Now())}, e.read
 }
 
-// Proved takes what a peer knows, and reports whether its list is to be asked for: the
+// ReceiveView takes what a peer knows, and reports whether its list is to be asked for: the
 // same content is proven as of the peer's moment, newer content is wanted.
-func (e *Endpoints) Proved(v View) bool {
+func (e *Endpoints) ReceiveView(v View) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Reach.answer(v.At)
-	if e.read && v.Sum == e.sum() {
+	e.StoreHealth.answer(v.ProvenAt)
+	if e.read && v.Checksum == e.sum() {
 		if v.Revision > e.at {
 			clear(e.foreign) // the view does not tell of them
 		}
 		e.at = max(e.at, v.Revision)
-		e.prove(v.At)
+		e.prove(v.ProvenAt)
 		return false
 	}
 	return !e.read || v.Revision > e.at
@@ -124,7 +124,7 @@
 		return
 	}
 	now := e.Now()
-	e.left.add(l.Left, now)
+	e.left.add(l.RecentlyLeft, now)
 	known := make(map[string]Endpoint, len(l.Endpoints))
 	for _, n := range l.Endpoints {
 		e.lives.adopt(n, now)
@@ -153,7 +153,7 @@
 	var slots [8]byte
 	for i := range list {
 		n := &list[i]
-		for _, s := range []string{n.Life(), n.Service, n.Address, n.Zone} {
+		for _, s := range []string{n.Incarnation(), n.Service, n.Address, n.Zone} {
 			_, _ = d.WriteString(s) // never fails
 			_, _ = d.Write([]byte{0})
 		}
--- a/feed/shared_test.go
+++ b/feed/shared_test.go
@@ -98,7 +98,7 @@
 func share(ctx context.Context, n int) *sharers { return shareFor(ctx, n, testLapses) }
 
 // shareFor starts hosts of a deployment with a contact time of its own.
-func shareFor(ctx context.Context, n int, lapses Lapses) *sharers {
+func shareFor(ctx context.Context, n int, lapses LapseTimes) *sharers {
 	start := time.Now()
 	s := &sharers{store: newMemoryStore(), cut: make([]bool, n), silent: make([]bool, n), stale: make([]bool, n), next: make([]next, n), now: func() time.Duration { return time.Since(start) }}
 	s.store.put("servers/a", "ready")
@@ -113,21 +113,21 @@
 			return i
 		}
 		reach := testReach(s.now)
-		reach.Lapses = lapses
-		reach.Awake = func() time.Duration {
+		reach.LapseTimes = lapses
+		reach.RunTime = func() time.Duration {
 			s.store.mu.Lock()
 			defer s.store.mu.Unlock()
 			return s.next[i].awake(s.now())
 		}
 		e := &Endpoints{
-			Store: store, Prefix: "servers/", Every: 800 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond, Turn: turn,
-			Most: testMost, Reach: reach, Now: s.now, Log: logr.Discard(), Changed: func([]Endpoint) {}, Parse: parseEndpoint,
+			Store: store, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond, Rank: turn,
+			MaxAge: testMost, StoreHealth: reach, Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 		}
 		e.Init()
 		set := &Settings{
-			Store: cutStore{s.store, &s.cut[i], new(bool), &s.next[i], s.now}, Prefix: "op/", Key: "op/config", Parse: parseVersion, Wait: time.Second, Pause: 300 * time.Millisecond, Turn: turn,
-			Reach: reach,
-			Now:   s.now, Changed: func(*route.Table) {}, Log: logr.Discard(),
+			Store: cutStore{s.store, &s.cut[i], new(bool), &s.next[i], s.now}, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: time.Second, RetryInterval: 300 * time.Millisecond, Rank: turn,
+			StoreHealth: reach,
+			Now:         s.now, OnChange: func(*route.Table) {}, Log: logr.Discard(),
 		}
 		s.ends, s.sets = append(s.ends, e), append(s.sets, set)
 		go e.Run(ctx)
@@ -162,8 +162,8 @@
 func (s *sharers) pass(i, j int) {
 	const lag = 200 * time.Millisecond
 	if v, ok := s.ends[i].View(); ok {
-		v.At -= lag
-		if s.ends[j].Proved(v) {
+		v.ProvenAt -= lag
+		if s.ends[j].ReceiveView(v) {
 			l, _ := s.ends[i].List()
 			s.ends[j].Offer(l)
 		}
@@ -195,7 +195,7 @@
 						must.Less(t, 1800*time.Millisecond, age)
 						v, ok := s.ends[i].View()
 						must.True(t, ok)
-						must.Less(t, 1600*time.Millisecond, s.now()-v.At)
+						must.Less(t, 1600*time.Millisecond, s.now()-v.ProvenAt)
 					}
 				}
 				// One reader of the endpoints, each 0.9 s, two watchers of the settings, each
@@ -283,8 +283,8 @@
 		time.Sleep(2 * time.Second)
 		s.store.set(func() { s.cut[0], s.cut[1] = true, true })
 		e := &Endpoints{
-			Store: cutStore{s.store, &s.cut[1], &s.stale[1], &s.next[1], s.now}, Prefix: "servers/", Every: 800 * time.Millisecond, Pause: 400 * time.Millisecond, Reach: testReach(s.now),
-			Now: s.now, Log: logr.Discard(), Changed: func([]Endpoint) {}, Parse: parseEndpoint,
+			Store: cutStore{s.store, &s.cut[1], &s.stale[1], &s.next[1], s.now}, Prefix: "servers/", Interval: 800 * time.Millisecond, RetryInterval: 400 * time.Millisecond, StoreHealth: testReach(s.now),
+			Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 		}
 		e.Init()
 		go e.Run(ctx)
@@ -329,16 +329,16 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			e := &Endpoints{
-				Now: func() time.Duration { return now }, Pause: 400 * time.Millisecond, Changed: func([]Endpoint) {}, Log: logr.Discard(),
+				Now: func() time.Duration { return now }, RetryInterval: 400 * time.Millisecond, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 			}
-			e.Reach = testReach(e.Now)
+			e.StoreHealth = testReach(e.Now)
 			e.Init()
 			for i := outageTries - 1; i >= 0; i-- {
 				sent := tc.failed - time.Duration(i)*tryPace
-				e.Reach.calls.fail(storeCall{sent, sent}, sent)
+				e.StoreHealth.calls.fail(storeCall{sent, sent}, sent)
 			}
-			e.Reach.calls.answered = tc.answered
-			e.Proved(View{Revision: 5, At: now})
+			e.StoreHealth.calls.answered = tc.answered
+			e.ReceiveView(View{Revision: 5, ProvenAt: now})
 			for _, o := range tc.offers {
 				e.Offer(o)
 			}
@@ -352,19 +352,19 @@
 // TestViewProofs holds which views of peers prove a host's own.
 func TestViewProofs(t *testing.T) {
 	now := func() time.Duration { return time.Hour }
-	e := &Endpoints{Now: now, Reach: testReach(now), Changed: func([]Endpoint) {}, Log: logr.Discard()}
+	e := &Endpoints{Now: now, StoreHealth: testReach(now), OnChange: func([]Endpoint) {}, Log: logr.Discard()}
 	e.Init()
-	must.True(t, e.Proved(View{Revision: 1, Sum: 1, At: time.Minute})) // nothing is known yet
+	must.True(t, e.ReceiveView(View{Revision: 1, Checksum: 1, ProvenAt: time.Minute})) // nothing is known yet
 	e.Offer(EndpointList{Revision: 5, Endpoints: []Endpoint{{Instance: "a"}}})
 	own, ok := e.View()
 	must.True(t, ok)
-	must.EqOp(t, 0, own.At)
-	must.False(t, e.Proved(View{Revision: 7, Sum: own.Sum, At: time.Minute}))
-	must.False(t, e.Proved(View{Revision: 6, Sum: own.Sum, At: time.Second}))
+	must.EqOp(t, 0, own.ProvenAt)
+	must.False(t, e.ReceiveView(View{Revision: 7, Checksum: own.Checksum, ProvenAt: time.Minute}))
+	must.False(t, e.ReceiveView(View{Revision: 6, Checksum: own.Checksum, ProvenAt: time.Second}))
 	proven, _ := e.View()
-	must.Eq(t, View{Revision: 7, Sum: own.Sum, At: time.Minute}, proven)
-	must.False(t, e.Proved(View{Revision: 6, Sum: 9, At: time.Minute})) // older content
-	must.True(t, e.Proved(View{Revision: 8, Sum: 9, At: time.Minute}))
+	must.Eq(t, View{Revision: 7, Checksum: own.Checksum, ProvenAt: time.Minute}, proven)
+	must.False(t, e.ReceiveView(View{Revision: 6, Checksum: 9, ProvenAt: time.Minute})) // older content
+	must.True(t, e.ReceiveView(View{Revision: 8, Checksum: 9, ProvenAt: time.Minute}))
 }
 
 // TestViewIsWhole holds that no peer can see a new revision with the old list: it would take
@@ -375,17 +375,17 @@
 		read func(e *Endpoints) error
 	}{
 		{"reading all", func(e *Endpoints) error { return e.readAll(t.Context(), e.Now()) }},
-		{"reading changes", func(e *Endpoints) error { return e.watch(t.Context(), e.at, e.Now(), e.Wait) }},
+		{"reading changes", func(e *Endpoints) error { return e.watch(t.Context(), e.at, e.Now(), e.WatchTimeout) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			store := newMemoryStore()
 			store.put("servers/a", "ready")
 			e := &Endpoints{
-				Store: store, Prefix: "servers/", Wait: 100 * time.Millisecond, Parse: parseEndpoint,
-				Now: func() time.Duration { return time.Hour }, Changed: func([]Endpoint) {}, Log: logr.Discard(),
+				Store: store, Prefix: "servers/", WatchTimeout: 100 * time.Millisecond, Parse: parseEndpoint,
+				Now: func() time.Duration { return time.Hour }, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 			}
-			e.Reach = testReach(e.Now)
+			e.StoreHealth = testReach(e.Now)
 			e.Init()
 			must.True(t, e.follow(t.Context()))
 			before, _ := e.View()
@@ -394,7 +394,7 @@
 			must.NoError(t, tc.read(e))
 			after, _ := e.View()
 			must.Greater(t, before.Revision, after.Revision)
-			must.NotEqOp(t, before.Sum, after.Sum)
+			must.NotEqOp(t, before.Checksum, after.Checksum)
 		})
 	}
 }
--- a/feed/store.go
+++ b/feed/store.go
@@ -13,10 +13,10 @@
 
 // Errors of a Store that mean more than "ask again".
 var (
-	// ErrHistory means that the changes asked for are forgotten.
-	ErrHistory = eris.New("history is gone; read the whole range again")
-	// ErrLease means that a lease is over.
-	ErrLease = eris.New("lease is over; ask for a new one")
+	// ErrCompacted means that the changes asked for are forgotten.
+	ErrCompacted = eris.New("history is gone; read the whole range again")
+	// ErrLeaseExpired means that a lease is over.
+	ErrLeaseExpired = eris.New("lease is over; ask for a new one")
 )
 
 // Item is a key as a write left it.
@@ -26,16 +26,16 @@
 	Value []byte
 	// Revision is the number of the write.
 	Revision uint64
-	// Gone says that the key was removed.
-	Gone bool
+	// Deleted says that the key was removed.
+	Deleted bool
 }
 
 // Page is what a range or a watch gives.
 type Page struct {
 	// Items are the keys, or the changes in order.
 	Items []Item
-	// At is the revision up to which Items speak.
-	At uint64
+	// Revision is the revision up to which Items speak.
+	Revision uint64
 }
 
 // heardKey is the key under which a context holds what is called as soon as a call has some of its answer.
@@ -46,9 +46,9 @@
 	return context.WithValue(ctx, heardKey{}, heard)
 }
 
-// Heard is to be called by a Store as soon as the store has begun to answer a call. What follows may take long for other reasons than the
+// AnswerStarted is to be called by a Store as soon as the store has begun to answer a call. What follows may take long for other reasons than the
 // store's silence: a large answer, a slow link, a process that hardly gets the processor.
-func Heard(ctx context.Context) {
+func AnswerStarted(ctx context.Context) {
 	if heard, ok := ctx.Value(heardKey{}).(func()); ok {
 		heard()
 	}
--- a/feed/wake_test.go
+++ b/feed/wake_test.go
@@ -48,8 +48,8 @@
 					m := newMemoryStore()
 					s := &sleeper{start: time.Now()}
 					e := &Endpoints{
-						Store: m, Prefix: "servers/", Every: 800 * time.Millisecond, Wait: 100 * time.Millisecond, Pause: 400 * time.Millisecond,
-						Reach: testReach(s.now), Now: s.now, Log: logr.Discard(), Changed: func([]Endpoint) {}, Parse: parseEndpoint,
+						Store: m, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
+						StoreHealth: testReach(s.now), Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 					}
 					e.Init()
 					m.put("servers/a", "ready")
@@ -64,13 +64,13 @@
 					m.set(func() { m.dark = false })
 					s.sleep(d)
 					woke := s.now()
-					e.Wake()
+					e.NoteGap()
 					time.Sleep(200 * time.Millisecond)
 					l, ok := e.List()
 					must.True(t, ok)
 					must.SliceLen(t, 1, l.Endpoints)
 					v, _ := e.View()
-					must.GreaterEq(t, woke, v.At)
+					must.GreaterEq(t, woke, v.ProvenAt)
 					cancel()
 					synctest.Wait()
 				})
@@ -105,7 +105,7 @@
 				m.set(func() { m.dark, m.hang = false, 0 })
 				s.sleep(8 * time.Second)
 				woke := s.now()
-				set.Wake()
+				set.NoteGap()
 				time.Sleep(10 * time.Millisecond)
 				age, ok := set.Age.At(s.now())
 				must.True(t, ok)
--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -129,8 +129,8 @@
 	here := make(map[string]bool, len(list))
 	born := make(map[string]int64, len(list))
 	for _, e := range list {
-		life := e.Life()
-		here[life], born[e.Instance] = true, e.Born
+		life := e.Incarnation()
+		here[life], born[e.Instance] = true, e.StartedMS
 		t := b.targets[life]
 		if t == nil {
 			t = &target{sends: make(map[*call]func())}
@@ -142,7 +142,7 @@
 		if here[life] {
 			continue
 		}
-		if t.Born < born[t.Instance] {
+		if t.StartedMS < born[t.Instance] {
 			t.endSends()
 			if !t.Leaving {
 				reborn = append(reborn, life)
@@ -171,7 +171,7 @@
 func (b *balancer) setList(now time.Duration) {
 	list := make([]sched.Endpoint, 0, len(b.targets))
 	for _, t := range b.targets {
-		list = append(list, sched.Endpoint{Name: t.Life(), Engine: true, Slots: t.Slots, Leaving: t.Leaving, CrossZone: t.Zone != b.zone})
+		list = append(list, sched.Endpoint{Name: t.Incarnation(), Engine: true, Slots: t.Slots, Leaving: t.Leaving, CrossZone: t.Zone != b.zone})
 	}
 	slices.SortFunc(list, func(x, y sched.Endpoint) int {
 		if x.Name < y.Name {
@@ -328,7 +328,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sched.Failed(b.now(), c.req, f)
-	b.changed[c.at.Life()] = true
+	b.changed[c.at.Incarnation()] = true
 }
 
 // hold leaves the endpoint of a send alone for a time.
@@ -340,11 +340,11 @@
 
 // left counts a send out of the host's own; mu must be held.
 func (b *balancer) left(c *call) {
-	t := b.targets[c.at.Life()]
+	t := b.targets[c.at.Incarnation()]
 	if t == nil {
 		return
 	}
-	b.changed[c.at.Life()] = true
+	b.changed[c.at.Incarnation()] = true
 	b.kick()
 	t.own.Running--
 	if !c.firstSeen {
@@ -364,7 +364,7 @@
 func (b *balancer) beside(c *call) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.targets[c.at.Life()]; t != nil {
+	if t := b.targets[c.at.Incarnation()]; t != nil {
 		return max(0, t.own.Running+t.others.Running-1)
 	}
 	return 0
@@ -376,7 +376,7 @@
 func (b *balancer) sending(c *call, end func()) (over func(), ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.targets[c.at.Life()]
+	t := b.targets[c.at.Incarnation()]
 	if t == nil || t.ended || t.Leaving {
 		return func() {}, false
 	}
@@ -396,9 +396,9 @@
 		return
 	}
 	c.firstSeen = true
-	if t := b.targets[c.at.Life()]; t != nil {
+	if t := b.targets[c.at.Incarnation()]; t != nil {
 		t.own.Prefill -= c.req.PromptTokens
-		b.changed[c.at.Life()] = true
+		b.changed[c.at.Incarnation()] = true
 		b.learnPrefill(t, c.req.PromptTokens, took)
 	}
 	b.sched.FirstToken(b.now(), c.req)
@@ -410,7 +410,7 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	b.left(c)
-	if t := b.targets[c.at.Life()]; t != nil {
+	if t := b.targets[c.at.Incarnation()]; t != nil {
 		t.step.Observe(float64(took), plainShare)
 	}
 	b.sched.Done(now, c.req, res, tokens)
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -65,7 +65,7 @@
 // is cut look the same on the connection that was lost. An endpoint that leaves ends without a crash, and what was lost while this process did not run
 // may have been answered: such an end is unsure. The caller may wait for done.
 func (k *crashes) lost(c *call, slept bool) (done <-chan struct{}) {
-	now, life := k.now(), c.at.Life()
+	now, life := k.now(), c.at.Incarnation()
 	l := loss{
 		print: c.fingerprint(), ran: now - c.times.newest, mute: !c.firstSeen, unsure: slept || c.s.balance.leaving(life), request: c.summary(),
 	}
--- a/ingress/send_test.go
+++ b/ingress/send_test.go
@@ -98,7 +98,7 @@
 				return e.dial(address), nil
 			}
 			s.Settings = &feed.Settings{
-				Now: now.Now, Changed: s.SetTable, Log: logr.Discard(),
+				Now: now.Now, OnChange: s.SetTable, Log: logr.Discard(),
 				Parse: func([]byte) (*route.Document, error) {
 					return &route.Document{
 						Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/", Kind: route.Repeatable, Public: true, Attempts: 2, Targets: []route.Target{{Service: "s", Weight: 1}}}},
--- a/ingress/target.go
+++ b/ingress/target.go
@@ -113,7 +113,7 @@
 func (b *balancer) paced(c *call, token time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.targets[c.at.Life()]; t != nil {
+	if t := b.targets[c.at.Incarnation()]; t != nil {
 		t.step.Observe(float64(token), stepShare)
 	}
 }
