--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -119,15 +119,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := &hands{}
 			var got []Gap
-			w := &Watch{Clock: h.clock(), Woke: func(g Gap) { got = append(got, g) }}
+			w := &GapDetector{Clock: h.clock(), OnGap: func(g Gap) { got = append(got, g) }}
 			h.run(time.Second)
-			w.Look()
-			must.False(t, w.WokeSince(0))
-			tc.pass(h, w.Look)
+			w.Check()
+			must.False(t, w.GapSince(0))
+			tc.pass(h, w.Check)
 			must.Eq(t, tc.want, got)
 			if len(got) > 0 {
-				must.True(t, w.WokeSince(got[0].Began))
-				must.False(t, w.WokeSince(got[len(got)-1].Ended))
+				must.True(t, w.GapSince(got[0].Began))
+				must.False(t, w.GapSince(got[len(got)-1].Ended))
 			}
 		})
 	}
@@ -149,15 +149,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := &hands{}
-			w := &Watch{Clock: h.clock(), Woke: func(Gap) {}}
+			w := &GapDetector{Clock: h.clock(), OnGap: func(Gap) {}}
 			h.run(time.Millisecond)
-			w.Look()
-			before := w.Ran()
+			w.Check()
+			before := w.RunTime()
 			for range tc.looks {
 				h.run(tc.every)
-				w.Look()
+				w.Check()
 			}
-			must.EqOp(t, tc.want, w.Ran()-before)
+			must.EqOp(t, tc.want, w.RunTime()-before)
 		})
 	}
 }
@@ -167,9 +167,9 @@
 	for range 200 {
 		var boot, done atomic.Int64
 		told := 0
-		w := &Watch{
+		w := &GapDetector{
 			Clock: newClock(func() time.Duration { return time.Duration(boot.Load()) }, func() time.Duration { return 0 }, true),
-			Woke: func(Gap) {
+			OnGap: func(Gap) {
 				told++
 				done.Store(1)
 			},
@@ -178,7 +178,7 @@
 		var wg sync.WaitGroup
 		for range 8 {
 			wg.Go(func() {
-				w.Look()
+				w.Check()
 				must.EqOp(t, 1, done.Load())
 			})
 		}
@@ -201,10 +201,10 @@
 			_ = time.Since(start)
 		}
 	})
-	w := &Watch{Clock: c, Woke: func(Gap) {}}
+	w := &GapDetector{Clock: c, OnGap: func(Gap) {}}
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			w.Look()
+			w.Check()
 		}
 	})
 }
--- a/clock/watch.go
+++ b/clock/watch.go
@@ -32,12 +32,12 @@
 	Suspended time.Duration
 }
 
-// Watch tells of times in which the process did not run. Its fields must be set before the first look.
-type Watch struct {
+// GapDetector tells of times in which the process did not run. Its fields must be set before the first look.
+type GapDetector struct {
 	// Clock is the clock to watch.
 	Clock *Clock
-	// Woke is called once for each gap, by the first look after it; other looks wait until it returns.
-	Woke func(Gap)
+	// OnGap is called once for each gap, by the first look after it; other looks wait until it returns.
+	OnGap func(Gap)
 
 	mu        sync.Mutex   // held while a gap is told
 	looked    atomic.Int64 // when the last look was, in nanoseconds of Clock.Now, or 0
@@ -46,10 +46,10 @@
 	woke      atomic.Int64 // when the last gap was seen, in nanoseconds of Clock.Now, or 0
 }
 
-// Look looks for a gap since the last look. It is to be called each 25 ms by a timer, and by whoever is about to act on what it
+// Check looks for a gap since the last look. It is to be called each 25 ms by a timer, and by whoever is about to act on what it
 // learned before: the first thing that runs after a gap may not be the timer. It takes two readings of the clock, and
 // is safe for concurrent use.
-func (w *Watch) Look() {
+func (w *GapDetector) Check() {
 	gap, found := w.gap()
 	if !found {
 		w.saw(gap.Ended)
@@ -61,13 +61,13 @@
 		return // another look has told of it
 	}
 	w.woke.Store(int64(gap.Ended))
-	w.Woke(gap)
+	w.OnGap(gap)
 	w.suspended.Add(int64(gap.Suspended))
 	w.saw(gap.Ended)
 }
 
 // gap gives the time since the last look, and whether the process did not run in a part of it.
-func (w *Watch) gap() (Gap, bool) {
+func (w *GapDetector) gap() (Gap, bool) {
 	last := time.Duration(w.looked.Load())
 	now, suspended := w.Clock.read()
 	g := Gap{Began: last, Ended: now, Suspended: suspended - time.Duration(w.suspended.Load())}
@@ -79,7 +79,7 @@
 }
 
 // saw notes a look.
-func (w *Watch) saw(now time.Duration) {
+func (w *GapDetector) saw(now time.Duration) {
 	if last := w.looked.Load(); int64(now) > last && w.looked.CompareAndSwap(last, int64(now)) {
 		if gap := int64(now) - last; gap <= int64(mostBetween) {
 			w.ran.Add(gap)
@@ -87,12 +87,12 @@
 	}
 }
 
-// Ran is the time in which the process surely ran: between two looks that lie no further apart than they are due. What did not come in a time by
+// RunTime is the time in which the process surely ran: between two looks that lie no further apart than they are due. What did not come in a time by
 // Ran did not come; what did not come in a time by the clock may lie in a socket, unread.
-func (w *Watch) Ran() time.Duration { return time.Duration(w.ran.Load()) }
+func (w *GapDetector) RunTime() time.Duration { return time.Duration(w.ran.Load()) }
 
-// WokeSince reports whether a gap was seen after a moment of Clock.Now.
-func (w *Watch) WokeSince(at time.Duration) bool {
+// GapSince reports whether a gap was seen after a moment of Clock.Now.
+func (w *GapDetector) GapSince(at time.Duration) bool {
 	woke := w.woke.Load()
 	return woke != 0 && time.Duration(woke) > at
 }
--- a/edge/host.go
+++ b/edge/host.go
@@ -88,7 +88,7 @@
 	Log logr.Logger
 
 	life      uint64
-	watch     clock.Watch
+	watch     clock.GapDetector
 	waking    waking
 	store     *platform.Store
 	reach     *feed.StoreHealth
@@ -122,7 +122,7 @@
 	if h.Clock == nil {
 		h.Clock = clock.New()
 	}
-	h.watch.Clock, h.watch.Woke = h.Clock, h.woke
+	h.watch.Clock, h.watch.OnGap = h.Clock, h.woke
 	h.life = rand.Uint64() >> 12
 	h.stopping = make(chan struct{})
 	h.hup = make(chan struct{}, 1)
@@ -172,7 +172,7 @@
 		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
 	h.reach = &feed.StoreHealth{
-		Now: h.now, RunTime: h.watch.Ran, OutageAfter: time.Duration(silentShare * float64(b.DrainTime)), RetryInterval: endpointsPause,
+		Now: h.now, RunTime: h.watch.RunTime, OutageAfter: time.Duration(silentShare * float64(b.DrainTime)), RetryInterval: endpointsPause,
 		LapseTimes: feed.LapseTimes{
 			MinOutage: lapseBeats * b.Heartbeat, RenewTime: backTime, MaxKeep: time.Duration(lapseShare * float64(b.ContactTime)),
 		},
@@ -241,7 +241,7 @@
 		return err
 	}
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Look,
+		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Check,
 		Rand: rand.New(rand.NewPCG(h.life, 1)), Log: h.Log.WithName("peers"),
 	}
 	h.agent.Places = h.ingress
@@ -293,7 +293,7 @@
 			return
 		case <-t.C:
 		}
-		h.watch.Look()
+		h.watch.Check()
 		h.ingress.Draw()
 		if n%ticksEach == 0 {
 			h.ingress.Tick()
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -160,7 +160,7 @@
 func (h *Host) readyHandler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
-		if h.watch.Look(); !h.ready() {
+		if h.watch.Check(); !h.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}).Methods(http.MethodGet)
@@ -182,7 +182,7 @@
 func (h *Host) directoryHandler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, _ *http.Request) {
-		if h.watch.Look(); h.unproven() {
+		if h.watch.Check(); h.unproven() {
 			w.WriteHeader(http.StatusServiceUnavailable) // who of the others lives is not known; callers ask another host
 			return
 		}
--- a/ingress/send_test.go
+++ b/ingress/send_test.go
@@ -90,7 +90,7 @@
 			e := &endpoints{came: make(map[string]int)}
 			defer e.stop()
 			now := clock.NewSteady()
-			s := &ingress.Server{Headers: platform.Headers, Now: now.Now, Watch: &clock.Watch{Clock: now}, Zone: "z", BodyMemory: 1 << 20, Log: logr.Discard()}
+			s := &ingress.Server{Headers: platform.Headers, Now: now.Now, Watch: &clock.GapDetector{Clock: now}, Zone: "z", BodyMemory: 1 << 20, Log: logr.Discard()}
 			s.Dial = func(_ context.Context, _, address string) (net.Conn, error) {
 				if address == first.Address {
 					s.SetEndpoints(tc.after)
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -62,7 +62,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.Watch.Look()
+	s.Watch.Check()
 	s.active.Add(1)
 	s.Count.Received.Add(1)
 	c := &call{s: s, w: w, r: r, rc: http.NewResponseController(w), arrived: s.Now()}
@@ -345,7 +345,7 @@
 		conn.Release()
 	}
 	// What a send shows during which this process did not run tells nothing of the endpoint.
-	slept := c.s.Watch.WokeSince(began)
+	slept := c.s.Watch.GapSince(began)
 	if !slept {
 		c.judge(end, hold)
 	}
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -34,7 +34,7 @@
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
 	// Watch tells of times in which the process did not run, on the same clock.
-	Watch *clock.Watch
+	Watch *clock.GapDetector
 	// Unproven reports whether the host has heard nothing of settings and endpoints since it did not run for a while; nil
 	// means that it never is.
 	Unproven func() bool
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -108,7 +108,7 @@
 		case n == 0:
 			c.s.balance.first(c, c.spent(sent, at))
 			c.record(metrics.FirstToken, at-c.arrived)
-		case !c.s.Watch.WokeSince(lastAt):
+		case !c.s.Watch.GapSince(lastAt):
 			c.s.balance.paced(c, (at-lastAt)/time.Duration(c.eventTokens()))
 		}
 		lastAt = at
@@ -174,7 +174,7 @@
 
 // spent is the time that an endpoint took, or 0 if this process did not run for a part of it.
 func (c *call) spent(sent, now time.Duration) time.Duration {
-	if c.s.Watch.WokeSince(sent) {
+	if c.s.Watch.GapSince(sent) {
 		return 0
 	}
 	return now - sent
--- a/ingress/woke.go
+++ b/ingress/woke.go
@@ -43,8 +43,8 @@
 // stillAllowed looks, at the last moment before the request is sent, at what it was admitted by. The process may not have run for a while
 // since: then what it knew of keys and endpoints may be as old as that.
 func (c *call) stillAllowed() *refusal {
-	c.s.Watch.Look()
-	if c.s.Watch.WokeSince(c.arrived) {
+	c.s.Watch.Check()
+	if c.s.Watch.GapSince(c.arrived) {
 		if f := c.checkWoke(); f != nil {
 			return f
 		}
