--- a/cmd/hkctl/hosts.go
+++ b/cmd/hkctl/hosts.go
@@ -35,7 +35,7 @@
 	fmt.Fprintln(w, "REVISION\tCHANGE\tTIME\tAUTHOR\tVALUES\tMESSAGE")
 	for _, c := range h.Recent {
 		at := time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339)
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%s\n", c.Revision, c.ID, at, c.Author, len(c.Paths)+c.More, c.Message)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%s\n", c.Revision, c.ID, at, c.Author, len(c.Paths)+c.MorePaths, c.Message)
 	}
 	return w.Flush()
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -78,8 +78,8 @@
 	ctx, n.cancel = context.WithCancel(ctx)
 	n.Follower = &revision.Follower{
 		KV: kv, Peers: n, Log: logr.Discard(),
-		Relay: func() bool { return i < 2*len(m.Zones) },
-		Fleet: m.size,
+		Relay:     func() bool { return i < 2*len(m.Zones) },
+		HostCount: m.size,
 	}
 	n.Agent = &fleet.Agent{
 		Clock: clock.NewSteady(),
@@ -94,7 +94,7 @@
 			}
 		}()
 	}
-	n.Follower.Taken = func(*settings.Snapshot) { n.Agent.Kick() }
+	n.Follower.OnSnapshot = func(*settings.Snapshot) { n.Agent.Kick() }
 	go n.Agent.Run(ctx)
 	go n.Follower.Run(ctx)
 	return n
--- a/revision/bench_test.go
+++ b/revision/bench_test.go
@@ -164,7 +164,7 @@
 	// The peer promises revision 9 and gives revision 1.
 	must.NoError(t, f.Pull(ctx, 9, "peer"))
 	must.Eq(t, 2, f.Revision())
-	must.Eq(t, 9, f.Seen())
+	must.Eq(t, 9, f.HighestSeen())
 	// Broken content is refused and what is in force stays.
 	f.Peers = oldPeer{[]byte("{")}
 	must.Error(t, f.Pull(ctx, 10, "peer"))
--- a/revision/follower.go
+++ b/revision/follower.go
@@ -32,8 +32,8 @@
 
 // Defaults of a Follower.
 const (
-	// DefaultCheck is the time between a relay's reads of the head, beside its watch.
-	DefaultCheck = 3 * time.Second
+	// DefaultReadInterval is the time between a relay's reads of the head, beside its watch.
+	DefaultReadInterval = 3 * time.Second
 	// checkRate bounds the reads of the head by all hosts that are no relays, in
 	// reads a second: each waits for its share of the fleet.
 	checkRate = 10
@@ -50,10 +50,10 @@
 	Peers Peer
 	// Relay says whether this host watches the head now; nil means always.
 	Relay func() bool
-	// Fleet gives the number of hosts; nil means 1.
-	Fleet func() int
-	// Taken is told of each revision taken; nil means nobody.
-	Taken func(*settings.Snapshot)
+	// HostCount gives the number of hosts; nil means 1.
+	HostCount func() int
+	// OnSnapshot is told of each revision taken; nil means nobody.
+	OnSnapshot func(*settings.Snapshot)
 	// Log takes changes of state.
 	Log logr.Logger
 
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// Seen returns the highest revision heard of; above Revision the host is behind.
-func (f *Follower) Seen() uint64 { return max(f.seen.Load(), f.Revision()) }
+// HighestSeen returns the highest revision heard of; above Revision the host is behind.
+func (f *Follower) HighestSeen() uint64 { return max(f.seen.Load(), f.Revision()) }
 
 // Counts returns the counts so far.
 func (f *Follower) Counts() Counts {
@@ -144,7 +144,7 @@
 	if version == 0 {
 		return f.read(ctx)
 	}
-	wctx, cancel := context.WithTimeout(ctx, DefaultCheck)
+	wctx, cancel := context.WithTimeout(ctx, DefaultReadInterval)
 	defer cancel()
 	f.count(func(c *Counts) { c.Watches++ })
 	it, err := f.KV.Watch(wctx, KeyHead, version)
@@ -157,10 +157,10 @@
 // share is the time between reads of a host that is no relay.
 func (f *Follower) share() time.Duration {
 	n := 1
-	if f.Fleet != nil {
-		n = f.Fleet()
+	if f.HostCount != nil {
+		n = f.HostCount()
 	}
-	return max(DefaultCheck, time.Duration(n)*time.Second/checkRate)
+	return max(DefaultReadInterval, time.Duration(n)*time.Second/checkRate)
 }
 
 // read reads the head once.
@@ -253,8 +253,8 @@
 	}
 	f.snapshot.Store(snap)
 	f.Log.Info("settings in force", "revision", h.Revision, "from_peer", peer)
-	if f.Taken != nil {
-		f.Taken(snap)
+	if f.OnSnapshot != nil {
+		f.OnSnapshot(snap)
 	}
 	return nil
 }
--- a/revision/head.go
+++ b/revision/head.go
@@ -45,8 +45,8 @@
 	// AtMS is the writer's clock in milliseconds since 1970, for people only.
 	AtMS int64 `json:"at_ms"`
 	// Paths are the paths changed, at most maxPaths; More counts the rest.
-	Paths []string `json:"paths"`
-	More  int      `json:"more,omitempty"`
+	Paths     []string `json:"paths"`
+	MorePaths int      `json:"more,omitempty"`
 }
 
 // Retired is a chunk that is no longer named since a revision.
--- a/revision/store.go
+++ b/revision/store.go
@@ -162,7 +162,7 @@
 		return c, faults
 	}
 	c.Revision = h.Revision + 1
-	c.Paths, c.More = pathsOf(edits)
+	c.Paths, c.MorePaths = pathsOf(edits)
 	return c, s.write(ctx, h, version, merged, in, c)
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -144,7 +144,7 @@
 		r.engines = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 		r.plain = endpoint.NewServiceTransport()
 		r.follower = &revision.Follower{
-			KV: r.KV, Peers: r.peers, Relay: r.isRelay, Fleet: r.fleetSize, Taken: r.taken, Log: r.Log,
+			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.fleetSize, OnSnapshot: r.taken, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
 			Self: r.Self, Peers: r.peers, List: r.List, Clock: r.Clock, Interval: r.Heartbeat, Seed: seed, Log: r.Log,
--- a/router/status.go
+++ b/router/status.go
@@ -60,7 +60,7 @@
 func (r *Router) Status() Status {
 	var st Status
 	r.agent.View(func(t *fleet.Table) { st.Host, st.Hosts = t.Self, t.Hosts() })
-	st.Revision, st.SeenRevision = r.follower.Revision(), r.follower.Seen()
+	st.Revision, st.SeenRevision = r.follower.Revision(), r.follower.HighestSeen()
 	st.WhyNot = r.whyNotReady()
 	st.Ready = st.WhyNot == ""
 	st.Relay = r.isRelay()
