--- a/edge/host.go
+++ b/edge/host.go
@@ -166,7 +166,7 @@
 		DialContext: h.dial(fetchTimeout),
 	}}
 	h.ingress = &ingress.Server{
-		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.watch, Unproven: h.unproven, Proven: h.provenAt, Usable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
+		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.watch, Unconfirmed: h.unproven, ListConfirmedAt: h.provenAt, ListUsable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
 		Retries:    quota.RetryBudget{Ratio: retryShare * b.RetryRatio, MaxCredit: retryShare * b.RetrySlack},
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
 		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
@@ -187,7 +187,7 @@
 	h.ingress.Init()
 	h.records = &records{store: h.store, now: h.now, log: h.Log.WithName("records")}
 	h.ingress.SetRecords(h.records)
-	h.ingress.SetAges(ages(b))
+	h.ingress.SetAgeLimits(ages(b))
 	h.endpoints = &feed.Endpoints{
 		Store: h.store, Prefix: platform.PrefixEndpoints, Parse: platform.ParseEndpoint, Now: h.now,
 		Interval: time.Duration(listShare * float64(b.DrainTime)), WatchTimeout: listWait, RetryInterval: endpointsPause, Rank: h.turn, ViaRelay: h.far,
@@ -246,8 +246,8 @@
 	}
 	h.agent.Places = h.ingress
 	h.agent.Init()
-	h.ingress.SetKick(h.agent.TriggerAsks)
-	h.ingress.SetCrashed(h.agent.TriggerHeartbeat)
+	h.ingress.SetRequestSlots(h.agent.TriggerAsks)
+	h.ingress.SetCrashNotifier(h.agent.TriggerHeartbeat)
 	return nil
 }
 
@@ -294,7 +294,7 @@
 		case <-t.C:
 		}
 		h.watch.Check()
-		h.ingress.Draw()
+		h.ingress.ClaimSlots()
 		if n%ticksEach == 0 {
 			h.ingress.Tick()
 		}
@@ -341,16 +341,16 @@
 	h.read = b
 	h.agent.SetSeeds(h.seeds(b.Seeds))
 	a := ages(&b)
-	h.ingress.SetAges(a)
-	h.Log.Info("settings file in force", "seeds", len(b.Seeds), "trust", a.Trust.String(), "strict", a.Strict)
+	h.ingress.SetAgeLimits(a)
+	h.Log.Info("settings file in force", "seeds", len(b.Seeds), "trust", a.MaxKeyAge.String(), "strict", a.Strict)
 }
 
 // ages gives the bounds on the age of the settings.
-func ages(b *platform.Boot) ingress.Ages {
-	return ingress.Ages{
-		Trust:  time.Duration(trustShare * float64(b.RevokeTime)),
-		Strict: b.StrictRevoke,
-		Sure:   time.Duration(sureShare * float64(b.ConfigTime)),
+func ages(b *platform.Boot) ingress.AgeLimits {
+	return ingress.AgeLimits{
+		MaxKeyAge:     time.Duration(trustShare * float64(b.RevokeTime)),
+		Strict:        b.StrictRevoke,
+		MaxUnknownAge: time.Duration(sureShare * float64(b.ConfigTime)),
 	}
 }
 
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -200,7 +200,7 @@
 // addresses lists where callers may connect: hosts that take requests and know the
 // newest settings, else those that take requests.
 func (h *Host) addresses() []string {
-	self := peers.HostInfo{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.Fresh()}
+	self := peers.HostInfo{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.SettingsFresh()}
 	rows := []peers.HostInfo{self}
 	for _, m := range h.agent.Live() {
 		rows = append(rows, m.Info)
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -57,7 +57,7 @@
 
 // removeFreed removes the records of requests that were answered. One that cannot be removed goes with its lease.
 func (h *Host) removeFreed(ctx context.Context, k *keeper) {
-	for _, c := range h.ingress.FreedRecords() {
+	for _, c := range h.ingress.RecordsToRemove() {
 		k.freed[c.Fingerprint] = answer{h.now(), time.Now().UnixMilli() - c.AgeMS}
 	}
 	for f, answered := range k.freed {
@@ -74,7 +74,7 @@
 
 // keepSuspects writes the requests that are not kept.
 func (h *Host) keepSuspects(ctx context.Context, k *keeper) {
-	unkept := h.ingress.Unkept()
+	unkept := h.ingress.UnsavedRecords()
 	if len(unkept) == 0 {
 		clear(k.since)
 		return
--- a/edge/share.go
+++ b/edge/share.go
@@ -22,10 +22,10 @@
 func (h *Host) Fill(b *peers.Heartbeat) {
 	b.Info = peers.HostInfo{
 		Address: h.peerAddress(), Front: h.Boot.Front, Control: h.Boot.Control, Zone: h.Boot.Zone, Region: h.Boot.Region,
-		Capacity: h.Boot.Capacity(), Ready: h.ready(), Fresh: h.ingress.Fresh(),
+		Capacity: h.Boot.Capacity(), Ready: h.ready(), Fresh: h.ingress.SettingsFresh(),
 	}
 	b.Load, b.Waiting = h.ingress.Loads()
-	told := h.ingress.Tell()
+	told := h.ingress.Usage()
 	b.Used, b.Left = told.Used, told.Left
 	b.Crashes = h.Crashes(quarantine.Local)
 }
@@ -45,18 +45,18 @@
 
 // UsageReceived implements peers.Host.
 func (h *Host) UsageReceived(u peers.Usage) {
-	h.ingress.Heard(u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
+	h.ingress.MergeUsage(u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // Crashes implements peers.Host.
 func (h *Host) Crashes(to quarantine.Scope) quarantine.Evidence { return h.ingress.Crashes(to) }
 
 // CrashesReceived implements peers.Host.
-func (h *Host) CrashesReceived(t *quarantine.Evidence) bool { return h.ingress.HearCrashes(t) }
+func (h *Host) CrashesReceived(t *quarantine.Evidence) bool { return h.ingress.MergeCrashes(t) }
 
 // LoadChanges implements peers.Host.
 func (h *Host) LoadChanges() (map[string]peers.Load, map[string][]int, bool) {
-	return h.ingress.Changes()
+	return h.ingress.ChangedLoads()
 }
 
 // LoadsReceived implements peers.Host.
@@ -200,7 +200,7 @@
 
 // shareHosts tells the ingress which hosts share amounts and endpoints with this one.
 func (h *Host) shareHosts() {
-	h.ingress.KeepHosts(h.agent.UsageSources())
+	h.ingress.RetainHosts(h.agent.UsageSources())
 	n := 1 + len(h.agent.Unexpired())
 	if n == 1 && len(h.Boot.Seeds) > 1 {
 		n = len(h.Boot.Seeds)
--- a/edge/vars.go
+++ b/edge/vars.go
@@ -68,17 +68,17 @@
 		Requests: h.ingress.Count.All(), Series: h.ingress.Metrics.Export(), Active: h.ingress.Active(), SettingsAgeMS: -1,
 		SettingsRevision: h.settings.Age.Revision(), SettingsRefused: h.settings.RefusedCount(),
 		PeersLive: len(h.agent.Live()), PeersCounted: len(h.agent.Unexpired()),
-		Connections: h.ingress.Connections(), Ready: h.ready(), Fresh: h.ingress.Fresh(),
+		Connections: h.ingress.OpenedConnections(), Ready: h.ready(), Fresh: h.ingress.SettingsFresh(),
 	}
 	if age, ok := h.settings.Age.At(h.now()); ok {
 		v.SettingsAgeMS = age.Milliseconds()
 	}
 	v.Endpoints, v.EndpointsAgeMS = h.endpoints.StateCounts(), -1
 	v.Fetches, v.FetchesFailed, v.FetchLongestMS = h.fetched.asked.Load(), h.fetched.failed.Load(), h.fetched.longestMS.Load()
-	v.PlacesOwned = h.ingress.PlacesOwned()
-	v.EndpointsEjected, v.Ejections = h.ingress.Ejected()
+	v.PlacesOwned = h.ingress.SlotsOwned()
+	v.EndpointsEjected, v.Ejections = h.ingress.EjectionCounts()
 	v.Wakes, v.AsleepMS = h.waking.count.Load(), h.waking.gapMS.Load()
-	v.RequestsSuspected, v.RequestsHeld = h.ingress.Suspected()
+	v.RequestsSuspected, v.RequestsHeld = h.ingress.SuspectCounts()
 	v.EndpointsForeign = h.endpoints.ForeignCount()
 	if view, ok := h.endpoints.View(); ok {
 		v.EndpointsRevision, v.EndpointsAgeMS = view.Revision, (h.now() - view.ProvenAt).Milliseconds()
--- a/edge/woke.go
+++ b/edge/woke.go
@@ -31,7 +31,7 @@
 	h.waking.count.Add(1)
 	h.waking.gapMS.Add(gap.Milliseconds())
 	h.Log.Info("did not run", "for_ms", gap.Milliseconds(), "suspended_ms", g.Suspended.Milliseconds(), "active", h.ingress.Active())
-	h.ingress.Woke(g)
+	h.ingress.NoteGap(g)
 	h.agent.NoteGap(gap)
 	// Who is at the other end has mostly given the connections up.
 	h.store.HTTP.CloseIdleConnections()
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -62,7 +62,7 @@
 
 // unknown refuses what the settings do not hold, if they are surely the newest.
 func (c *call) unknown(status int, why string) *refusal {
-	if age, ok := c.s.Settings.Age.At(c.s.Now()); !ok || age > c.s.ages.Load().Sure {
+	if age, ok := c.s.Settings.Age.At(c.s.Now()); !ok || age > c.s.ages.Load().MaxUnknownAge {
 		c.s.Count.Stale.Add(1)
 		return &refusal{status: http.StatusServiceUnavailable, why: "settings are too old to say; come back", after: time.Second}
 	}
@@ -110,9 +110,9 @@
 		c.s.Count.Bad.Add(1)
 		return &refusal{status: http.StatusBadRequest, why: "bad header " + name + "; see the reference"}
 	}
-	ids := h[http.CanonicalHeaderKey(n.Attempt)]
+	ids := h[http.CanonicalHeaderKey(n.AttemptID)]
 	if len(ids) != 1 || ids[0] == "" {
-		return bad(n.Attempt)
+		return bad(n.AttemptID)
 	}
 	c.id = ids[0]
 	c.deadline = c.arrived + freeDeadline
@@ -136,7 +136,7 @@
 		}
 		c.named = true
 	}
-	if v := h.Get(n.LengthGuess); v != "" {
+	if v := h.Get(n.LengthHint); v != "" {
 		// A bad guess is no guess.
 		c.likely, _ = strconv.Atoi(v)
 	}
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// SetCrashed gives what tells the other hosts soon of endpoints that crashed; call it before the first request.
-func (s *Server) SetCrashed(tell func()) { s.crashes.tell = tell }
+// SetCrashNotifier gives what tells the other hosts soon of endpoints that crashed; call it before the first request.
+func (s *Server) SetCrashNotifier(tell func()) { s.crashes.tell = tell }
 
 // Crashes gives what other hosts are to be told of requests under which endpoints crashed.
 func (s *Server) Crashes(to quarantine.Scope) quarantine.Evidence {
@@ -218,32 +218,32 @@
 	return k.book.Outgoing(k.now(), to)
 }
 
-// HearCrashes takes what another host tells of requests under which endpoints crashed, and returns true if some of it is new.
-func (s *Server) HearCrashes(t *quarantine.Evidence) bool {
+// MergeCrashes takes what another host tells of requests under which endpoints crashed, and returns true if some of it is new.
+func (s *Server) MergeCrashes(t *quarantine.Evidence) bool {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Merge(k.now(), t)
 }
 
-// Suspected counts the requests under which endpoints crashed, and those of them that are refused now.
-func (s *Server) Suspected() (suspects, held int) {
+// SuspectCounts counts the requests under which endpoints crashed, and those of them that are refused now.
+func (s *Server) SuspectCounts() (suspects, held int) {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Suspects(), k.book.CountHeld(k.now())
 }
 
-// Unkept gives the requests on trial and held that are to be written where they outlast all hosts.
-func (s *Server) Unkept() []quarantine.Record {
+// UnsavedRecords gives the requests on trial and held that are to be written where they outlast all hosts.
+func (s *Server) UnsavedRecords() []quarantine.Record {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Unsaved(k.now(), time.Now().UnixMilli())
 }
 
-// FreedRecords gives the requests whose records this host is to remove, each once, and how long ago they were answered.
-func (s *Server) FreedRecords() []quarantine.Clear {
+// RecordsToRemove gives the requests whose records this host is to remove, each once, and how long ago they were answered.
+func (s *Server) RecordsToRemove() []quarantine.Clear {
 	k := &s.crashes
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/ingress/headers.go
+++ b/ingress/headers.go
@@ -11,30 +11,30 @@
 
 // Headers are the names of the headers that callers and endpoints speak.
 type Headers struct {
-	// Attempt names a request; endpoints give it back.
-	Attempt string
+	// AttemptID names a request; endpoints give it back.
+	AttemptID string
 	// Deadline is the time in milliseconds that the sender waits.
 	Deadline string
-	// Parts names the parts of a prompt in order, as ID:TOKENS by commas.
-	Parts string
+	// PromptParts names the parts of a prompt in order, as ID:TOKENS by commas.
+	PromptParts string
 	// LastEvent is the number of the last event received.
 	LastEvent string
-	// Stamp marks an endpoint's answer as its own.
-	Stamp string
+	// ResponseStamp marks an endpoint's answer as its own.
+	ResponseStamp string
 	// Workspace tells the endpoint for whom the request runs.
 	Workspace string
-	// Expect names the instance that is to run the request.
-	Expect string
-	// NotRun on an answer says that the endpoint did not run the request.
-	NotRun string
+	// ExpectInstance names the instance that is to run the request.
+	ExpectInstance string
+	// NotExecuted on an answer says that the endpoint did not run the request.
+	NotExecuted string
 	// Tokens holds the prompt's tokens and the most of the answer, by a comma.
 	Tokens string
-	// LengthGuess is the caller's guess of the answer's tokens.
-	LengthGuess string
+	// LengthHint is the caller's guess of the answer's tokens.
+	LengthHint string
 	// KeyScheme goes before the key in Authorization.
 	KeyScheme string
-	// Own are headers that only the system may set; callers' ones are dropped.
-	Own []string
+	// Reserved are headers that only the system may set; callers' ones are dropped.
+	Reserved []string
 }
 
 // single are headers that concern one connection only.
@@ -62,7 +62,7 @@
 	h := in.Clone()
 	dropSingle(h)
 	h.Del("Authorization")
-	for _, name := range n.Own {
+	for _, name := range n.Reserved {
 		h.Del(name)
 	}
 	return h
--- a/ingress/places.go
+++ b/ingress/places.go
@@ -96,8 +96,8 @@
 	return out
 }
 
-// PlacesOwned counts the endpoints about whose places other hosts asked this one.
-func (s *Server) PlacesOwned() int {
+// SlotsOwned counts the endpoints about whose places other hosts asked this one.
+func (s *Server) SlotsOwned() int {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -317,7 +317,7 @@
 		return unsent, 0
 	}
 	c.header.Set(c.s.Headers.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	c.header.Set(c.s.Headers.Expect, c.at.Instance)
+	c.header.Set(c.s.Headers.ExpectInstance, c.at.Instance)
 	unwatch := context.AfterFunc(ctx, func() { conn.Close() })
 	c.account.MarkSent()
 	c.mute = true
@@ -424,7 +424,7 @@
 	if err := conn.Send(&req); err != nil {
 		return lost, holdLost
 	}
-	resp, err := conn.ReadResponse(c.r.Method, c.s.Headers.Attempt, c.id)
+	resp, err := conn.ReadResponse(c.r.Method, c.s.Headers.AttemptID, c.id)
 	if err != nil {
 		return lost, holdLost
 	}
@@ -435,7 +435,7 @@
 		drain(resp)
 		return notRun, holdForeign
 	}
-	if resp.Header.Get(c.s.Headers.NotRun) != "" {
+	if resp.Header.Get(c.s.Headers.NotExecuted) != "" {
 		c.account.MarkNotRun()
 		drain(resp)
 		return notRun, holdFull
@@ -443,7 +443,7 @@
 	c.account.MarkAnswered()
 	c.failedAnswer = resp.StatusCode >= http.StatusInternalServerError
 	ok := resp.StatusCode >= 200 && resp.StatusCode < 300
-	if ok && resp.Header.Get(c.s.Headers.Stamp) == "" {
+	if ok && resp.Header.Get(c.s.Headers.ResponseStamp) == "" {
 		return lost, holdLost
 	}
 	if ok && c.route.Kind == route.Stream {
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -35,13 +35,13 @@
 	Now func() time.Duration
 	// Watch tells of times in which the process did not run, on the same clock.
 	Watch *clock.GapDetector
-	// Unproven reports whether the host has heard nothing of settings and endpoints since it did not run for a while; nil
+	// Unconfirmed reports whether the host has heard nothing of settings and endpoints since it did not run for a while; nil
 	// means that it never is.
-	Unproven func() bool
-	// Proven tells when the list of endpoints was surely the newest, and false if there is none; nil means that it always is.
-	Proven func() (time.Duration, bool)
-	// Usable reports whether the list of endpoints is young enough to send requests by it; nil means that it always is.
-	Usable func() bool
+	Unconfirmed func() bool
+	// ListConfirmedAt tells when the list of endpoints was surely the newest, and false if there is none; nil means that it always is.
+	ListConfirmedAt func() (time.Duration, bool)
+	// ListUsable reports whether the list of endpoints is young enough to send requests by it; nil means that it always is.
+	ListUsable func() bool
 	// DrainTime is the time after its leaving in which an endpoint may still get requests.
 	DrainTime time.Duration
 	// Host names this host.
@@ -70,7 +70,7 @@
 	deadlines deadlines
 	active    atomic.Int64
 	bodies    atomic.Int64
-	ages      atomic.Pointer[Ages]
+	ages      atomic.Pointer[AgeLimits]
 	stopAt    atomic.Int64 // when the stop began, in nanoseconds of Now, or 0
 
 	mu      sync.Mutex
@@ -97,23 +97,23 @@
 	s.retries = make(map[string]*quota.RetryBudget)
 	s.lines = make(map[outcome.Kind]*outcome.Budget)
 	s.hosts = 1
-	s.SetAges(Ages{Strict: true})
+	s.SetAgeLimits(AgeLimits{Strict: true})
 	s.balance = newBalancer(s.Zone, s.Policy, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), s.Now)
 }
 
-// Ages bound what a host does with settings that may be old.
-type Ages struct {
-	// Trust is the age up to which they are taken to know which keys were withdrawn.
-	Trust time.Duration
+// AgeLimits bound what a host does with settings that may be old.
+type AgeLimits struct {
+	// MaxKeyAge is the age up to which they are taken to know which keys were withdrawn.
+	MaxKeyAge time.Duration
 	// Strict says that requests with keys are refused beyond Trust; else they are taken
 	// with the keys that are known, and only callers are sent to other hosts.
 	Strict bool
-	// Sure is the age up to which an unknown route or key is said to be unknown.
-	Sure time.Duration
+	// MaxUnknownAge is the age up to which an unknown route or key is said to be unknown.
+	MaxUnknownAge time.Duration
 }
 
-// SetAges puts bounds in force.
-func (s *Server) SetAges(a Ages) { s.ages.Store(&a) }
+// SetAgeLimits puts bounds in force.
+func (s *Server) SetAgeLimits(a AgeLimits) { s.ages.Store(&a) }
 
 // dialTimeout bounds the opening of a connection to an endpoint.
 const dialTimeout = 700 * time.Millisecond
@@ -155,8 +155,8 @@
 	}
 }
 
-// SetKick gives what makes the host ask for places soon; call it before the first request.
-func (s *Server) SetKick(kick func()) { s.balance.kick = kick }
+// SetRequestSlots gives what makes the host ask for places soon; call it before the first request.
+func (s *Server) SetRequestSlots(kick func()) { s.balance.kick = kick }
 
 // SetEndpoints is called with each new list of endpoints.
 func (s *Server) SetEndpoints(list []feed.Endpoint) {
@@ -179,22 +179,22 @@
 	}
 }
 
-// Heard takes what another host used.
-func (s *Server) Heard(host string, life uint64, told quota.Report) {
+// MergeUsage takes what another host used.
+func (s *Server) MergeUsage(host string, life uint64, told quota.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.ApplyReport(s.Now(), host, life, told)
 }
 
-// Tell tells what this host used and which amounts are nearly used up.
-func (s *Server) Tell() quota.Report {
+// Usage tells what this host used and which amounts are nearly used up.
+func (s *Server) Usage() quota.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Report(s.Now())
 }
 
-// KeepHosts drops what other hosts used but those named: the rest are surely gone.
-func (s *Server) KeepHosts(names map[string]bool) {
+// RetainHosts drops what other hosts used but those named: the rest are surely gone.
+func (s *Server) RetainHosts(names map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.RetainPeers(names)
@@ -205,24 +205,24 @@
 
 // listAge is the age of the list of endpoints, 0 if it is always the newest or there is none.
 func (s *Server) listAge(now time.Duration) time.Duration {
-	if s.Proven == nil {
+	if s.ListConfirmedAt == nil {
 		return 0
 	}
-	at, ok := s.Proven()
+	at, ok := s.ListConfirmedAt()
 	if !ok {
 		return 0
 	}
 	return max(0, now-at)
 }
 
-// Fresh tells whether the settings are young enough to know which keys were withdrawn.
-func (s *Server) Fresh() bool {
+// SettingsFresh tells whether the settings are young enough to know which keys were withdrawn.
+func (s *Server) SettingsFresh() bool {
 	age, ok := s.Settings.Age.At(s.Now())
-	return ok && age < s.ages.Load().Trust
+	return ok && age < s.ages.Load().MaxKeyAge
 }
 
 // takesKeys tells whether requests with keys are taken.
-func (s *Server) takesKeys() bool { return !s.ages.Load().Strict || s.Fresh() }
+func (s *Server) takesKeys() bool { return !s.ages.Load().Strict || s.SettingsFresh() }
 
 // Stop begins a planned stop: answers close their connections, and after a while
 // new requests are refused.
@@ -263,11 +263,11 @@
 	return s.retryBook(service).Take()
 }
 
-// Connections counts the connections opened to endpoints.
-func (s *Server) Connections() int64 { return s.pool.TotalOpened() }
+// OpenedConnections counts the connections opened to endpoints.
+func (s *Server) OpenedConnections() int64 { return s.pool.TotalOpened() }
 
-// Draw lets the host take its part of the free places; call it every 25 ms or so.
-func (s *Server) Draw() { s.balance.draw(s.Now()) }
+// ClaimSlots lets the host take its part of the free places; call it every 25 ms or so.
+func (s *Server) ClaimSlots() { s.balance.draw(s.Now()) }
 
 // Tick does what is due now and then; call it about ten times a second.
 func (s *Server) Tick() { s.balance.tick(s.Now()) }
--- a/ingress/state.go
+++ b/ingress/state.go
@@ -10,14 +10,14 @@
 // service and tier.
 func (s *Server) Loads() (map[string]peers.Load, map[string][]int) { return s.balance.loads() }
 
-// Changes tells the loads that changed since its last call and what waits, and false if
+// ChangedLoads tells the loads that changed since its last call and what waits, and false if
 // nothing changed.
-func (s *Server) Changes() (map[string]peers.Load, map[string][]int, bool) {
+func (s *Server) ChangedLoads() (map[string]peers.Load, map[string][]int, bool) {
 	return s.balance.changes()
 }
 
-// Ejected counts the endpoints that get no work now because they fail, and the ejections since the start.
-func (s *Server) Ejected() (now, ever int) {
+// EjectionCounts counts the endpoints that get no work now because they fail, and the ejections since the start.
+func (s *Server) EjectionCounts() (now, ever int) {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ingress/tell.go
+++ b/ingress/tell.go
@@ -81,7 +81,7 @@
 		e.FirstMS = (c.times.first - c.arrived).Milliseconds()
 	}
 	if e.ID == "" {
-		e.ID = c.r.Header.Get(c.s.Headers.Attempt)
+		e.ID = c.r.Header.Get(c.s.Headers.AttemptID)
 	}
 	if c.deadline > 0 {
 		e.LeftMS = (c.deadline - now).Milliseconds()
--- a/ingress/woke.go
+++ b/ingress/woke.go
@@ -13,9 +13,9 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// Woke notes that the process did not run for a time. Calls past their deadlines are ended, connections that rested are closed, since endpoints
+// NoteGap notes that the process did not run for a time. Calls past their deadlines are ended, connections that rested are closed, since endpoints
 // have mostly closed them, and what is learned of requests under way leaves the time out.
-func (s *Server) Woke(g clock.Gap) {
+func (s *Server) NoteGap(g clock.Gap) {
 	s.deadlines.woke()
 	s.pool.CloseIdle()
 	s.balance.woke(g.Ended - g.Began)
@@ -33,7 +33,7 @@
 
 // checkWoke refuses requests while the host has heard nothing since it woke: it may know endpoints that left, and keys that were withdrawn.
 func (c *call) checkWoke() *refusal {
-	if c.s.Unproven == nil || !c.s.Unproven() {
+	if c.s.Unconfirmed == nil || !c.s.Unconfirmed() {
 		return nil
 	}
 	c.s.Count.Unproven.Add(1)
@@ -62,7 +62,7 @@
 // gets old by what this host does not do in time, by others that tell it nothing and by calls that fail; none of these is bounded, so the
 // promise is kept here.
 func (c *call) checkList() *refusal {
-	if c.s.Usable == nil || c.s.Usable() {
+	if c.s.ListUsable == nil || c.s.ListUsable() {
 		return nil
 	}
 	c.s.Count.OldList.Add(1)
