--- a/places/book.go
+++ b/places/book.go
@@ -11,14 +11,14 @@
 
 // Figures of the book.
 const (
-	// grantLife is the time in which a granted place is to be taken: a datagram each way between regions' zones, and the
+	// grantTTL is the time in which a granted place is to be taken: a datagram each way between regions' zones, and the
 	// wait for a slow host's turn of its processor.
-	grantLife = 80 * time.Millisecond
-	// askLife is the time for which a host is taken to want a place after it said so: it says so again sooner.
-	askLife = 120 * time.Millisecond
-	// rowLife is the silence after which what a host told counts no more: twice the time after which it tells its
+	grantTTL = 80 * time.Millisecond
+	// requestTTL is the time for which a host is taken to want a place after it said so: it says so again sooner.
+	requestTTL = 120 * time.Millisecond
+	// hostTTL is the silence after which what a host told counts no more: twice the time after which it tells its
 	// requests again, and half of one.
-	rowLife = 2500 * time.Millisecond
+	hostTTL = 2500 * time.Millisecond
 )
 
 // Request is what a host tells the owner of an endpoint's places.
@@ -42,51 +42,51 @@
 
 // Allocator is what an owner knows of one endpoint. The zero value knows nothing.
 type Allocator struct {
-	rows map[string]*row
+	hosts map[string]*hostState
 }
 
-// row is what a host told.
-type row struct {
-	life    uint64
-	seq     uint32
-	running int
-	rank    int
-	heard   time.Duration
-	granted int
-	until   time.Duration // until when what was granted may be taken
+// hostState is what a host told.
+type hostState struct {
+	incarnation uint64
+	seq         uint32
+	running     int
+	rank        int
+	updatedAt   time.Duration
+	granted     int
+	grantExpiry time.Duration // until when what was granted may be taken
 }
 
 // Update takes what a host told in a life of its process. Words that were overtaken do not count. Requests that it has begun since took what
 // was granted.
-func (b *Allocator) Update(now time.Duration, host string, life uint64, seq uint32, a Request) {
-	if b.rows == nil {
-		b.rows = make(map[string]*row)
+func (b *Allocator) Update(now time.Duration, host string, incarnation uint64, seq uint32, req Request) {
+	if b.hosts == nil {
+		b.hosts = make(map[string]*hostState)
 	}
-	r := b.rows[host]
-	if r == nil || r.life != life || now-r.heard > rowLife {
-		r = &row{life: life}
-		b.rows[host] = r
+	h := b.hosts[host]
+	if h == nil || h.incarnation != incarnation || now-h.updatedAt > hostTTL {
+		h = &hostState{incarnation: incarnation}
+		b.hosts[host] = h
 	}
-	if seq <= r.seq && r.seq != 0 && r.seq-seq < 1<<31 {
+	if seq <= h.seq && h.seq != 0 && h.seq-seq < 1<<31 {
 		return
 	}
-	a.Running = max(0, a.Running)
-	r.granted = max(0, r.granted-max(0, a.Running-r.running))
-	if a.Returned {
-		r.granted = 0
+	req.Running = max(0, req.Running)
+	h.granted = max(0, h.granted-max(0, req.Running-h.running))
+	if req.Returned {
+		h.granted = 0
 	}
-	r.seq, r.running, r.rank, r.heard = seq, a.Running, a.Rank, now
+	h.seq, h.running, h.rank, h.updatedAt = seq, req.Running, req.Rank, now
 }
 
 // Running is the number of requests there, as far as the hosts told.
 func (b *Allocator) Running(now time.Duration) int {
 	n := 0
-	for host, r := range b.rows {
-		if now-r.heard > rowLife {
-			delete(b.rows, host)
+	for host, h := range b.hosts {
+		if now-h.updatedAt > hostTTL {
+			delete(b.hosts, host)
 			continue
 		}
-		n += r.running
+		n += h.running
 	}
 	return n
 }
@@ -94,23 +94,23 @@
 // Allocate grants the free places: limit tells how many requests may be there for one of a tier to be added. It returns
 // the hosts that got one, the upper tiers first and drawn at random within a tier.
 func (b *Allocator) Allocate(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
-	taken := b.Running(now)
-	for _, w := range b.rows {
-		if now >= w.until {
-			w.granted = 0
+	used := b.Running(now)
+	for _, h := range b.hosts {
+		if now >= h.grantExpiry {
+			h.granted = 0
 		}
-		taken += w.granted
+		used += h.granted
 	}
 	var out []string
 	for {
 		host := b.next(now, r)
-		if host == "" || taken >= limit(b.rows[host].rank) {
+		if host == "" || used >= limit(b.hosts[host].rank) {
 			return out
 		}
-		w := b.rows[host]
-		w.granted++
-		w.until = now + grantLife
-		taken++
+		h := b.hosts[host]
+		h.granted++
+		h.grantExpiry = now + grantTTL
+		used++
 		out = append(out, host)
 	}
 }
@@ -118,14 +118,14 @@
 // next draws one of the hosts that want a place for the highest tier and have none granted.
 func (b *Allocator) next(now time.Duration, r *rand.Rand) string {
 	best, n := "", 0
-	for host, w := range b.rows {
-		if w.rank < 0 || w.granted > 0 || now-w.heard > askLife {
+	for host, h := range b.hosts {
+		if h.rank < 0 || h.granted > 0 || now-h.updatedAt > requestTTL {
 			continue
 		}
 		switch {
-		case best == "" || w.rank < b.rows[best].rank:
+		case best == "" || h.rank < b.hosts[best].rank:
 			best, n = host, 1
-		case w.rank == b.rows[best].rank:
+		case h.rank == b.hosts[best].rank:
 			n++
 			if r.IntN(n) == 0 {
 				best = host
@@ -138,13 +138,13 @@
 // OthersRunning is the number of requests of all hosts but one, granted places counted as taken.
 func (b *Allocator) OthersRunning(now time.Duration, host string) int {
 	n := b.Running(now)
-	for name, r := range b.rows {
-		if name != host && now < r.until {
-			n += r.granted
+	for name, h := range b.hosts {
+		if name != host && now < h.grantExpiry {
+			n += h.granted
 		}
 	}
-	if r := b.rows[host]; r != nil {
-		n -= r.running
+	if h := b.hosts[host]; h != nil {
+		n -= h.running
 	}
 	return n
 }
--- a/places/owner.go
+++ b/places/owner.go
@@ -16,21 +16,21 @@
 // with the largest hash of both names (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
 // 1998). It is empty without hosts.
 func Owner(endpoint, zone string, hosts []Candidate) string {
-	if name := largest(endpoint, hosts, func(c Candidate) bool { return c.Zone == zone }); name != "" {
+	if name := maxHash(endpoint, hosts, func(c Candidate) bool { return c.Zone == zone }); name != "" {
 		return name
 	}
-	return largest(endpoint, hosts, func(Candidate) bool { return true })
+	return maxHash(endpoint, hosts, func(Candidate) bool { return true })
 }
 
-// largest names the candidate with the largest hash.
-func largest(endpoint string, hosts []Candidate, ok func(Candidate) bool) string {
-	name, most := "", uint64(0)
+// maxHash names the candidate with the largest hash.
+func maxHash(endpoint string, hosts []Candidate, ok func(Candidate) bool) string {
+	name, maxSum := "", uint64(0)
 	for _, c := range hosts {
 		if !ok(c) {
 			continue
 		}
-		if sum := xxhash.Sum64String(c.Host + "\x00" + endpoint); name == "" || sum > most {
-			name, most = c.Host, sum
+		if sum := xxhash.Sum64String(c.Host + "\x00" + endpoint); name == "" || sum > maxSum {
+			name, maxSum = c.Host, sum
 		}
 	}
 	return name
--- a/places/places_test.go
+++ b/places/places_test.go
@@ -39,9 +39,9 @@
 			if h.Host == first {
 				must.EqOp(t, zone, h.Zone)
 			}
-			left := append(append([]Candidate(nil), hosts[:i]...), hosts[i+1:]...)
+			rest := append(append([]Candidate(nil), hosts[:i]...), hosts[i+1:]...)
 			if h.Host != first && e < 30 {
-				must.EqOp(t, first, Owner(name, zone, left))
+				must.EqOp(t, first, Owner(name, zone, rest))
 			}
 		}
 	}
@@ -52,32 +52,32 @@
 	must.NotEq(t, "", Owner("e", "elsewhere", hosts)) // a zone without hosts
 }
 
-// TestBook plays words of hosts to the owner of an endpoint with two places, of which the top tier may have three.
-func TestBook(t *testing.T) {
-	type word struct {
-		at   time.Duration
-		host string
-		seq  uint32
-		ask  Request
-		want []string // who gets a place for it
-		life uint64   // of the host, 0 for the first
+// TestAllocator plays words of hosts to the owner of an endpoint with two places, of which the top tier may have three.
+func TestAllocator(t *testing.T) {
+	type message struct {
+		at          time.Duration
+		host        string
+		seq         uint32
+		request     Request
+		want        []string // who gets a place for it
+		incarnation uint64   // of the host, 0 for the first
 	}
 	cases := []struct {
-		name  string
-		words []word
+		name     string
+		messages []message
 	}{
-		{"free places", []word{{0, "x", 1, Request{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
-		{"the top tier may have one more", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {0, "z", 1, Request{0, 0, false}, []string{"z"}, 0}}},
-		{"what was granted is taken", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Request{1, -1, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
-		{"what was granted is given back", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "y", 2, Request{0, -1, true}, []string{"z"}, 0}}},
-		{"what was granted is not taken in its time", []word{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {askLife + 1, "z", 1, Request{0, 1, false}, []string{"z"}, 0}}},
-		{"a request ends", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {50 * ms, "x", 2, Request{1, -1, false}, []string{"y"}, 0}}},
-		{"who waits for a higher tier goes first", []word{{0, "x", 1, Request{3, -1, false}, nil, 0}, {0, "y", 1, Request{0, 2, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "x", 2, Request{1, -1, false}, []string{"z"}, 0}}},
-		{"who waits says so", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {askLife + 1, "x", 2, Request{1, -1, false}, nil, 0}}},
-		{"words that were overtaken", []word{{0, "x", 5, Request{2, -1, false}, nil, 0}, {0, "x", 4, Request{0, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}}},
-		{"words that are told twice", []word{{0, "x", 5, Request{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Request{1, 1, false}, nil, 0}}},
-		{"a host that fell silent", []word{{0, "x", 1, Request{2, -1, false}, nil, 0}, {rowLife + 1, "y", 1, Request{0, 1, false}, []string{"y"}, 0}}},
-		{"a host that starts again", []word{{0, "x", 900, Request{2, -1, false}, nil, 0}, {ms, "x", 1, Request{0, 1, false}, []string{"x"}, 2}}},
+		{"free places", []message{{0, "x", 1, Request{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"the top tier may have one more", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {0, "z", 1, Request{0, 0, false}, []string{"z"}, 0}}},
+		{"what was granted is taken", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Request{1, -1, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"what was granted is given back", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "y", 2, Request{0, -1, true}, []string{"z"}, 0}}},
+		{"what was granted is not taken in its time", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {requestTTL + 1, "z", 1, Request{0, 1, false}, []string{"z"}, 0}}},
+		{"a request ends", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {50 * ms, "x", 2, Request{1, -1, false}, []string{"y"}, 0}}},
+		{"who waits for a higher tier goes first", []message{{0, "x", 1, Request{3, -1, false}, nil, 0}, {0, "y", 1, Request{0, 2, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "x", 2, Request{1, -1, false}, []string{"z"}, 0}}},
+		{"who waits says so", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {requestTTL + 1, "x", 2, Request{1, -1, false}, nil, 0}}},
+		{"words that were overtaken", []message{{0, "x", 5, Request{2, -1, false}, nil, 0}, {0, "x", 4, Request{0, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}}},
+		{"words that are told twice", []message{{0, "x", 5, Request{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Request{1, 1, false}, nil, 0}}},
+		{"a host that fell silent", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {hostTTL + 1, "y", 1, Request{0, 1, false}, []string{"y"}, 0}}},
+		{"a host that starts again", []message{{0, "x", 900, Request{2, -1, false}, nil, 0}, {ms, "x", 1, Request{0, 1, false}, []string{"x"}, 2}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -89,25 +89,25 @@
 				}
 				return 2
 			}
-			for i, w := range tc.words {
-				b.Update(w.at, w.host, cmp.Or(w.life, 1), w.seq, w.ask)
-				must.Eq(t, w.want, b.Allocate(w.at, limit, r), must.Sprint("word ", i))
+			for i, m := range tc.messages {
+				b.Update(m.at, m.host, cmp.Or(m.incarnation, 1), m.seq, m.request)
+				must.Eq(t, m.want, b.Allocate(m.at, limit, r), must.Sprint("word ", i))
 			}
 		})
 	}
 }
 
-// TestBookHolds plays random hosts whose words are lost, late and doubled: the places that are taken, and those granted
+// TestAllocatorBounds plays random hosts whose words are lost, late and doubled: the places that are taken, and those granted
 // and not returned, are never more than there are but for those whose words were lost, and no grant is made
 // while as many are known to be taken.
-func TestBookHolds(t *testing.T) {
-	const hosts, places = 12, 9
+func TestAllocatorBounds(t *testing.T) {
+	const hosts, slots = 12, 9
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		var b Allocator
 		var running, allowed [hosts]int
 		var seq [hosts]uint32
-		limit := func(int) int { return places }
+		limit := func(int) int { return slots }
 		for now := time.Duration(0); now < 3*time.Second; now += 2 * ms {
 			h := r.IntN(hosts)
 			switch {
@@ -119,14 +119,14 @@
 			}
 			seq[h]++
 			rank := r.IntN(3) - 1
-			back := rank < 0 && r.IntN(2) == 0
-			if back {
+			returned := rank < 0 && r.IntN(2) == 0
+			if returned {
 				allowed[h] = 0
 			}
-			b.Update(now, fmt.Sprint(h), 1, seq[h], Request{Running: running[h], Rank: rank, Returned: back})
-			for _, to := range b.Allocate(now, limit, r) {
+			b.Update(now, fmt.Sprint(h), 1, seq[h], Request{Running: running[h], Rank: rank, Returned: returned})
+			for _, host := range b.Allocate(now, limit, r) {
 				var i int
-				_, err := fmt.Sscan(to, &i)
+				_, err := fmt.Sscan(host, &i)
 				must.NoError(t, err)
 				allowed[i] = 1
 			}
@@ -134,8 +134,8 @@
 			for i := range running {
 				total += running[i]
 			}
-			must.LessEq(t, places+hosts/2, total, must.Sprint("seed ", seed)) // a place taken after its time, before its host says so
-			must.LessEq(t, places+hosts, b.Running(now))
+			must.LessEq(t, slots+hosts/2, total, must.Sprint("seed ", seed)) // a place taken after its time, before its host says so
+			must.LessEq(t, slots+hosts, b.Running(now))
 		}
 	}
 }
--- a/sched/blocks.go
+++ b/sched/blocks.go
@@ -32,11 +32,11 @@
 		return nil
 	}
 	out := make([]uint64, n)
-	var link [16]byte
+	var chain [16]byte
 	for i := range out {
-		binary.LittleEndian.PutUint64(link[8:], xxhash.Sum64String(prompt[i*size:(i+1)*size]))
-		out[i] = xxhash.Sum64(link[:])
-		binary.LittleEndian.PutUint64(link[:8], out[i])
+		binary.LittleEndian.PutUint64(chain[8:], xxhash.Sum64String(prompt[i*size:(i+1)*size]))
+		out[i] = xxhash.Sum64(chain[:])
+		binary.LittleEndian.PutUint64(chain[:8], out[i])
 	}
 	return out
 }
--- a/sched/choose.go
+++ b/sched/choose.go
@@ -8,20 +8,20 @@
 
 // candidate is an endpoint considered for a request.
 type candidate struct {
-	e      *endpointState
-	cached int // prompt tokens held
-	load   float64
-	first  time.Duration
-	whole  time.Duration
-	worth  float64 // see chooseByWorth
-	room   float64
+	e            *endpointState
+	cached       int // prompt tokens held
+	load         float64
+	firstToken   time.Duration
+	completion   time.Duration
+	value        float64 // see chooseByWorth
+	relativeLoad float64
 }
 
 // maxCandidates bounds the candidates kept for explanations.
 const maxCandidates = 8
 
-// limitFor is the number of requests up to which a tier may fill an endpoint.
-func (s *Scheduler) limitFor(rank int, e *endpointState) float64 {
+// slotLimit is the number of requests up to which a tier may fill an endpoint.
+func (s *Scheduler) slotLimit(rank int, e *endpointState) float64 {
 	n := float64(e.slots())
 	if s.cfg.Disabled.LateBinding {
 		return 1e9
@@ -37,17 +37,17 @@
 
 // admits reports whether an endpoint has room for a request.
 func (s *Scheduler) admits(now time.Duration, r *Request, e *endpointState, load float64) bool {
-	limit := s.limitFor(r.rank(), e)
-	if r.spare {
+	limit := s.slotLimit(r.rank(), e)
+	if r.spareOnly {
 		limit *= spareFill
 	}
-	if !s.trusts(now, r, e) || (load >= limit && !s.withinShare(e, limit)) {
+	if !s.healthAdmits(now, r, e) || (load >= limit && !s.withinShare(e, limit)) {
 		return false
 	}
-	if !s.mayFill(now, r, e) {
+	if !s.mayTakeSlot(now, r, e) {
 		return false
 	}
-	if e.eased && (e.own > 0 || r.rank() == 0) {
+	if e.throttled && (e.own > 0 || r.rank() == 0) {
 		return false
 	}
 	if r.long && !s.cfg.Disabled.LongCap && !s.cfg.Disabled.LateBinding {
@@ -63,8 +63,8 @@
 	return !s.cfg.Disabled.Share && float64(e.own) < limit/float64(max(1, s.SharingHosts))
 }
 
-// leastSound bounds the part of requests that an endpoint is taken not to fail.
-const leastSound = 0.05
+// minSuccess bounds the part of requests that an endpoint is taken not to fail.
+const minSuccess = 0.05
 
 // choose returns the endpoint with the least predicted time to the end of the
 // answer, at random among near-equal ones so that hosts with the same stale
@@ -78,38 +78,38 @@
 		if e == r.avoid || !s.admits(now, r, e, load) {
 			continue
 		}
-		c := candidate{e: e, cached: s.cachedAt(e), load: load}
-		c.first = s.predict(now, r, e, load, c.cached)
-		c.whole = s.completion(now, r, e, c.first)
+		c := candidate{e: e, cached: s.cachedTokens(e), load: load}
+		c.firstToken = s.predictFirstToken(now, r, e, load, c.cached)
+		c.completion = s.predictCompletion(now, r, e, c.firstToken)
 		if e.CrossZone {
-			c.whole += time.Duration(s.cfg.CrossZoneCost * float64(c.whole))
+			c.completion += time.Duration(s.cfg.CrossZoneCost * float64(c.completion))
 		}
 		// A failure costs at least one more try.
-		c.whole = time.Duration(float64(c.whole) / max(leastSound, 1-s.risk(now, r, e)))
-		best = min(best, c.whole)
+		c.completion = time.Duration(float64(c.completion) / max(minSuccess, 1-s.risk(now, r, e)))
+		best = min(best, c.completion)
 		s.cands = append(s.cands, c)
 	}
-	return s.among(best)
+	return s.randomNearBest(best)
 }
 
-// among draws one of the candidates near the best.
-func (s *Scheduler) among(best time.Duration) *candidate {
-	near := best + time.Duration(s.cfg.TieTolerance*float64(best))
+// randomNearBest draws one of the candidates near the best.
+func (s *Scheduler) randomNearBest(best time.Duration) *candidate {
+	limit := best + time.Duration(s.cfg.TieTolerance*float64(best))
 	if s.cfg.Disabled.RandomTies {
-		near = best
+		limit = best
 	}
-	var got *candidate
+	var picked *candidate
 	n := 0
 	for i := range s.cands {
-		if s.cands[i].whole > near {
+		if s.cands[i].completion > limit {
 			continue
 		}
 		n++
 		if n == 1 || s.Rand.IntN(n) == 0 {
-			got = &s.cands[i]
+			picked = &s.cands[i]
 		}
 	}
-	return got
+	return picked
 }
 
 // matchPrefix finds which endpoints hold leading blocks of a request's prompt.
@@ -120,8 +120,8 @@
 	}
 }
 
-// cachedAt returns the prompt tokens that an endpoint holds by the last matchPrefix.
-func (s *Scheduler) cachedAt(e *endpointState) int {
+// cachedTokens returns the prompt tokens that an endpoint holds by the last matchPrefix.
+func (s *Scheduler) cachedTokens(e *endpointState) int {
 	for _, m := range s.matches[:s.matched] {
 		if int(m.index) == e.index+1 {
 			return m.blocks * BlockTokens
@@ -136,16 +136,16 @@
 	if s.cfg.Disabled.Transfer {
 		return ""
 	}
-	best, from := c.cached/BlockTokens, ""
+	bestBlocks, from := c.cached/BlockTokens, ""
 	for _, m := range s.matches[:s.matched] {
-		h := s.endpoints[m.index-1]
-		if h == c.e || m.blocks <= best || !h.present || now < h.downUntil || h.report.Model != c.e.report.Model {
+		holder := s.endpoints[m.index-1]
+		if holder == c.e || m.blocks <= bestBlocks || !holder.present || now < holder.downUntil || holder.report.Model != c.e.report.Model {
 			continue
 		}
 		saved := c.e.prefillTime((m.blocks - c.cached/BlockTokens) * BlockTokens)
 		cost := s.cfg.TransferFixed + time.Duration(m.blocks)*s.cfg.TransferBlock
 		if saved > cost {
-			best, from = m.blocks, h.Name
+			bestBlocks, from = m.blocks, holder.Name
 		}
 	}
 	return from
--- a/sched/claim.go
+++ b/sched/claim.go
@@ -33,17 +33,17 @@
 	// scarceFactor is how many times the requests that come in a delay may exceed the
 	// free places before these are not scarce.
 	scarceFactor = 4
-	// shortFree is the part of all places up to which free ones are scarce while a tier is rationed: what
+	// scarceFreeShare is the part of all places up to which free ones are scarce while a tier is rationed: what
 	// tiers leave to those above them counts as free, too. With all places scarce whatever is free, hosts
 	// choose among the few engines that they have claims on, and 76 of 1,316 long requests were late in
 	// place of 61.
-	shortFree = 0.25
-	// freshNews is the delay of news up to which few hosts can have seen the same place:
+	scarceFreeShare = 0.25
+	// freshPeerState is the delay of news up to which few hosts can have seen the same place:
 	// then a request needs a claim only while its tier is rationed or others wait elsewhere, and
 	// without a ration none once it has waited as long as it may.
-	freshNews = 50 * time.Millisecond
-	// rateHalf is the time in which the rate of arrivals forgets half of what it saw.
-	rateHalf = time.Second
+	freshPeerState = 50 * time.Millisecond
+	// rateHalfLife is the time in which the rate of arrivals forgets half of what it saw.
+	rateHalfLife = time.Second
 )
 
 // PeerState is what a host knows of the others' requests.
@@ -55,72 +55,72 @@
 }
 
 // SetPeerState takes what was heard of the other hosts.
-func (s *Scheduler) SetPeerState(n PeerState) { s.news = n }
+func (s *Scheduler) SetPeerState(state PeerState) { s.peerState = state }
 
 // DrawClaims draws which free places this host may take; call it every 25 ms or so.
 func (s *Scheduler) DrawClaims(now time.Duration) {
-	dt := now - s.drawnAt
-	s.drawnAt = now
+	dt := now - s.claimsDrawnAt
+	s.claimsDrawnAt = now
 	for _, p := range s.pools {
-		p.arrivals.fade(dt)
-		s.drawPool(now, dt, p)
+		p.arrivals.decay(dt)
+		s.drawPoolClaims(now, dt, p)
 	}
 }
 
-// drawPool draws the claims of one pool.
-func (s *Scheduler) drawPool(now, dt time.Duration, p *pool) {
-	free, places, takes, known := 0.0, 0.0, time.Duration(0), 0
+// drawPoolClaims draws the claims of one pool.
+func (s *Scheduler) drawPoolClaims(now, dt time.Duration, p *pool) {
+	free, slots, serviceSum, measured := 0.0, 0.0, time.Duration(0), 0
 	for _, e := range p.members {
 		if p.usable(now, e) {
-			free += max(0, s.free(now, e))
-			places += float64(e.slots())
+			free += max(0, s.freeSlots(now, e))
+			slots += float64(e.slots())
 		}
-		if e.service > 0 {
-			takes += e.service
-			known++
+		if e.meanService > 0 {
+			serviceSum += e.meanService
+			measured++
 		}
 	}
-	newsHelps := known == 0 || takes/time.Duration(known) > s.news.Age
+	peerStateUseful := measured == 0 || serviceSum/time.Duration(measured) > s.peerState.Age
 	// What comes to this host, and to all, in the delay of the news.
-	coming := p.arrivals.rate() * s.news.Age.Seconds()
-	enough := scarceFactor * coming * float64(s.SharingHosts)
+	arriving := p.arrivals.rate() * s.peerState.Age.Seconds()
+	scarceBelow := scarceFactor * arriving * float64(s.SharingHosts)
 	if p.rationed() {
-		enough = max(enough, shortFree*places)
+		scarceBelow = max(scarceBelow, scarceFreeShare*slots)
 	}
-	p.scarce = newsHelps && s.SharingHosts > 1 && !s.cfg.Disabled.Claims && free < enough
+	p.scarce = peerStateUseful && s.SharingHosts > 1 && !s.cfg.Disabled.Claims && free < scarceBelow
 	if !p.scarce {
 		return
 	}
-	others := coming * float64(s.SharingHosts-1)
-	for _, n := range s.news.Waiting[p.model] {
+	others := arriving * float64(s.SharingHosts-1)
+	for _, n := range s.peerState.Waiting[p.model] {
 		others += float64(n)
 	}
-	own := coming + float64(max(1, p.waiting))
-	delay := claimDelays * s.news.Age
-	part := own / (own + others) * min(1, dt.Seconds()/delay.Seconds())
+	own := arriving + float64(max(1, p.waiting))
+	period := claimDelays * s.peerState.Age
+	share := own / (own + others) * min(1, dt.Seconds()/period.Seconds())
 	for _, e := range p.members {
-		s.drawEndpoint(now, e, part)
+		s.drawEndpointClaims(now, e, share)
 	}
 }
 
-// drawEndpoint draws the claims on one endpoint, of which this host is to take a part of
+// drawEndpointClaims draws the claims on one endpoint, of which this host is to take a part of
 // the free places. Claims that were not used are given up after some time.
-func (s *Scheduler) drawEndpoint(now time.Duration, e *endpointState, part float64) {
-	if s.owned(now, e) {
-		if now-e.claimedAt > grantFor {
+func (s *Scheduler) drawEndpointClaims(now time.Duration, e *endpointState, share float64) {
+	if s.ownerAnswers(now, e) {
+		if now-e.claimedAt > grantTTL {
 			e.claims = 0
 		}
 		e.vacated = 0
 		return
 	}
-	free := s.free(now, e)
-	if free <= 0 || now-e.claimedAt > claimDelays*s.news.Age {
+	free := s.freeSlots(now, e)
+	if free <= 0 || now-e.claimedAt > claimDelays*s.peerState.Age {
 		e.claims = 0
 	}
-	if now-e.vacatedAt > s.news.Age {
+	if now-e.vacatedAt > s.peerState.Age {
 		e.vacated = 0
 	}
-	mean := max(0, free) * part
+	mean := max(0, free) * share
 	n := int(mean)
 	if s.Rand.Float64() < mean-float64(n) {
 		n++
@@ -131,28 +131,28 @@
 	}
 }
 
-// free is the number of places of an endpoint that nobody is known to have.
-func (s *Scheduler) free(now time.Duration, e *endpointState) float64 {
-	return float64(e.slots()) - float64(e.own) - s.fade(now, e)*float64(e.others)
+// freeSlots is the number of places of an endpoint that nobody is known to have.
+func (s *Scheduler) freeSlots(now time.Duration, e *endpointState) float64 {
+	return float64(e.slots()) - float64(e.own) - s.reportWeight(now, e)*float64(e.others)
 }
 
-// mayFill reports whether a request may take a place of an endpoint.
-func (s *Scheduler) mayFill(now time.Duration, r *Request, e *endpointState) bool {
+// mayTakeSlot reports whether a request may take a place of an endpoint.
+func (s *Scheduler) mayTakeSlot(now time.Duration, r *Request, e *endpointState) bool {
 	if !r.pool.scarce || e.claims > 0 {
 		return true
 	}
-	if s.owned(now, e) {
+	if s.ownerAnswers(now, e) {
 		return false
 	}
 	if e.vacated > 0 {
 		return true
 	}
-	rationed := r.pool.rations[r.rank()].cut > 0
-	return s.news.Age <= freshNews && !rationed && (r.last || !s.contended(r))
+	rationed := r.pool.rations[r.rank()].refusedShare > 0
+	return s.peerState.Age <= freshPeerState && !rationed && (r.lastChance || !s.contended(r))
 }
 
-// fill counts a place as taken.
-func (e *endpointState) fill() {
+// takeSlot counts a place as taken.
+func (e *endpointState) takeSlot() {
 	if e.vacated > 0 {
 		e.vacated--
 		return
@@ -167,11 +167,13 @@
 // add counts a request.
 func (a *arrivals) add() { a.sum++ }
 
-// fade lets time pass.
-func (a *arrivals) fade(dt time.Duration) { a.sum *= math.Exp2(-dt.Seconds() / rateHalf.Seconds()) }
+// decay lets time pass.
+func (a *arrivals) decay(dt time.Duration) {
+	a.sum *= math.Exp2(-dt.Seconds() / rateHalfLife.Seconds())
+}
 
 // rate is in requests a second: a sum that halves in a time T rests at rate·T/ln 2.
-func (a *arrivals) rate() float64 { return a.sum * math.Ln2 / rateHalf.Seconds() }
+func (a *arrivals) rate() float64 { return a.sum * math.Ln2 / rateHalfLife.Seconds() }
 
 // OwnWaiting gives the number of requests that wait at this host, by model and tier; models
 // for which none waits are left out.
@@ -193,7 +195,7 @@
 
 // contended reports whether other hosts have requests waiting that go before r or beside it.
 func (s *Scheduler) contended(r *Request) bool {
-	waiting := s.news.Waiting[r.pool.model]
+	waiting := s.peerState.Waiting[r.pool.model]
 	for _, n := range waiting[:min(len(waiting), r.rank()+1)] {
 		if n > 0 {
 			return true
--- a/sched/claim_test.go
+++ b/sched/claim_test.go
@@ -17,23 +17,23 @@
 
 // hostFleet is hosts that share engines and hear of each other with a delay.
 type hostFleet struct {
-	hosts    []*Scheduler
-	now      time.Duration
-	age      time.Duration
-	running  []map[string]int   // by host: own requests by engine, now
-	told     [][]map[string]int // by host: the same in the past, newest last
-	ends     map[time.Duration][]running
-	rand     *rand.Rand
-	most     int // requests at one engine at a time
-	overTime int // engine-steps in which more than slots were there
-	steps    int
-	served   int
-	refused  int
-	// ask draws a request and lasts is how long one takes; nil means all alike.
-	ask   func() *Request
-	lasts func(*Request) time.Duration
-	// ended is called with each decision that ends a request or sends it; nil is allowed.
-	ended func(Decision)
+	hosts         []*Scheduler
+	now           time.Duration
+	age           time.Duration
+	running       []map[string]int   // by host: own requests by engine, now
+	history       [][]map[string]int // by host: the same in the past, newest last
+	ends          map[time.Duration][]running
+	rand          *rand.Rand
+	maxRunning    int // requests at one engine at a time
+	overfullSteps int // engine-steps in which more than slots were there
+	engineSteps   int
+	served        int
+	refused       int
+	// draw draws a request and lasts is how long one takes; nil means all alike.
+	draw     func() *Request
+	duration func(*Request) time.Duration
+	// onDecision is called with each decision that ends a request or sends it; nil is allowed.
+	onDecision func(Decision)
 }
 
 // running is a request at an engine.
@@ -46,11 +46,11 @@
 const fleetStep = 25 * time.Millisecond
 
 // newFleet makes hosts that share engines of 7 slots and hear of each other after some time.
-func newFleet(hosts, engines int, age time.Duration, off Rules) *hostFleet {
-	off.Share, off.LongCap, off.Floor, off.Slow, off.PeerCorrection = true, true, true, true, true
+func newFleet(hosts, engines int, age time.Duration, disabled Rules) *hostFleet {
+	disabled.Share, disabled.LongCap, disabled.Floor, disabled.Slow, disabled.PeerCorrection = true, true, true, true, true
 	f := &hostFleet{age: age, ends: make(map[time.Duration][]running), rand: rand.New(rand.NewPCG(3, 3))}
 	for h := range hosts {
-		s := &Scheduler{Config: Config{Reserve: 0.05, Disabled: off}, Rand: rand.New(rand.NewPCG(uint64(h), 7)), SharingHosts: hosts}
+		s := &Scheduler{Config: Config{Reserve: 0.05, Disabled: disabled}, Rand: rand.New(rand.NewPCG(uint64(h), 7)), SharingHosts: hosts}
 		s.Init()
 		var list []Endpoint
 		for e := range engines {
@@ -60,48 +60,48 @@
 		f.hosts = append(f.hosts, s)
 		f.running = append(f.running, make(map[string]int))
 	}
-	f.told = make([][]map[string]int, hosts)
+	f.history = make([][]map[string]int, hosts)
 	return f
 }
 
 // step lets a step pass in which some requests come to hosts drawn at random; each takes
 // some time at an engine once it is sent.
-func (f *hostFleet) step(coming int, takes time.Duration) {
+func (f *hostFleet) step(arriving int, service time.Duration) {
 	f.now += fleetStep
 	for _, x := range f.ends[f.now] {
-		f.running[x.host][x.r.at.Name]--
+		f.running[x.host][x.r.dispatchedTo.Name]--
 		f.hosts[x.host].Done(f.now, x.r, Completed, 10)
 	}
 	delete(f.ends, f.now)
-	past := int(f.age / fleetStep)
+	delaySteps := int(f.age / fleetStep)
 	for h, s := range f.hosts {
-		f.tell(h, s, past)
+		f.report(h, s, delaySteps)
 	}
-	for range coming {
+	for range arriving {
 		h := f.rand.IntN(len(f.hosts))
-		r := f.request(takes)
-		if f.ask != nil {
-			r = f.ask()
+		r := f.request(service)
+		if f.draw != nil {
+			r = f.draw()
 		}
-		f.take(h, takes, f.hosts[h].Submit(f.now, r))
+		f.apply(h, service, f.hosts[h].Submit(f.now, r))
 	}
 	for h, s := range f.hosts {
 		s.DrawClaims(f.now)
 		s.Wake()
 		for _, d := range s.Poll(f.now) {
-			f.take(h, takes, d)
+			f.apply(h, service, d)
 		}
 	}
-	f.count(past)
+	f.record(delaySteps)
 }
 
-// tell tells a host what the others had running some steps ago.
-func (f *hostFleet) tell(h int, s *Scheduler, past int) {
+// report tells a host what the others had running some steps ago.
+func (f *hostFleet) report(h int, s *Scheduler, delaySteps int) {
 	for _, e := range s.endpoints {
 		others := 0
 		for o := range f.hosts {
-			if o != h && len(f.told[o]) > past {
-				others += f.told[o][len(f.told[o])-1-past][e.Name]
+			if o != h && len(f.history[o]) > delaySteps {
+				others += f.history[o][len(f.history[o])-1-delaySteps][e.Name]
 			}
 		}
 		s.ApplyReport(f.now, e.Name, Report{
@@ -120,56 +120,56 @@
 }
 
 // request makes a request that may wait for 0.2 s.
-func (f *hostFleet) request(takes time.Duration) *Request {
+func (f *hostFleet) request(service time.Duration) *Request {
 	return &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
-		MaxTokens: 100, ExpectedTokens: 100, Arrived: f.now, Deadline: f.now + 20*takes, DispatchBy: f.now + 200*time.Millisecond,
+		MaxTokens: 100, ExpectedTokens: 100, Arrived: f.now, Deadline: f.now + 20*service, DispatchBy: f.now + 200*time.Millisecond,
 		Objective: Objective{FirstToken: time.Second},
 	}
 }
 
-// take notes a decision.
-func (f *hostFleet) take(h int, takes time.Duration, d Decision) {
-	if f.ended != nil && d.Verdict != Wait {
-		f.ended(d)
+// apply notes a decision.
+func (f *hostFleet) apply(h int, service time.Duration, d Decision) {
+	if f.onDecision != nil && d.Verdict != Wait {
+		f.onDecision(d)
 	}
 	switch d.Verdict {
 	case Run:
 		f.served++
 		f.running[h][d.Endpoint]++
 		f.hosts[h].FirstToken(f.now, d.Request)
-		at := f.now + takes/2 + time.Duration(f.rand.IntN(int(takes/fleetStep)))*fleetStep
-		if f.lasts != nil {
-			at = f.now + fleetStep + f.lasts(d.Request)
+		endsAt := f.now + service/2 + time.Duration(f.rand.IntN(int(service/fleetStep)))*fleetStep
+		if f.duration != nil {
+			endsAt = f.now + fleetStep + f.duration(d.Request)
 		}
-		at -= at % fleetStep
-		f.ends[at] = append(f.ends[at], running{h, d.Request})
+		endsAt -= endsAt % fleetStep
+		f.ends[endsAt] = append(f.ends[endsAt], running{h, d.Request})
 	case Refuse:
 		f.refused++
 	}
 }
 
-// count notes how full the engines are, and what hosts will tell.
-func (f *hostFleet) count(past int) {
+// record notes how full the engines are, and what hosts will tell.
+func (f *hostFleet) record(delaySteps int) {
 	for _, e := range f.hosts[0].endpoints {
 		n := 0
 		for h := range f.hosts {
 			n += f.running[h][e.Name]
 		}
-		f.most = max(f.most, n)
-		f.steps++
+		f.maxRunning = max(f.maxRunning, n)
+		f.engineSteps++
 		if n > 7 {
-			f.overTime++
+			f.overfullSteps++
 		}
 	}
 	for h := range f.hosts {
-		now := make(map[string]int, len(f.running[h]))
+		snapshot := make(map[string]int, len(f.running[h]))
 		for name, n := range f.running[h] {
-			now[name] = n
+			snapshot[name] = n
 		}
-		f.told[h] = append(f.told[h], now)
-		if len(f.told[h]) > past+1 {
-			f.told[h] = f.told[h][1:]
+		f.history[h] = append(f.history[h], snapshot)
+		if len(f.history[h]) > delaySteps+1 {
+			f.history[h] = f.history[h][1:]
 		}
 	}
 }
@@ -178,15 +178,15 @@
 // twice what these can do, and holds how far the engines are overfilled, and how much of
 // what they can do is done. Without claims all hosts fill the same free places.
 func TestStaleHostsDoNotOverfill(t *testing.T) {
-	const takes = 1200 * time.Millisecond
+	const service = 1200 * time.Millisecond
 	cases := []struct {
-		name           string
-		hosts, engines int
-		age            time.Duration
-		off            Rules
-		least, most    int     // requests at the fullest engine of 7 slots
-		over           float64 // part of the time in which an engine has more than slots
-		served         float64 // part of what engines of 7 slots can do
+		name                   string
+		hosts, engines         int
+		age                    time.Duration
+		disabled               Rules
+		minRunning, maxRunning int     // requests at the fullest engine of 7 slots
+		over                   float64 // part of the time in which an engine has more than slots
+		served                 float64 // part of what engines of 7 slots can do
 	}{
 		{"few hosts, fresh news", 6, 18, 25 * time.Millisecond, Rules{}, 7, 12, 0.1, 0.85},
 		{"many hosts, old news", 40, 45, 450 * time.Millisecond, Rules{}, 7, 17, 0.3, 0.85},
@@ -194,19 +194,19 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := newFleet(tc.hosts, tc.engines, tc.age, tc.off)
-			perStep := float64(7*tc.engines) * fleetStep.Seconds() / takes.Seconds()
-			owed := 0.0
+			f := newFleet(tc.hosts, tc.engines, tc.age, tc.disabled)
+			perStep := float64(7*tc.engines) * fleetStep.Seconds() / service.Seconds()
+			carry := 0.0
 			steps := int(10 * time.Second / fleetStep)
 			for range steps {
-				owed += 2 * perStep
-				n := int(owed)
-				owed -= float64(n)
-				f.step(n, takes)
+				carry += 2 * perStep
+				n := int(carry)
+				carry -= float64(n)
+				f.step(n, service)
 			}
-			over, served := float64(f.overTime)/float64(f.steps), float64(f.served)/(perStep*float64(steps))
-			t.Logf("most %d, over %.2f, served %.2f, refused %d", f.most, over, served, f.refused)
-			must.Between(t, tc.least, f.most, tc.most)
+			over, served := float64(f.overfullSteps)/float64(f.engineSteps), float64(f.served)/(perStep*float64(steps))
+			t.Logf("most %d, over %.2f, served %.2f, refused %d", f.maxRunning, over, served, f.refused)
+			must.Between(t, tc.minRunning, f.maxRunning, tc.maxRunning)
 			must.LessEq(t, tc.over, over)
 			must.GreaterEq(t, tc.served, served)
 		})
@@ -225,45 +225,45 @@
 
 // TestClaimRules holds when a request may fill a place.
 func TestClaimRules(t *testing.T) {
-	old := 450 * time.Millisecond
+	stale := 450 * time.Millisecond
 	cases := []struct {
-		name    string
-		scarce  bool
-		vacated int
-		claims  int
-		last    bool
-		age     time.Duration
-		others  []int // that wait at other hosts, by tier; the request is of tier 1
-		want    bool
+		name       string
+		scarce     bool
+		vacated    int
+		claims     int
+		lastChance bool
+		age        time.Duration
+		others     []int // that wait at other hosts, by tier; the request is of tier 1
+		want       bool
 	}{
-		{"plenty", false, 0, 0, false, old, []int{9}, true},
-		{"scarce", true, 0, 0, false, old, nil, false},
-		{"an own request ended there", true, 1, 0, false, old, []int{9}, true},
-		{"a claim was drawn", true, 0, 1, false, old, []int{9}, true},
-		{"last chance, old news", true, 0, 0, true, old, nil, false},
-		{"last chance, fresh news", true, 0, 0, true, freshNews, []int{9}, true},
-		{"fresh news, nobody waits elsewhere", true, 0, 0, false, freshNews, nil, true},
-		{"fresh news, lower tiers wait elsewhere", true, 0, 0, false, freshNews, []int{0, 0, 9}, true},
-		{"fresh news, the same tier waits elsewhere", true, 0, 0, false, freshNews, []int{0, 9}, false},
-		{"fresh news, a higher tier waits elsewhere", true, 0, 0, false, freshNews, []int{9}, false},
+		{"plenty", false, 0, 0, false, stale, []int{9}, true},
+		{"scarce", true, 0, 0, false, stale, nil, false},
+		{"an own request ended there", true, 1, 0, false, stale, []int{9}, true},
+		{"a claim was drawn", true, 0, 1, false, stale, []int{9}, true},
+		{"last chance, old news", true, 0, 0, true, stale, nil, false},
+		{"last chance, fresh news", true, 0, 0, true, freshPeerState, []int{9}, true},
+		{"fresh news, nobody waits elsewhere", true, 0, 0, false, freshPeerState, nil, true},
+		{"fresh news, lower tiers wait elsewhere", true, 0, 0, false, freshPeerState, []int{0, 0, 9}, true},
+		{"fresh news, the same tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{0, 9}, false},
+		{"fresh news, a higher tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{9}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFleet(2, 1, tc.age, Rules{}).hosts[0]
 			s.SetPeerState(PeerState{Age: tc.age, Waiting: map[string][]int{"m": tc.others}})
-			r := &Request{Settings: &settings.Effective{Rank: 1}, Model: "m", last: tc.last}
+			r := &Request{Settings: &settings.Effective{Rank: 1}, Model: "m", lastChance: tc.lastChance}
 			s.ApplyReport(0, "e0", Report{Slots: 7, Model: "m", AcceptsPrompts: true})
 			r.pool = s.poolOf(r)
 			r.pool.scarce = tc.scarce
 			e := s.byName["e0"]
 			e.vacated, e.claims = tc.vacated, tc.claims
-			must.EqOp(t, tc.want, s.mayFill(0, r, e))
+			must.EqOp(t, tc.want, s.mayTakeSlot(0, r, e))
 		})
 	}
 }
 
-// TestAloneNeedsNoClaims checks that a host without others fills what is free.
-func TestAloneNeedsNoClaims(t *testing.T) {
+// TestSingleHostNeedsNoClaims checks that a host without others fills what is free.
+func TestSingleHostNeedsNoClaims(t *testing.T) {
 	f := newFleet(1, 2, 0, Rules{})
 	for range 40 {
 		f.step(1, 2*time.Second)
--- a/sched/config.go
+++ b/sched/config.go
@@ -87,27 +87,27 @@
 
 // withDefaults fills in the fields that are zero.
 func (c Config) withDefaults() Config {
-	def(&c.MaxWaiting, 10000)
-	def(&c.Reserve, 0.1)
-	def(&c.Overcommit, 0.5)
-	def(&c.LongShare, 0.5)
-	def(&c.LongFactor, 4)
-	def(&c.TieTolerance, 0.1)
-	def(&c.SlowThreshold, 3)
-	def(&c.RecoveryThreshold, 1.5)
-	def(&c.MaxThrottledShare, 0.34)
-	def(&c.EarlyWaitWeight, 0.5)
-	def(&c.FloorDuration, 1200*time.Millisecond)
-	def(&c.NoEndpointWait, time.Second)
-	def(&c.ReportTTL, 5*time.Second)
-	def(&c.OthersShare, 0.5)
-	def(&c.TransferFixed, 5*time.Millisecond)
-	def(&c.TransferBlock, 100*time.Microsecond)
+	setDefault(&c.MaxWaiting, 10000)
+	setDefault(&c.Reserve, 0.1)
+	setDefault(&c.Overcommit, 0.5)
+	setDefault(&c.LongShare, 0.5)
+	setDefault(&c.LongFactor, 4)
+	setDefault(&c.TieTolerance, 0.1)
+	setDefault(&c.SlowThreshold, 3)
+	setDefault(&c.RecoveryThreshold, 1.5)
+	setDefault(&c.MaxThrottledShare, 0.34)
+	setDefault(&c.EarlyWaitWeight, 0.5)
+	setDefault(&c.FloorDuration, 1200*time.Millisecond)
+	setDefault(&c.NoEndpointWait, time.Second)
+	setDefault(&c.ReportTTL, 5*time.Second)
+	setDefault(&c.OthersShare, 0.5)
+	setDefault(&c.TransferFixed, 5*time.Millisecond)
+	setDefault(&c.TransferBlock, 100*time.Microsecond)
 	return c
 }
 
-// def sets a zero value to its default.
-func def[T comparable](p *T, v T) {
+// setDefault sets a zero value to its default.
+func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
 		*p = v
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -43,8 +43,8 @@
 	CrossZone bool
 }
 
-// sample is the own load at a time.
-type sample struct {
+// loadSample is the own load at a time.
+type loadSample struct {
 	at                   time.Duration
 	outstanding, prefill int
 }
@@ -63,30 +63,30 @@
 	downUntil time.Duration // it is known to be of no use until then
 	health    outlier.Record
 
-	exactAt    time.Duration // when the owner of its places told of other hosts' requests
-	askedAt    time.Duration // since when the owner was asked without an answer, or 0
-	askedLast  time.Duration // when it was asked last
-	vacated    int           // places that own requests left lately
-	vacatedAt  time.Duration // when the last one did
-	claims     int           // free places that this host may take
-	claimedAt  time.Duration // when the last claim was drawn
-	own        int           // own requests there
-	ownLong    int           // long ones of them
-	ownPrefill [maxRanks]int // own prompt tokens sent and without first token
-	sent       uint64        // own dispatches ever
-	samples    [sampleCount]sample
-	nextSample int
-	atReport   sample // own load when the report was taken
-	inflight   []*Request
+	ownerReportAt   time.Duration // when the owner of its places told of other hosts' requests
+	unansweredSince time.Duration // since when the owner was asked without an answer, or 0
+	lastAskedAt     time.Duration // when it was asked last
+	vacated         int           // places that own requests left lately
+	vacatedAt       time.Duration // when the last one did
+	claims          int           // free places that this host may take
+	claimedAt       time.Duration // when the last claim was drawn
+	own             int           // own requests there
+	ownLong         int           // long ones of them
+	ownPrefill      [maxRanks]int // own prompt tokens sent and without first token
+	sent            uint64        // own dispatches ever
+	samples         [sampleCount]loadSample
+	nextSample      int
+	atReport        loadSample // own load when the report was taken
+	inflight        []*Request
 
 	others        int // requests of others, from the last report
 	othersPrefill int
 
-	slow     float64 // observed time over the endpoint's own claim
-	slowAt   time.Duration
-	observed int // number of observations
-	eased    bool
-	service  time.Duration // mean time of a request there
+	slowFactor    float64 // observed time over the endpoint's own claim
+	slowUpdatedAt time.Duration
+	observations  int // number of observations
+	throttled     bool
+	meanService   time.Duration // mean time of a request there
 }
 
 // Fallbacks for endpoints that have not reported their speed.
@@ -124,18 +124,18 @@
 	return defaultSlots
 }
 
-// note keeps a sample of the own load.
-func (e *endpointState) note(now time.Duration) {
-	pre := 0
+// recordLoad keeps a sample of the own load.
+func (e *endpointState) recordLoad(now time.Duration) {
+	prefill := 0
 	for _, p := range e.ownPrefill {
-		pre += p
+		prefill += p
 	}
-	e.samples[e.nextSample%sampleCount] = sample{now, e.own, pre}
+	e.samples[e.nextSample%sampleCount] = loadSample{now, e.own, prefill}
 	e.nextSample++
 }
 
-// ownAt returns the own load at an earlier time, as far back as samples go.
-func (e *endpointState) ownAt(at time.Duration) sample {
+// ownLoadAt returns the own load at an earlier time, as far back as samples go.
+func (e *endpointState) ownLoadAt(at time.Duration) loadSample {
 	n := min(e.nextSample, sampleCount)
 	for i := 1; i <= n; i++ {
 		s := e.samples[(e.nextSample-i)%sampleCount]
@@ -146,17 +146,17 @@
 	if n == sampleCount {
 		return e.samples[e.nextSample%sampleCount]
 	}
-	return sample{}
+	return loadSample{}
 }
 
-// take accepts a report and works out what others have there.
-func (e *endpointState) take(now time.Duration, rep Report) {
+// applyReport accepts a report and works out what others have there.
+func (e *endpointState) applyReport(now time.Duration, rep Report) {
 	if e.hasReport && rep.At < e.report.At {
 		return
 	}
 	e.report, e.hasReport = rep, true
-	e.atReport = e.ownAt(rep.At)
-	if e.exactAt == 0 || now-e.exactAt > exactFor {
+	e.atReport = e.ownLoadAt(rep.At)
+	if e.ownerReportAt == 0 || now-e.ownerReportAt > ownerReportTTL {
 		e.others = max(0, rep.Running+rep.Waiting-e.atReport.outstanding)
 	}
 	e.othersPrefill = max(0, rep.PrefillTokens-e.atReport.prefill)
@@ -166,8 +166,8 @@
 	}
 }
 
-// start counts a dispatch.
-func (e *endpointState) start(now time.Duration, r *Request) {
+// addRequest counts a dispatch.
+func (e *endpointState) addRequest(now time.Duration, r *Request) {
 	e.health.Begin(now)
 	e.own++
 	e.sent++
@@ -176,17 +176,17 @@
 	}
 	e.ownPrefill[r.rank()] += r.PromptTokens
 	e.inflight = append(e.inflight, r)
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// prefilled counts the end of a request's prompt work.
-func (e *endpointState) prefilled(now time.Duration, r *Request) {
+// finishPrefill counts the end of a request's prompt work.
+func (e *endpointState) finishPrefill(now time.Duration, r *Request) {
 	e.ownPrefill[r.rank()] -= r.PromptTokens
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// end counts the end of a request.
-func (e *endpointState) end(now time.Duration, r *Request) {
+// removeRequest counts the end of a request.
+func (e *endpointState) removeRequest(now time.Duration, r *Request) {
 	e.health.Inconclusive()
 	e.own--
 	e.vacated++
@@ -194,7 +194,7 @@
 	if r.long {
 		e.ownLong--
 	}
-	if r.firstAt == 0 {
+	if r.progressAt == 0 {
 		e.ownPrefill[r.rank()] -= r.PromptTokens
 	}
 	for i, q := range e.inflight {
@@ -206,7 +206,7 @@
 			break
 		}
 	}
-	e.note(now)
+	e.recordLoad(now)
 }
 
 // HasReport reports whether an endpoint has ever given an account of itself.
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -36,31 +36,31 @@
 	Candidates []CandidateLog `json:"candidates,omitempty"`
 }
 
-// entry is a decision in the ring, of fixed size.
-type entry struct {
-	id     string
-	ref    refNames
-	at     time.Duration
-	d      Decision
-	n      int
-	cands  [maxCandidates]candidate
-	filled bool
+// logEntry is a decision in the ring, of fixed size.
+type logEntry struct {
+	id        string
+	names     requestNames
+	at        time.Duration
+	decision  Decision
+	candCount int
+	cands     [maxCandidates]candidate
+	filled    bool
 }
 
-// refNames are the names shown for a decision.
-type refNames struct{ workspace, service, tier string }
+// requestNames are the names shown for a decision.
+type requestNames struct{ workspace, service, tier string }
 
 // logSize is the number of decisions remembered on a host.
 const logSize = 512
 
-// remember notes a decision.
-func (s *Scheduler) remember(now time.Duration, d Decision, cands []candidate) {
+// logDecision notes a decision.
+func (s *Scheduler) logDecision(now time.Duration, d Decision, cands []candidate) {
 	e := &s.log[s.logNext%logSize]
 	s.logNext++
 	st := d.Request.Settings
-	*e = entry{id: d.Request.ID, ref: refNames{st.Workspace, st.Service, st.Tier}, at: now, d: d, filled: true}
-	e.d.Request = nil
-	e.n = copy(e.cands[:], cands)
+	*e = logEntry{id: d.Request.ID, names: requestNames{st.Workspace, st.Service, st.Tier}, at: now, decision: d, filled: true}
+	e.decision.Request = nil
+	e.candCount = copy(e.cands[:], cands)
 }
 
 // Explain returns the remembered decisions on a request, oldest first.
@@ -76,14 +76,14 @@
 }
 
 // export gives an entry in the form that is shown.
-func (e *entry) export() DecisionLog {
+func (e *logEntry) export() DecisionLog {
 	l := DecisionLog{
-		ID: e.id, Workspace: e.ref.workspace, Service: e.ref.service, Tier: e.ref.tier, At: e.at,
-		Verdict: [...]string{"run", "wait", "refuse"}[e.d.Verdict], Reason: e.d.Reason,
-		Endpoint: e.d.Endpoint, ImportFrom: e.d.ImportFrom,
+		ID: e.id, Workspace: e.names.workspace, Service: e.names.service, Tier: e.names.tier, At: e.at,
+		Verdict: [...]string{"run", "wait", "refuse"}[e.decision.Verdict], Reason: e.decision.Reason,
+		Endpoint: e.decision.Endpoint, ImportFrom: e.decision.ImportFrom,
 	}
-	for _, c := range e.cands[:e.n] {
-		l.Candidates = append(l.Candidates, CandidateLog{c.e.Name, c.cached, c.first, c.whole})
+	for _, c := range e.cands[:e.candCount] {
+		l.Candidates = append(l.Candidates, CandidateLog{c.e.Name, c.cached, c.firstToken, c.completion})
 	}
 	return l
 }
--- a/sched/floor.go
+++ b/sched/floor.go
@@ -13,8 +13,8 @@
 	until time.Duration
 }
 
-// holds reports whether the floor keeps a tier out.
-func (f *floor) holds(now time.Duration, rank int) bool {
+// excludes reports whether the floor keeps a tier out.
+func (f *floor) excludes(now time.Duration, rank int) bool {
 	return now < f.until && rank > f.rank
 }
 
@@ -63,8 +63,8 @@
 	p.floor.lower(now, f.Rank, until)
 }
 
-// refusedFor lowers the floor of a pool after a refusal for lack of capacity.
-func (s *Scheduler) refusedFor(now time.Duration, p *pool, rank int) {
+// lowerFloor lowers the floor of a pool after a refusal for lack of capacity.
+func (s *Scheduler) lowerFloor(now time.Duration, p *pool, rank int) {
 	if !s.cfg.Disabled.Floor {
 		p.floor.lower(now, rank, now+s.cfg.FloorDuration)
 	}
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -16,41 +16,41 @@
 // host then fills one only by a grant; where no owner answers, it goes on by claims.
 
 const (
-	// asksPerRequest is the number of endpoints that are asked for a place for each request that waits: with one, a
+	// endpointsAskedPerRequest is the number of endpoints that are asked for a place for each request that waits: with one, a
 	// request waits for that endpoint's next free place; with many, most places that are granted are given back.
-	asksPerRequest = 6
-	// mostAsked bounds the requests for which is asked at a time.
-	mostAsked = 4
-	// ownedFor is the time after an owner's answer in which a host relies on owners: several of its asks.
-	ownedFor = 300 * time.Millisecond
-	// deafFor is the time without an answer of an endpoint's owner after which the host goes on by claims there: three asks.
+	endpointsAskedPerRequest = 6
+	// maxAskedRequests bounds the requests for which is asked at a time.
+	maxAskedRequests = 4
+	// ownerTTL is the time after an owner's answer in which a host relies on owners: several of its asks.
+	ownerTTL = 300 * time.Millisecond
+	// ownerTimeout is the time without an answer of an endpoint's owner after which the host goes on by claims there: three asks.
 	// A host that has died is known to have after 0.7 s and more.
-	deafFor = 150 * time.Millisecond
-	// grantFor is the time in which a granted place may be taken, well within the time after which its owner gives it to
+	ownerTimeout = 150 * time.Millisecond
+	// grantTTL is the time in which a granted place may be taken, well within the time after which its owner gives it to
 	// another host.
-	grantFor = 50 * time.Millisecond
-	// exactFor is the time for which what an owner told of other hosts' requests is better than what comes by way of
+	grantTTL = 50 * time.Millisecond
+	// ownerReportTTL is the time for which what an owner told of other hosts' requests is better than what comes by way of
 	// relays.
-	exactFor = 400 * time.Millisecond
-	// askBlur is the part of an endpoint's places by which its load is blurred in the choice whom to ask, so that hosts with the
+	ownerReportTTL = 400 * time.Millisecond
+	// askJitter is the part of an endpoint's places by which its load is blurred in the choice whom to ask, so that hosts with the
 	// same news do not all ask the same.
-	askBlur = 0.5
+	askJitter = 0.5
 )
 
-// owned reports whether owners of places answer, and that of an endpoint does.
-func (s *Scheduler) owned(now time.Duration, e *endpointState) bool {
-	if s.ownerAt == 0 || now-s.ownerAt >= ownedFor {
+// ownerAnswers reports whether owners of places answer, and that of an endpoint does.
+func (s *Scheduler) ownerAnswers(now time.Duration, e *endpointState) bool {
+	if s.lastOwnerAnswer == 0 || now-s.lastOwnerAnswer >= ownerTTL {
 		return false
 	}
-	return e.askedAt == 0 || now-e.askedAt < deafFor
+	return e.unansweredSince == 0 || now-e.unansweredSince < ownerTimeout
 }
 
-// noteAsked notes that the owner of an endpoint's places is asked, and since when without an answer.
-func (e *endpointState) noteAsked(now time.Duration) {
-	if e.askedAt == 0 || now-e.askedLast > deafFor {
-		e.askedAt = max(now, 1)
+// recordAsk notes that the owner of an endpoint's places is asked, and since when without an answer.
+func (e *endpointState) recordAsk(now time.Duration) {
+	if e.unansweredSince == 0 || now-e.lastAskedAt > ownerTimeout {
+		e.unansweredSince = max(now, 1)
 	}
-	e.askedLast = now
+	e.lastAskedAt = now
 }
 
 // SlotRequests names the endpoints at which this host wants a place, and the highest tier for which.
@@ -64,47 +64,47 @@
 		for rank < maxRanks-1 && p.tiers[rank].waiting == 0 {
 			rank++
 		}
-		for _, e := range s.asked(now, p, asksPerRequest*min(mostAsked, p.waiting)) {
+		for _, e := range s.endpointsToAsk(now, p, endpointsAskedPerRequest*min(maxAskedRequests, p.waiting)) {
 			out[e.Name] = rank
-			e.noteAsked(now)
+			e.recordAsk(now)
 		}
 	}
 	return out
 }
 
-// asked picks the endpoints of a pool to ask: those with most room as far as is known, near ones first as in the choice.
+// endpointsToAsk picks the endpoints of a pool to ask: those with most room as far as is known, near ones first as in the choice.
 // Without that, words between zones cost 0.011 of the worth of a day at 63 hosts.
-func (s *Scheduler) asked(now time.Duration, p *pool, n int) []*endpointState {
-	type one struct {
+func (s *Scheduler) endpointsToAsk(now time.Duration, p *pool, n int) []*endpointState {
+	type ranked struct {
 		e    *endpointState
 		load float64
 	}
-	list := make([]one, 0, len(p.members))
+	list := make([]ranked, 0, len(p.members))
 	for _, e := range p.members {
-		if p.usable(now, e) && (p.panics || e.health.Healthy(now)) {
-			load := s.load(now, e)/float64(e.slots()) + askBlur*s.Rand.Float64()
+		if p.usable(now, e) && (p.panicMode || e.health.Healthy(now)) {
+			load := s.load(now, e)/float64(e.slots()) + askJitter*s.Rand.Float64()
 			if e.CrossZone {
 				load += s.cfg.CrossZoneCost
 			}
-			list = append(list, one{e, load})
+			list = append(list, ranked{e, load})
 		}
 	}
-	slices.SortFunc(list, func(a, b one) int { return cmp.Compare(a.load, b.load) })
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(a.load, b.load) })
 	out := make([]*endpointState, 0, n)
-	for _, o := range list[:min(n, len(list))] {
-		out = append(out, o.e)
+	for _, x := range list[:min(n, len(list))] {
+		out = append(out, x.e)
 	}
 	return out
 }
 
 // ApplyGrant takes what the owner of an endpoint's places answers, and reports whether a place that was granted is of use.
 func (s *Scheduler) ApplyGrant(now time.Duration, name string, g places.Grant) bool {
-	s.ownerAt = max(now, 1)
+	s.lastOwnerAnswer = max(now, 1)
 	e := s.byName[name]
 	if e == nil {
 		return g.Slots == 0
 	}
-	e.others, e.exactAt, e.askedAt = g.Running, max(now, 1), 0
+	e.others, e.ownerReportAt, e.unansweredSince = g.Running, max(now, 1), 0
 	if g.Slots == 0 {
 		return true
 	}
@@ -121,10 +121,10 @@
 // TierLimit gives the number of requests up to which a tier may fill an endpoint.
 func (s *Scheduler) TierLimit(now time.Duration, name string) func(rank int) int {
 	e := s.byName[name]
-	if e == nil || !e.serves(now) {
+	if e == nil || !e.available(now) {
 		return func(int) int { return 0 }
 	}
-	return func(rank int) int { return int(s.limitFor(rank, e)) }
+	return func(rank int) int { return int(s.slotLimit(rank, e)) }
 }
 
 // InFlight is the number of this host's requests at an endpoint.
--- a/sched/grant_test.go
+++ b/sched/grant_test.go
@@ -42,57 +42,57 @@
 	s.DrawClaims(25 * ms)
 	s.Wake()
 	must.SliceEmpty(t, s.Poll(25*ms)) // a full endpoint is nobody's to fill
-	wants := s.SlotRequests(25 * ms)
-	must.MapLen(t, asksPerRequest, wants)
-	for _, rank := range wants {
+	asked := s.SlotRequests(25 * ms)
+	must.MapLen(t, endpointsAskedPerRequest, asked)
+	for _, rank := range asked {
 		must.EqOp(t, 1, rank)
 	}
 	must.True(t, s.ApplyGrant(30*ms, "e3", places.Grant{Slots: 1, Running: 5}))
-	got := s.Poll(30 * ms)
-	must.SliceLen(t, 1, got)
-	must.EqOp(t, "e3", got[0].Endpoint)
+	decisions := s.Poll(30 * ms)
+	must.SliceLen(t, 1, decisions)
+	must.EqOp(t, "e3", decisions[0].Endpoint)
 	must.MapEmpty(t, s.SlotRequests(30*ms))
 	must.False(t, s.ApplyGrant(31*ms, "e4", places.Grant{Slots: 1, Running: 5})) // nothing waits any more
 }
 
-// TestGrantIsOld checks that a granted place is not taken once its owner may have given it to another host.
-func TestGrantIsOld(t *testing.T) {
+// TestGrantExpires checks that a granted place is not taken once its owner may have given it to another host.
+func TestGrantExpires(t *testing.T) {
 	const ms = time.Millisecond
 	s, request := scarceHost(t, 2)
 	first := request(0)
 	must.EqOp(t, Wait, s.Submit(0, first).Verdict)
 	must.True(t, s.Withdraw(first))
 	s.ApplyGrant(0, "e0", places.Grant{Slots: 1, Running: 7})
-	s.DrawClaims(grantFor + ms)
-	s.ApplyGrant(grantFor+ms, "e1", places.Grant{Running: 7})
+	s.DrawClaims(grantTTL + ms)
+	s.ApplyGrant(grantTTL+ms, "e1", places.Grant{Running: 7})
 	must.Zero(t, s.byName["e0"].claims)
-	must.EqOp(t, Wait, s.Submit(grantFor+ms, request(grantFor+ms)).Verdict)
+	must.EqOp(t, Wait, s.Submit(grantTTL+ms, request(grantTTL+ms)).Verdict)
 }
 
-// TestOwnersAreSilent checks that a host goes on by claims where an owner does not answer, and everywhere once none does.
-func TestOwnersAreSilent(t *testing.T) {
+// TestSilentOwners checks that a host goes on by claims where an owner does not answer, and everywhere once none does.
+func TestSilentOwners(t *testing.T) {
 	s, request := scarceHost(t, 2)
 	s.ApplyGrant(1, "e0", places.Grant{Running: 7})
-	must.True(t, s.owned(2, s.byName["e1"]))
+	must.True(t, s.ownerAnswers(2, s.byName["e1"]))
 	r := request(2)
 	must.EqOp(t, Wait, s.Submit(2, r).Verdict)
 	s.DrawClaims(2)
 	must.MapLen(t, 2, s.SlotRequests(2))
-	s.ApplyGrant(deafFor, "e0", places.Grant{Running: 7})
-	s.SlotRequests(deafFor)
-	must.True(t, s.owned(deafFor+2, s.byName["e0"]))
-	must.False(t, s.owned(deafFor+2, s.byName["e1"]))
-	must.False(t, s.owned(deafFor+ownedFor, s.byName["e0"]))
+	s.ApplyGrant(ownerTimeout, "e0", places.Grant{Running: 7})
+	s.SlotRequests(ownerTimeout)
+	must.True(t, s.ownerAnswers(ownerTimeout+2, s.byName["e0"]))
+	must.False(t, s.ownerAnswers(ownerTimeout+2, s.byName["e1"]))
+	must.False(t, s.ownerAnswers(ownerTimeout+ownerTTL, s.byName["e0"]))
 }
 
-// TestOwnerKnowsBetter checks that what an owner tells of other hosts' requests is not overwritten by older news.
-func TestOwnerKnowsBetter(t *testing.T) {
+// TestOwnerAnswerOverridesReports checks that what an owner tells of other hosts' requests is not overwritten by older news.
+func TestOwnerAnswerOverridesReports(t *testing.T) {
 	s, _ := scarceHost(t, 1)
 	e := s.byName["e0"]
 	s.ApplyGrant(1, "e0", places.Grant{Running: 3})
 	must.EqOp(t, 3, e.others)
 	s.ApplyReport(2, "e0", Report{At: 2, Slots: 7, Running: 7, Model: "m", AcceptsPrompts: true, Estimated: true})
 	must.EqOp(t, 3, e.others)
-	s.ApplyReport(exactFor+2, "e0", Report{At: exactFor + 2, Slots: 7, Running: 7, Model: "m", AcceptsPrompts: true, Estimated: true})
+	s.ApplyReport(ownerReportTTL+2, "e0", Report{At: ownerReportTTL + 2, Slots: 7, Running: 7, Model: "m", AcceptsPrompts: true, Estimated: true})
 	must.EqOp(t, 7, e.others)
 }
--- a/sched/health.go
+++ b/sched/health.go
@@ -15,36 +15,36 @@
 // whole is decided here.
 
 const (
-	// panicShare is the part of a pool's endpoints that must be sound for ejections to count: if half of them fail, what
+	// panicThreshold is the part of a pool's endpoints that must be sound for ejections to count: if half of them fail, what
 	// fails is probably not the endpoints, and the others could not carry the load.
-	panicShare = 0.5
-	// probers is the number of hosts that together may send a request to an endpoint that others have found failing, at
+	panicThreshold = 0.5
+	// maxProbers is the number of hosts that together may send a request to an endpoint that others have found failing, at
 	// about the same moment: each does so with a chance of this number over that of the hosts.
-	probers = 4
+	maxProbers = 4
 )
 
 // Failed notes that the endpoint of a dispatched request failed it; call it before Done or Again.
 func (s *Scheduler) Failed(now time.Duration, r *Request, f outlier.Failure) {
-	if r.at == nil {
+	if r.dispatchedTo == nil {
 		return
 	}
-	if r.at.health.Fail(now, r.sentAt, f, s.Rand.Float64()) {
+	if r.dispatchedTo.health.Fail(now, r.dispatchedAt, f, s.Rand.Float64()) {
 		s.ejections++
 	}
-	s.survey(now)
+	s.updatePanicMode(now)
 }
 
 // Answered notes the first sign of an answer to a dispatched request.
 func (s *Scheduler) Answered(r *Request) {
-	if r.at != nil {
-		r.at.health.AnswerStarted()
+	if r.dispatchedTo != nil {
+		r.dispatchedTo.health.AnswerStarted()
 	}
 }
 
 // BackOff leaves the endpoint of a dispatched request alone for a time in which it is known to be of no use.
 func (s *Scheduler) BackOff(now time.Duration, r *Request, hold time.Duration) {
-	if r.at != nil {
-		r.at.downUntil = max(r.at.downUntil, now+hold)
+	if r.dispatchedTo != nil {
+		r.dispatchedTo.downUntil = max(r.dispatchedTo.downUntil, now+hold)
 	}
 }
 
@@ -77,54 +77,54 @@
 	return n
 }
 
-// survey looks in which pools too few endpoints are left for ejections to count.
-func (s *Scheduler) survey(now time.Duration) {
+// updatePanicMode looks in which pools too few endpoints are left for ejections to count.
+func (s *Scheduler) updatePanicMode(now time.Duration) {
 	for _, p := range s.pools {
-		n, left := 0, 0
+		total, healthy := 0, 0
 		for _, e := range p.members {
 			if !e.present || e.Leaving {
 				continue
 			}
-			n++
+			total++
 			if e.health.Healthy(now) {
-				left++
+				healthy++
 			}
 		}
-		p.panics = float64(left) < panicShare*float64(n)
+		p.panicMode = float64(healthy) < panicThreshold*float64(total)
 	}
 }
 
-// serves reports whether an endpoint takes new work, as far as is known from all but its failures.
-func (e *endpointState) serves(now time.Duration) bool {
+// available reports whether an endpoint takes new work, as far as is known from all but its failures.
+func (e *endpointState) available(now time.Duration) bool {
 	return e.present && !e.Leaving && now >= e.downUntil
 }
 
 // usable reports whether an endpoint of a pool may get new work now.
 func (p *pool) usable(now time.Duration, e *endpointState) bool {
-	return e.serves(now) && (p.panics || e.health.State(now) != outlier.Open)
+	return e.available(now) && (p.panicMode || e.health.State(now) != outlier.Open)
 }
 
 // risk is the part of its worth that a request is expected to lose at an endpoint that fails some. A probe of one that is
 // half open is to be sent while others have room, too, or it would not be used again until they have none.
 func (s *Scheduler) risk(now time.Duration, r *Request, e *endpointState) float64 {
-	if r.Settings.Repeatable && e.health.State(now) == outlier.HalfOpen && !r.pool.panics {
+	if r.Settings.Repeatable && e.health.State(now) == outlier.HalfOpen && !r.pool.panicMode {
 		return 0
 	}
 	return e.health.FailureRatio(now)
 }
 
-// trusts reports whether a request may be risked at an endpoint that may have failed others lately. One that has run
+// healthAdmits reports whether a request may be risked at an endpoint that may have failed others lately. One that has run
 // and for which nothing better has come is: its caller has an answer in part, or has waited for one.
-func (s *Scheduler) trusts(now time.Duration, r *Request, e *endpointState) bool {
-	if r.pool.panics || (r.last && r.taken) {
-		return e.serves(now)
+func (s *Scheduler) healthAdmits(now time.Duration, r *Request, e *endpointState) bool {
+	if r.pool.panicMode || (r.lastChance && r.rationExempt) {
+		return e.available(now)
 	}
 	if !r.pool.usable(now, e) {
 		return false
 	}
 	ok, probe := e.health.Admits(now, r.Settings.Repeatable)
 	if ok && probe {
-		return s.Rand.Float64()*float64(s.SharingHosts) < probers
+		return s.Rand.Float64()*float64(s.SharingHosts) < maxProbers
 	}
 	return ok
 }
--- a/sched/health_test.go
+++ b/sched/health_test.go
@@ -21,13 +21,13 @@
 	const n = 4
 	refused, lost := outlier.Unreachable, outlier.Unanswered
 	cases := []struct {
-		name    string
-		failing []int
-		how     outlier.Failure
-		times   int
-		repeat  bool // the requests that follow may be repeated
-		after   time.Duration
-		want    []int
+		name       string
+		failing    []int
+		failure    outlier.Failure
+		times      int
+		repeatable bool // the requests that follow may be repeated
+		after      time.Duration
+		want       []int
 	}{
 		{"none", nil, lost, 0, false, 0, []int{0, 1, 2, 3}},
 		{"one is not reached", []int{0}, refused, 1, true, 0, []int{1, 2, 3}},
@@ -52,7 +52,7 @@
 			}
 			request := func(now time.Duration) *Request {
 				return &Request{
-					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 100, Repeatable: tc.repeat}, Model: "m",
+					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 100, Repeatable: tc.repeatable}, Model: "m",
 					PromptTokens: 100, MaxTokens: 20, ExpectedTokens: 20, Arrived: now, Deadline: now + 10*time.Second, Objective: Objective{FirstToken: time.Second},
 				}
 			}
@@ -62,8 +62,8 @@
 			for _, i := range tc.failing {
 				for range tc.times {
 					r := request(0)
-					r.at = s.byName[fmt.Sprint("e", i)]
-					s.Failed(0, r, tc.how)
+					r.dispatchedTo = s.byName[fmt.Sprint("e", i)]
+					s.Failed(0, r, tc.failure)
 				}
 			}
 			s.Tick(tc.after)
--- a/sched/hidden.go
+++ b/sched/hidden.go
@@ -8,11 +8,11 @@
 
 // Figures of the doubt about hosts that are not heard.
 const (
-	// doubtGain is the weight of an observation.
-	doubtGain = 0.1
-	// doubtWait is the delay of a first token against its prediction, as a part of the
+	// silentGain is the weight of an observation.
+	silentGain = 0.1
+	// silentLateness is the delay of a first token against its prediction, as a part of the
 	// aim, from which it is taken to have waited behind requests that were not known.
-	doubtWait = 0.25
+	silentLateness = 0.25
 )
 
 // SetSilentPeers takes the number of hosts that may be serving and are not heard.
@@ -23,36 +23,36 @@
 // and then as far as its own first tokens bear that out: those that come as fast as was
 // predicted without the unheard hosts speak against them, those that wait speak for them.
 func (s *Scheduler) SetSilentPeers(n int) {
-	if n > s.missing {
+	if n > s.silentPeers {
 		for _, p := range s.pools {
-			p.doubt = 1
+			p.silentActivity = 1
 		}
 	}
-	s.missing = n
+	s.silentPeers = n
 }
 
-// hidden is the number of requests that the hosts which are not heard are taken to have at
+// silentLoad is the number of requests that the hosts which are not heard are taken to have at
 // each endpoint of a pool.
-func (s *Scheduler) hidden(p *pool) float64 {
-	if s.missing == 0 || s.cfg.Disabled.SilentPeers || len(p.members) == 0 {
+func (s *Scheduler) silentLoad(p *pool) float64 {
+	if s.silentPeers == 0 || s.cfg.Disabled.SilentPeers || len(p.members) == 0 {
 		return 0
 	}
 	own := 0
 	for _, e := range p.members {
 		own += e.own
 	}
-	return p.doubt * float64(s.missing) * float64(own) / float64(len(p.members))
+	return p.silentActivity * float64(s.silentPeers) * float64(own) / float64(len(p.members))
 }
 
-// observeDoubt learns from a first token whether the hosts that are not heard serve on.
-func (s *Scheduler) observeDoubt(now time.Duration, r *Request) {
-	if s.missing == 0 || r.Objective.FirstToken <= 0 {
+// observeSilentPeers learns from a first token whether the hosts that are not heard serve on.
+func (s *Scheduler) observeSilentPeers(now time.Duration, r *Request) {
+	if s.silentPeers == 0 || r.Objective.FirstToken <= 0 {
 		return
 	}
-	late := now-r.sentAt-r.predicted > time.Duration(doubtWait*float64(r.Objective.FirstToken))
+	late := now-r.dispatchedAt-r.predicted > time.Duration(silentLateness*float64(r.Objective.FirstToken))
 	p := r.pool
-	p.doubt -= doubtGain * p.doubt
+	p.silentActivity -= silentGain * p.silentActivity
 	if late {
-		p.doubt += doubtGain
+		p.silentActivity += silentGain
 	}
 }
--- a/sched/hidden_test.go
+++ b/sched/hidden_test.go
@@ -13,15 +13,15 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// TestUnheardHosts holds what a host takes those to have running that it does not hear, and
+// TestSilentPeers holds what a host takes those to have running that it does not hear, and
 // what its own first tokens make of that.
-func TestUnheardHosts(t *testing.T) {
+func TestSilentPeers(t *testing.T) {
 	const own, engines = 4, 8
 	onTime, late := 100*time.Millisecond, 500*time.Millisecond
 	cases := []struct {
 		name   string
-		lost   int
-		firsts []time.Duration // that came since
+		silent int
+		delays []time.Duration // that came since
 		low    float64         // requests at each engine
 		high   float64
 	}{
@@ -42,13 +42,13 @@
 			for i := range own {
 				s.endpoints[i].own = 1
 			}
-			s.SetSilentPeers(tc.lost)
-			for _, d := range tc.firsts {
-				s.observeDoubt(d, r)
+			s.SetSilentPeers(tc.silent)
+			for _, d := range tc.delays {
+				s.observeSilentPeers(d, r)
 			}
-			must.Between(t, tc.low, s.hidden(r.pool), tc.high)
+			must.Between(t, tc.low, s.silentLoad(r.pool), tc.high)
 			s.SetSilentPeers(0)
-			must.EqOp(t, 0, s.hidden(r.pool))
+			must.EqOp(t, 0, s.silentLoad(r.pool))
 		})
 	}
 }
--- a/sched/length.go
+++ b/sched/length.go
@@ -12,23 +12,23 @@
 // lengthGain is the weight of a new length.
 const lengthGain = 0.1
 
-// length estimates the answers of one service: mean and mean deviation, as in
+// lengthEstimate estimates the answers of one service: mean and mean deviation, as in
 // the estimate of round-trip times [Jacobson, "Congestion avoidance and
 // control", 1988].
-type length struct{ mean, dev float64 }
+type lengthEstimate struct{ mean, dev float64 }
 
 // lengthKey names a service.
 type lengthKey struct{ workspace, service string }
 
 // lengths holds the estimates of all services.
-type lengths map[lengthKey]*length
+type lengths map[lengthKey]*lengthEstimate
 
 // maxLengths bounds the services remembered.
 const maxLengths = 1 << 15
 
-// guess returns the expected number of tokens of an answer: mean plus deviation,
+// expected returns the expected number of tokens of an answer: mean plus deviation,
 // at most limit.
-func (l lengths) guess(k lengthKey, limit int) int {
+func (l lengths) expected(k lengthKey, limit int) int {
 	x := l[k]
 	if x == nil {
 		return min(limit, defaultOutput)
@@ -36,14 +36,14 @@
 	return max(1, min(limit, int(x.mean+x.dev)))
 }
 
-// learn takes the length of a whole answer.
-func (l lengths) learn(k lengthKey, tokens int) {
+// observe takes the length of a whole answer.
+func (l lengths) observe(k lengthKey, tokens int) {
 	x := l[k]
 	if x == nil {
 		if len(l) >= maxLengths {
 			clear(l)
 		}
-		l[k] = &length{mean: float64(tokens), dev: float64(tokens) / 4}
+		l[k] = &lengthEstimate{mean: float64(tokens), dev: float64(tokens) / 4}
 		return
 	}
 	diff := float64(tokens) - x.mean
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -15,23 +15,23 @@
 // epoch turns times since the start into the instants that the rate library wants.
 var epoch = time.Unix(0, 0)
 
-// limit holds the rate and concurrency of one scope on this host. A scope's
+// scopeLimit holds the rate and concurrency of one scope on this host. A scope's
 // limit is divided by the number of hosts that serve its workspace.
-type limit struct {
-	rate    *rate.Limiter
-	running int
-	set     float64
+type scopeLimit struct {
+	rate        *rate.Limiter
+	running     int
+	perHostRate float64
 }
 
 // limits holds the limits of all scopes and the retry budgets of workspaces.
 type limits struct {
-	scopes  map[string]*limit
+	scopes  map[string]*scopeLimit
 	budgets map[string]*budget
 }
 
 // newLimits returns limits under which nothing has run yet.
 func newLimits() limits {
-	return limits{scopes: make(map[string]*limit), budgets: make(map[string]*budget)}
+	return limits{scopes: make(map[string]*scopeLimit), budgets: make(map[string]*budget)}
 }
 
 // budget is a workspace's credit for retries.
@@ -48,10 +48,10 @@
 )
 
 // scope returns the limit of a scope.
-func (l *limits) scope(name string) *limit {
+func (l *limits) scope(name string) *scopeLimit {
 	x := l.scopes[name]
 	if x == nil {
-		x = &limit{}
+		x = &scopeLimit{}
 		l.scopes[name] = x
 	}
 	return x
@@ -65,8 +65,8 @@
 	}
 	x := l.scope(e.RateScope)
 	share := e.Rate / float64(max(hosts, 1))
-	if x.rate == nil || x.set != share {
-		x.set = share
+	if x.rate == nil || x.perHostRate != share {
+		x.perHostRate = share
 		x.rate = rate.NewLimiter(rate.Limit(share), max(1, int(share*rateBurst)))
 	}
 	res := x.rate.ReserveN(epoch.Add(now), 1)
@@ -78,8 +78,8 @@
 	return false, wait
 }
 
-// enter counts a running request unless its scope is full.
-func (l *limits) enter(e *settings.Effective, hosts int) bool {
+// acquire counts a running request unless its scope is full.
+func (l *limits) acquire(e *settings.Effective, hosts int) bool {
 	if e.Concurrency == 0 {
 		return true
 	}
@@ -91,8 +91,8 @@
 	return true
 }
 
-// leave counts the end of a request that enter let in.
-func (l *limits) leave(e *settings.Effective) {
+// release counts the end of a request that enter let in.
+func (l *limits) release(e *settings.Effective) {
 	if e.Concurrency != 0 {
 		l.scope(e.ConcurrencyScope).running--
 	}
--- a/sched/order.go
+++ b/sched/order.go
@@ -13,48 +13,48 @@
 	r.pool = s.poolOf(r)
 	r.pool.arrivals.add()
 	s.estimate(r)
-	s.rankLength(r)
+	s.setLengthQuantile(r)
 	if ok, wait := s.limits.takeRate(now, r.Settings, s.hosts(r)); !ok {
 		return s.refuse(now, r, ReasonRate, wait)
 	}
 	if !s.limits.takeRetry(r.Settings, r.Retry) {
 		return s.refuse(now, r, ReasonRetryBudget, time.Second)
 	}
-	if len(r.pool.members) == 0 && !s.unheard(r) {
+	if len(r.pool.members) == 0 && !s.awaitsReport(r) {
 		return s.refuse(now, r, ReasonNoEndpoint, time.Second)
 	}
-	return s.place(now, r)
+	return s.admit(now, r)
 }
 
-// place runs a request, lets it wait, or refuses it.
-func (s *Scheduler) place(now time.Duration, r *Request) Decision {
-	if r.pool.floor.holds(now, r.rank()) {
+// admit runs a request, lets it wait, or refuses it.
+func (s *Scheduler) admit(now time.Duration, r *Request) Decision {
+	if r.pool.floor.excludes(now, r.rank()) {
 		return s.refuse(now, r, ReasonFloor, r.pool.floor.until-now)
 	}
-	if s.hopeless(now, r) {
-		return s.refuse(now, r, ReasonDeadline, s.wait(now, r))
+	if s.cannotMeetDeadline(now, r) {
+		return s.refuse(now, r, ReasonDeadline, s.estimateWait(now, r))
 	}
-	r.spare = s.rationed(r)
-	if !s.before(r) {
-		if d, ok := s.start(now, r); ok {
+	r.spareOnly = s.beyondRation(r)
+	if !s.mustQueue(r) {
+		if d, ok := s.dispatch(now, r); ok {
 			return d
 		}
 	}
-	if r.spare {
-		return s.refuse(now, r, ReasonLength, s.rationAfter(now, r))
+	if r.spareOnly {
+		return s.refuse(now, r, ReasonLength, s.rationRetryAfter(now, r))
 	}
-	if d, ok := s.makeRoom(now, r); !ok {
+	if d, ok := s.makeQueueRoom(now, r); !ok {
 		return d
 	}
 	s.enqueue(r)
 	d := Decision{Request: r, Verdict: Wait}
-	s.remember(now, d, nil)
+	s.logDecision(now, d, nil)
 	return d
 }
 
-// unheard reports whether an engine that might serve the request has not given
+// awaitsReport reports whether an engine that might serve the request has not given
 // an account of itself yet, as after a start: then the request waits.
-func (s *Scheduler) unheard(r *Request) bool {
+func (s *Scheduler) awaitsReport(r *Request) bool {
 	if r.Model == "" {
 		return false
 	}
@@ -68,20 +68,20 @@
 
 // estimate sets cost and expected length of a request.
 func (s *Scheduler) estimate(r *Request) {
-	r.outGuess = s.lengths.guess(lengthKey{r.Settings.Workspace, r.Settings.Service}, max(1, r.MaxTokens))
+	r.expectedOutput = s.lengths.expected(lengthKey{r.Settings.Workspace, r.Settings.Service}, max(1, r.MaxTokens))
 	if r.ExpectedTokens > 0 {
-		r.outGuess = min(r.ExpectedTokens, max(1, r.MaxTokens))
+		r.expectedOutput = min(r.ExpectedTokens, max(1, r.MaxTokens))
 	}
 	if r.Model == "" {
-		r.outGuess = 1
+		r.expectedOutput = 1
 	}
-	r.cost = float64(r.outGuess) + float64(r.PromptTokens)/defaultPrefill
+	r.cost = float64(r.expectedOutput) + float64(r.PromptTokens)/defaultPrefill
 	p := r.pool
-	if p.mean == 0 {
-		p.mean = r.cost
+	if p.meanCost == 0 {
+		p.meanCost = r.cost
 	}
-	r.long = r.cost > s.cfg.LongFactor*p.mean
-	p.mean += 0.01 * (r.cost - p.mean)
+	r.long = r.cost > s.cfg.LongFactor*p.meanCost
+	p.meanCost += 0.01 * (r.cost - p.meanCost)
 }
 
 // hosts is the number of hosts that share a workspace's limits.
@@ -92,9 +92,9 @@
 	return max(1, s.Hosts(r.Settings.Workspace))
 }
 
-// before reports whether a request of the same or a higher tier waits already;
+// mustQueue reports whether a request of the same or a higher tier waits already;
 // a new one then waits behind it.
-func (s *Scheduler) before(r *Request) bool {
+func (s *Scheduler) mustQueue(r *Request) bool {
 	for k := 0; k <= r.rank(); k++ {
 		if r.pool.tiers[k].waiting > 0 {
 			return true
@@ -103,51 +103,51 @@
 	return false
 }
 
-// start dispatches a request if an endpoint has room.
-func (s *Scheduler) start(now time.Duration, r *Request) (Decision, bool) {
-	if !s.limits.enter(r.Settings, s.hosts(r)) {
+// dispatch dispatches a request if an endpoint has room.
+func (s *Scheduler) dispatch(now time.Duration, r *Request) (Decision, bool) {
+	if !s.limits.acquire(r.Settings, s.hosts(r)) {
 		return Decision{}, false
 	}
 	choose := s.choose
 	if r.Objective.FirstToken > 0 {
-		choose = s.chooseByWorth
+		choose = s.chooseByValue
 	}
 	c := choose(now, r)
 	if c == nil {
-		s.limits.leave(r.Settings)
+		s.limits.release(r.Settings)
 		return Decision{}, false
 	}
 	d := Decision{Request: r, Verdict: Run, Endpoint: c.e.Name, ImportFrom: s.importFrom(now, c)}
-	r.at, r.sentAt, r.predicted = c.e, now, c.first
+	r.dispatchedTo, r.dispatchedAt, r.predicted = c.e, now, c.firstToken
 	r.step, r.load = c.e.step(), c.load
 	r.avoid = nil
-	s.notePlaced(r)
-	c.e.fill()
-	c.e.start(now, r)
+	s.noteDispatched(r)
+	c.e.takeSlot()
+	c.e.addRequest(now, r)
 	r.pool.tiers[r.rank()].charge(r)
-	s.remember(now, d, s.cands[:min(len(s.cands), maxCandidates)])
+	s.logDecision(now, d, s.cands[:min(len(s.cands), maxCandidates)])
 	return d, true
 }
 
 // refuse ends a request without running it.
-func (s *Scheduler) refuse(now time.Duration, r *Request, why Reason, after time.Duration) Decision {
-	if why.Overload() && why != ReasonFloor {
-		s.refusedFor(now, r.pool, r.rank())
-		if why != ReasonLength {
-			s.noteVain(now, r)
+func (s *Scheduler) refuse(now time.Duration, r *Request, reason Reason, retryAfter time.Duration) Decision {
+	if reason.Overload() && reason != ReasonFloor {
+		s.lowerFloor(now, r.pool, r.rank())
+		if reason != ReasonLength {
+			s.noteUnplaced(now, r)
 		}
 	}
-	d := Decision{Request: r, Verdict: Refuse, Reason: why, RetryAfter: max(after, minRetryAfter)}
-	s.remember(now, d, nil)
+	d := Decision{Request: r, Verdict: Refuse, Reason: reason, RetryAfter: max(retryAfter, minRetryAfter)}
+	s.logDecision(now, d, nil)
 	return d
 }
 
 // minRetryAfter is the least time after which a caller is told to come back.
 const minRetryAfter = 100 * time.Millisecond
 
-// wait estimates how long a request waits for room: the cost of what is served
+// estimateWait estimates how long a request waits for room: the cost of what is served
 // before it, over this host's share of the pool's speed.
-func (s *Scheduler) wait(now time.Duration, r *Request) time.Duration {
+func (s *Scheduler) estimateWait(now time.Duration, r *Request) time.Duration {
 	ahead := 0.0
 	for k := 0; k < r.rank(); k++ {
 		ahead += r.pool.tiers[k].cost
@@ -156,62 +156,62 @@
 	if ahead == 0 {
 		return 0
 	}
-	steps := 0.0 // of all slots, a second
+	stepRate := 0.0 // of all slots, a second
 	for _, e := range r.pool.members {
 		if r.pool.usable(now, e) {
-			steps += float64(e.slots()) / (e.step().Seconds() * s.slowness(now, e))
+			stepRate += float64(e.slots()) / (e.step().Seconds() * s.slowness(now, e))
 		}
 	}
-	if steps == 0 {
+	if stepRate == 0 {
 		return s.cfg.NoEndpointWait
 	}
-	share := steps / float64(max(1, s.SharingHosts))
+	share := stepRate / float64(max(1, s.SharingHosts))
 	return time.Duration(ahead / share * float64(time.Second))
 }
 
-// leastWhole is the shortest time to a whole answer at any endpoint, were it idle.
-func (s *Scheduler) leastWhole(now time.Duration, r *Request) time.Duration {
+// minIdleCompletion is the shortest time to a whole answer at any endpoint, were it idle.
+func (s *Scheduler) minIdleCompletion(now time.Duration, r *Request) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for _, e := range r.pool.members {
-		least = min(least, s.idleWhole(r, e))
+		least = min(least, s.idleCompletion(r, e))
 	}
 	return least
 }
 
-// hopeless reports whether a request that comes now cannot end in time.
-func (s *Scheduler) hopeless(now time.Duration, r *Request) bool {
+// cannotMeetDeadline reports whether a request that comes now cannot end in time.
+func (s *Scheduler) cannotMeetDeadline(now time.Duration, r *Request) bool {
 	if s.cfg.Disabled.EarlyRefusal || len(r.pool.members) == 0 {
 		return false
 	}
-	wait := time.Duration(s.cfg.EarlyWaitWeight * float64(s.wait(now, r)))
-	return now+wait+s.leastWhole(now, r) > r.Deadline
+	wait := time.Duration(s.cfg.EarlyWaitWeight * float64(s.estimateWait(now, r)))
+	return now+wait+s.minIdleCompletion(now, r) > r.Deadline
 }
 
-// lastChance dispatches a request that has waited as long as it may to the best
+// dispatchLastChance dispatches a request that has waited as long as it may to the best
 // endpoint that admits it, although little may be earned there.
-func (s *Scheduler) lastChance(now time.Duration, r *Request) (Decision, bool) {
+func (s *Scheduler) dispatchLastChance(now time.Duration, r *Request) (Decision, bool) {
 	if now >= r.Deadline {
 		return Decision{}, false
 	}
-	r.last = true
-	d, ok := s.start(now, r)
+	r.lastChance = true
+	d, ok := s.dispatch(now, r)
 	if ok {
 		s.unqueue(r)
 	}
 	return d, ok
 }
 
-// mostPast bounds the requests looked at behind one that fits no endpoint now.
-const mostPast = 16
+// maxPassing bounds the requests looked at behind one that fits no endpoint now.
+const maxPassing = 16
 
-// servePast dispatches requests behind one that fits no endpoint now, in order of
+// dispatchPassing dispatches requests behind one that fits no endpoint now, in order of
 // arrival: an endpoint with room for a short prompt may have none for a long one.
-func (s *Scheduler) servePast(now time.Duration, q *tierQueue, out []Decision) []Decision {
+func (s *Scheduler) dispatchPassing(now time.Duration, q *tierQueue, out []Decision) []Decision {
 	n := 0
-	for at := q.arrival.Front(); at != nil && n < mostPast; n++ {
+	for at := q.arrival.Front(); at != nil && n < maxPassing; n++ {
 		r := at.Value.(*Request)
 		at = at.Next()
-		if d, ok := s.start(now, r); ok {
+		if d, ok := s.dispatch(now, r); ok {
 			s.unqueue(r)
 			out = append(out, d)
 		}
@@ -222,19 +222,19 @@
 // tooLate reports whether a request that waited is not likely to end in time any
 // more; running it would only take room from others.
 func (s *Scheduler) tooLate(now time.Duration, r *Request) bool {
-	return !s.cfg.Disabled.EarlyRefusal && now+s.meanWhole(now, r) > r.Deadline
+	return !s.cfg.Disabled.EarlyRefusal && now+s.meanIdleCompletion(now, r) > r.Deadline
 }
 
-// meanWhole is the time to a whole answer at an endpoint of the pool taken at
+// meanIdleCompletion is the time to a whole answer at an endpoint of the pool taken at
 // random by its slots, were it idle.
-func (s *Scheduler) meanWhole(now time.Duration, r *Request) time.Duration {
+func (s *Scheduler) meanIdleCompletion(now time.Duration, r *Request) time.Duration {
 	sum, slots := 0.0, 0.0
 	for _, e := range r.pool.members {
 		if !r.pool.usable(now, e) {
 			continue
 		}
 		n := float64(e.slots())
-		sum += n * float64(s.idleWhole(r, e))
+		sum += n * float64(s.idleCompletion(r, e))
 		slots += n
 	}
 	if slots == 0 {
@@ -243,34 +243,34 @@
 	return time.Duration(sum / slots)
 }
 
-// idleWhole is the time to a whole answer at an endpoint, were it idle.
-func (s *Scheduler) idleWhole(r *Request, e *endpointState) time.Duration {
+// idleCompletion is the time to a whole answer at an endpoint, were it idle.
+func (s *Scheduler) idleCompletion(r *Request, e *endpointState) time.Duration {
 	if !e.Engine {
 		return e.step()
 	}
-	return e.prefillTime(r.PromptTokens) + time.Duration(r.outGuess)*e.step()
+	return e.prefillTime(r.PromptTokens) + time.Duration(r.expectedOutput)*e.step()
 }
 
-// makeRoom bounds what waits: the workspace's own bound first, then the host's,
+// makeQueueRoom bounds what waits: the workspace's own bound first, then the host's,
 // dropping the newest request of the lowest tier below r's, or refusing r.
-func (s *Scheduler) makeRoom(now time.Duration, r *Request) (Decision, bool) {
-	if s.waitingOf[r.Settings.Workspace] >= r.Settings.Queue {
-		return s.refuse(now, r, ReasonQueueFull, s.wait(now, r)), false
+func (s *Scheduler) makeQueueRoom(now time.Duration, r *Request) (Decision, bool) {
+	if s.waitingByWorkspace[r.Settings.Workspace] >= r.Settings.Queue {
+		return s.refuse(now, r, ReasonQueueFull, s.estimateWait(now, r)), false
 	}
 	if s.waiting < s.cfg.MaxWaiting {
 		return Decision{}, true
 	}
-	victim := s.lowestNewest(r.rank())
+	victim := s.shedCandidate(r.rank())
 	if victim == nil {
-		return s.refuse(now, r, ReasonQueueFull, s.wait(now, r)), false
+		return s.refuse(now, r, ReasonQueueFull, s.estimateWait(now, r)), false
 	}
 	s.unqueue(victim)
-	s.pending = append(s.pending, s.refuse(now, victim, ReasonShed, s.wait(now, victim)))
+	s.pending = append(s.pending, s.refuse(now, victim, ReasonShed, s.estimateWait(now, victim)))
 	return Decision{}, true
 }
 
-// lowestNewest returns the newest waiting request of the lowest tier below rank, or nil.
-func (s *Scheduler) lowestNewest(rank int) *Request {
+// shedCandidate returns the newest waiting request of the lowest tier below rank, or nil.
+func (s *Scheduler) shedCandidate(rank int) *Request {
 	for k := maxRanks - 1; k > rank; k-- {
 		var newest *Request
 		for _, p := range s.pools {
@@ -290,43 +290,43 @@
 func (s *Scheduler) Poll(now time.Duration) []Decision {
 	out := s.pending
 	s.pending = nil
-	for len(s.deadlines) > 0 && s.deadlines[0].latest() <= now {
+	for len(s.deadlines) > 0 && s.deadlines[0].queueDeadline() <= now {
 		r := s.deadlines[0]
-		if d, ok := s.lastChance(now, r); ok {
+		if d, ok := s.dispatchLastChance(now, r); ok {
 			out = append(out, d)
 			continue
 		}
 		s.unqueue(r)
-		out = append(out, s.refuse(now, r, ReasonDeadline, s.wait(now, r)))
+		out = append(out, s.refuse(now, r, ReasonDeadline, s.estimateWait(now, r)))
 	}
 	for _, p := range s.pools {
 		if p.dirty && p.waiting > 0 {
-			out = s.serve(now, p, out)
+			out = s.dispatchWaiting(now, p, out)
 		}
 		p.dirty = false
 	}
 	return out
 }
 
-// serve dispatches what can run of one pool, the highest tier first. A tier
+// dispatchWaiting dispatches what can run of one pool, the highest tier first. A tier
 // whose head finds no room stops those below it, unless the head is long: then
 // shorter ones behind it may pass.
-func (s *Scheduler) serve(now time.Duration, p *pool, out []Decision) []Decision {
+func (s *Scheduler) dispatchWaiting(now time.Duration, p *pool, out []Decision) []Decision {
 	for rank := 0; rank < maxRanks; rank++ {
 		q := &p.tiers[rank]
 		for q.waiting > 0 {
-			if p.floor.holds(now, rank) {
+			if p.floor.excludes(now, rank) {
 				return out
 			}
 			r := q.head()
 			if s.tooLate(now, r) {
 				s.unqueue(r)
-				out = append(out, s.refuse(now, r, ReasonDeadline, s.wait(now, r)))
+				out = append(out, s.refuse(now, r, ReasonDeadline, s.estimateWait(now, r)))
 				continue
 			}
-			d, ok := s.start(now, r)
+			d, ok := s.dispatch(now, r)
 			if !ok && r.Objective.FirstToken > 0 {
-				out = s.servePast(now, q, out)
+				out = s.dispatchPassing(now, q, out)
 				break
 			}
 			if !ok && r.long {
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -23,42 +23,42 @@
 	waiting int
 	// arrivals is the rate of requests of this host, and scarce says that places may be
 	// filled by right only; see DrawClaims.
-	arrivals arrivals
-	scarce   bool
-	doubt    float64 // how far unheard hosts are taken to serve on, 0 to 1
-	mean     float64 // mean cost of a request, in steps
-	floor    floor
-	rations  [maxRanks]ration
-	dirty    bool
-	panics   bool // so many endpoints fail that ejections do not count
+	arrivals       arrivals
+	scarce         bool
+	silentActivity float64 // how far unheard hosts are taken to serve on, 0 to 1
+	meanCost       float64 // mean cost of a request, in steps
+	floor          floor
+	rations        [maxRanks]ration
+	dirty          bool
+	panicMode      bool // so many endpoints fail that ejections do not count
 }
 
-// poolRef finds the pool of a request quickly.
-type poolRef struct {
+// poolCacheKey finds the pool of a request quickly.
+type poolCacheKey struct {
 	settings *settings.Effective
 	model    string
 }
 
-// maxPoolRefs bounds the cache of poolRefs.
-const maxPoolRefs = 1 << 15
+// maxPoolCache bounds the cache of poolRefs.
+const maxPoolCache = 1 << 15
 
 // poolOf returns the pool of a request.
 func (s *Scheduler) poolOf(r *Request) *pool {
-	ref := poolRef{r.Settings, r.Model}
-	if p, ok := s.poolRefs[ref]; ok {
+	cacheKey := poolCacheKey{r.Settings, r.Model}
+	if p, ok := s.poolCache[cacheKey]; ok {
 		return p
 	}
-	if len(s.poolRefs) >= maxPoolRefs {
-		clear(s.poolRefs)
+	if len(s.poolCache) >= maxPoolCache {
+		clear(s.poolCache)
 	}
 	key := PoolKey(r.Settings.Endpoints, r.Model)
 	p := s.pools[key]
 	if p == nil {
 		p = &pool{key: key, names: r.Settings.Endpoints, model: r.Model}
 		s.pools[key] = p
-		s.fill(p)
+		s.setMembers(p)
 	}
-	s.poolRefs[ref] = p
+	s.poolCache[cacheKey] = p
 	return p
 }
 
@@ -72,19 +72,19 @@
 	return d.Sum64()
 }
 
-// fill sets the members of a pool.
-func (s *Scheduler) fill(p *pool) {
+// setMembers sets the members of a pool.
+func (s *Scheduler) setMembers(p *pool) {
 	p.members = p.members[:0]
 	for _, e := range s.endpoints {
-		if s.fits(p, e) {
+		if s.eligible(p, e) {
 			p.members = append(p.members, e)
 		}
 	}
 	p.dirty = true
 }
 
-// fits reports whether an endpoint belongs to a pool.
-func (s *Scheduler) fits(p *pool, e *endpointState) bool {
+// eligible reports whether an endpoint belongs to a pool.
+func (s *Scheduler) eligible(p *pool, e *endpointState) bool {
 	if !e.present || (len(p.names) > 0 && !slices.Contains(p.names, e.Name)) {
 		return false
 	}
@@ -94,9 +94,9 @@
 	return e.Engine && e.report.Model == p.model && e.report.AcceptsPrompts
 }
 
-// refill sets the members of all pools, after endpoints or what they hold changed.
-func (s *Scheduler) refill() {
+// refreshMembers sets the members of all pools, after endpoints or what they hold changed.
+func (s *Scheduler) refreshMembers() {
 	for _, p := range s.pools {
-		s.fill(p)
+		s.setMembers(p)
 	}
 }
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -12,13 +12,13 @@
 // two maps of at most half the blocks each, of which the older is dropped when
 // the younger is full, so that evidence that is not renewed decays.
 type prefixIndex struct {
-	half       int
-	young, old map[uint64]holders
+	generationSize int
+	young, old     map[uint64]holders
 }
 
-// defaultIndex bounds the blocks remembered on a host; at about 40 bytes each it
+// maxIndexedBlocks bounds the blocks remembered on a host; at about 40 bytes each it
 // is 5 MB.
-const defaultIndex = 1 << 17
+const maxIndexedBlocks = 1 << 17
 
 // get returns the holders of a block.
 func (x *prefixIndex) get(block uint64) (holders, bool) {
@@ -31,8 +31,8 @@
 
 // add notes that an endpoint holds a block.
 func (x *prefixIndex) add(block uint64, index int) {
-	if x.young == nil || len(x.young) >= x.half {
-		x.half = defaultIndex / 2
+	if x.young == nil || len(x.young) >= x.generationSize {
+		x.generationSize = maxIndexedBlocks / 2
 		x.old = x.young
 		x.young = make(map[uint64]holders)
 	}
@@ -84,13 +84,13 @@
 // the lengths found are lower bounds.
 func (x *prefixIndex) lookup(blocks []uint64, out *[maxMatches]match) int {
 	n := 0
-	for i := len(blocks); i > 0 && n < maxMatches; i = nextRung(i) {
+	for i := len(blocks); i > 0 && n < maxMatches; i = nextProbe(i) {
 		h, ok := x.get(blocks[i-1])
 		if !ok {
 			continue
 		}
 		for _, v := range h {
-			if v != 0 && n < maxMatches && !has(out[:n], v) {
+			if v != 0 && n < maxMatches && !hasMatch(out[:n], v) {
 				out[n] = match{v, i}
 				n++
 			}
@@ -99,11 +99,11 @@
 	return n
 }
 
-// nextRung is the next shorter length to probe: one less at first, then an eighth less.
-func nextRung(i int) int { return i - max(1, i/8) }
+// nextProbe is the next shorter length to probe: one less at first, then an eighth less.
+func nextProbe(i int) int { return i - max(1, i/8) }
 
-// has reports whether an endpoint was matched already.
-func has(ms []match, v uint16) bool {
+// hasMatch reports whether an endpoint was matched already.
+func hasMatch(ms []match, v uint16) bool {
 	for i := range ms {
 		if ms[i].index == v {
 			return true
--- a/sched/quantile.go
+++ b/sched/quantile.go
@@ -12,15 +12,15 @@
 	// Value is the estimate, 0 before the first value.
 	Value float64
 
-	seen int
+	count int
 }
 
 // Gains of a Quantile.
 const (
 	// firstGain is the relative step after the first value; it falls with their number.
 	firstGain = 0.5
-	// leastGain bounds it from below, so that changes are followed.
-	leastGain = 0.04
+	// minGain bounds it from below, so that changes are followed.
+	minGain = 0.04
 )
 
 // Observe takes a value; share is the quantile wanted, in (0,1).
@@ -28,12 +28,12 @@
 	if x <= 0 {
 		return
 	}
-	q.seen++
-	if q.seen == 1 {
+	q.count++
+	if q.count == 1 {
 		q.Value = x
 		return
 	}
-	gain := max(leastGain, firstGain/float64(q.seen))
+	gain := max(minGain, firstGain/float64(q.count))
 	if x > q.Value {
 		q.Value = min(x, q.Value*(1+gain*share/max(share, 1-share)))
 		return
--- a/sched/quantile_test.go
+++ b/sched/quantile_test.go
@@ -15,10 +15,10 @@
 func TestQuantile(t *testing.T) {
 	exponential := func(r *rand.Rand) float64 { return r.ExpFloat64() }
 	cases := []struct {
-		name        string
-		share       float64
-		draw        func(*rand.Rand) float64
-		least, most float64
+		name      string
+		share     float64
+		draw      func(*rand.Rand) float64
+		low, high float64
 	}{
 		{"low of an exponential", 0.2, exponential, 0.14, 0.32},   // 0.223
 		{"middle of an exponential", 0.5, exponential, 0.55, 0.9}, // 0.693
@@ -36,12 +36,12 @@
 					sum += math.Log(q.Value)
 				}
 			}
-			must.Between(t, tc.least, math.Exp(sum/2000), tc.most)
+			must.Between(t, tc.low, math.Exp(sum/2000), tc.high)
 		})
 	}
 }
 
-func TestQuantileIgnoresNothing(t *testing.T) {
+func TestQuantileIgnoresZero(t *testing.T) {
 	var q Quantile
 	q.Observe(0, 0.5)
 	must.EqOp(t, 0, q.Value)
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -13,58 +13,58 @@
 // it, services take turns by their own virtual time, so that a workspace's long
 // contracts do not stand before its one-line lookups.
 type flow struct {
-	workspace string
-	weight    float64
-	virtual   float64
-	services  []*serviceQueue
-	waiting   int
-	cost      float64 // of what waits
-	heapAt    int
+	workspace   string
+	weight      float64
+	virtualTime float64
+	services    []*serviceQueue
+	waiting     int
+	cost        float64 // of what waits
+	heapIndex   int
 }
 
 // serviceQueue is the waiting requests of one service, in order of arrival.
 type serviceQueue struct {
-	name    string
-	virtual float64
-	queue   list.List
+	name        string
+	virtualTime float64
+	queue       list.List
 }
 
 // tierQueue orders the flows of one tier by start-time fair queueing [Goyal,
 // Vin and Cheng, "Start-time fair queueing", 1996]: the flow with the least
 // virtual time goes first, and pays cost/weight.
 type tierQueue struct {
-	flows   map[string]*flow
-	active  flowHeap
-	virtual float64
-	waiting int
-	cost    float64 // of what waits
-	weight  float64 // of the flows with something waiting
+	flows       map[string]*flow
+	active      flowHeap
+	virtualTime float64
+	waiting     int
+	cost        float64 // of what waits
+	weight      float64 // of the flows with something waiting
 	// arrival holds all waiting requests in order of arrival.
-	arrival list.List
-	where   map[*Request]place
-	fifo    bool
+	arrival   list.List
+	positions map[*Request]position
+	fifo      bool
 }
 
-// place is where a request stands in its lists.
-type place struct {
+// position is where a request stands in its lists.
+type position struct {
 	arrival, service *list.Element
-	in               *serviceQueue
+	queue            *serviceQueue
 }
 
 // flowHeap is a heap of flows that have waiting requests.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
-func (h flowHeap) Less(i, j int) bool { return h[i].virtual < h[j].virtual }
+func (h flowHeap) Less(i, j int) bool { return h[i].virtualTime < h[j].virtualTime }
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.heapAt = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -83,7 +83,7 @@
 func (q *tierQueue) push(r *Request) {
 	if q.flows == nil {
 		q.flows = make(map[string]*flow)
-		q.where = make(map[*Request]place)
+		q.positions = make(map[*Request]position)
 	}
 	f := q.flows[r.Settings.Workspace]
 	if f == nil {
@@ -96,11 +96,11 @@
 	if f.waiting == 0 {
 		f.weight = r.Settings.Weight
 		q.weight += f.weight
-		f.virtual = max(f.virtual, q.virtual)
+		f.virtualTime = max(f.virtualTime, q.virtualTime)
 		heap.Push(&q.active, f)
 	}
 	sq := f.service(r.Settings.Service)
-	q.where[r] = place{q.arrival.PushBack(r), sq.queue.PushBack(r), sq}
+	q.positions[r] = position{q.arrival.PushBack(r), sq.queue.PushBack(r), sq}
 	f.waiting++
 	q.waiting++
 	f.cost += r.cost
@@ -119,39 +119,39 @@
 
 // service returns the queue of a service, which starts level with the others.
 func (f *flow) service(name string) *serviceQueue {
-	least := 0.0
+	minVirtual := 0.0
 	for i, sq := range f.services {
 		if sq.name == name {
 			if sq.queue.Len() == 0 {
-				sq.virtual = max(sq.virtual, f.leastVirtual())
+				sq.virtualTime = max(sq.virtualTime, f.minVirtualTime())
 			}
 			return sq
 		}
-		if i == 0 || sq.virtual < least {
-			least = sq.virtual
+		if i == 0 || sq.virtualTime < minVirtual {
+			minVirtual = sq.virtualTime
 		}
 	}
-	sq := &serviceQueue{name: name, virtual: least}
+	sq := &serviceQueue{name: name, virtualTime: minVirtual}
 	f.services = append(f.services, sq)
 	return sq
 }
 
-// leastVirtual is the least virtual time among services with something waiting.
-func (f *flow) leastVirtual() float64 {
-	least, found := 0.0, false
+// minVirtualTime is the least virtual time among services with something waiting.
+func (f *flow) minVirtualTime() float64 {
+	minVirtual, found := 0.0, false
 	for _, sq := range f.services {
-		if sq.queue.Len() > 0 && (!found || sq.virtual < least) {
-			least, found = sq.virtual, true
+		if sq.queue.Len() > 0 && (!found || sq.virtualTime < minVirtual) {
+			minVirtual, found = sq.virtualTime, true
 		}
 	}
-	return least
+	return minVirtual
 }
 
-// first returns the flow's next request.
-func (f *flow) first() *Request {
+// next returns the flow's next request.
+func (f *flow) next() *Request {
 	var best *serviceQueue
 	for _, sq := range f.services {
-		if sq.queue.Len() > 0 && (best == nil || sq.virtual < best.virtual) {
+		if sq.queue.Len() > 0 && (best == nil || sq.virtualTime < best.virtualTime) {
 			best = sq
 		}
 	}
@@ -166,7 +166,7 @@
 	case q.fifo:
 		return q.arrival.Front().Value.(*Request)
 	}
-	return q.active[0].first()
+	return q.active[0].next()
 }
 
 // newest returns the request that arrived last, or nil.
@@ -179,10 +179,10 @@
 
 // remove takes a request out without charging its flow.
 func (q *tierQueue) remove(r *Request) {
-	at := q.where[r]
-	delete(q.where, r)
+	at := q.positions[r]
+	delete(q.positions, r)
 	q.arrival.Remove(at.arrival)
-	at.in.queue.Remove(at.service)
+	at.queue.queue.Remove(at.service)
 	f := r.flow
 	f.waiting--
 	q.waiting--
@@ -191,7 +191,7 @@
 	if f.waiting == 0 {
 		f.cost = 0
 		q.weight -= f.weight
-		heap.Remove(&q.active, f.heapAt)
+		heap.Remove(&q.active, f.heapIndex)
 	}
 	if q.waiting == 0 {
 		q.cost, q.weight = 0, 0 // no rounding is left behind
@@ -219,10 +219,10 @@
 	if f == nil {
 		return
 	}
-	q.virtual = max(q.virtual, f.virtual)
-	f.virtual += r.cost / f.weight
-	f.service(r.Settings.Service).virtual += r.cost
+	q.virtualTime = max(q.virtualTime, f.virtualTime)
+	f.virtualTime += r.cost / f.weight
+	f.service(r.Settings.Service).virtualTime += r.cost
 	if f.waiting > 0 {
-		heap.Fix(&q.active, f.heapAt)
+		heap.Fix(&q.active, f.heapIndex)
 	}
 }
--- a/sched/ration.go
+++ b/sched/ration.go
@@ -24,64 +24,64 @@
 	// rationGain is the part by which the share falls with a request that waited in vain: about a
 	// second to halve it at 15 such requests a second. 0.025 and 0.1 made no difference in trials.
 	rationGain = 0.05
-	// vainShare is the part of the requests taken that may wait in vain. With fewer, hosts have none
+	// unplacedShare is the part of the requests taken that may wait in vain. With fewer, hosts have none
 	// waiting when a place gets free, and several see it free: engines hold more than their places for
 	// 0.14 of the time with 0.1, for 0.06 with 0.3 (TestStaleHostsDoNotOverfill).
-	vainShare = 0.3
-	// leastRation bounds the share from below: less than what is left to a tier in surges of 2.5 times.
-	leastRation = 0.15
-	// rationChance is the chance of a request beyond the share to be taken all the same, so that
+	unplacedShare = 0.3
+	// minRation bounds the share from below: less than what is left to a tier in surges of 2.5 times.
+	minRation = 0.15
+	// exemptChance is the chance of a request beyond the share to be taken all the same, so that
 	// long ones are not starved in a long shortage. It costs nothing that trials show.
-	rationChance = 0.05
+	exemptChance = 0.05
 	// spareFill is the part of the places that a tier may fill up to which a request beyond the share
 	// is taken: there is no shortage then, or none any more. Without it requests were refused
 	// for seconds after a surge; 0.65 and 0.95 did as well.
 	spareFill = 0.8
-	// guessesKept is the number of the latest expected lengths of a service that a new one is
+	// maxRecentLengths is the number of the latest expected lengths of a service that a new one is
 	// ranked among: enough for a rank within a tenth.
-	guessesKept = 64
-	// longestRation bounds the time after which a request that is refused by a ration is told to
+	maxRecentLengths = 64
+	// maxRationRetryAfter bounds the time after which a request that is refused by a ration is told to
 	// come back. Of requests that came back after 1.5 s and more 42 in 100 were served, of those after
 	// less than half a second 28 (one traced surge of 2 times).
-	longestRation = 4 * time.Second
+	maxRationRetryAfter = 4 * time.Second
 )
 
 // ration is the share of a tier's requests that are taken. The zero value takes all.
 type ration struct {
-	cut   float64       // the part that is not taken, 0 to 1-leastRation
-	since time.Duration // when the shortage began
+	refusedShare float64       // the part that is not taken, 0 to 1-leastRation
+	since        time.Duration // when the shortage began
 }
 
-// vain notes a request that was taken and got no place.
-func (x *ration) vain(now time.Duration) {
-	if x.cut == 0 {
+// noteUnplaced notes a request that was taken and got no place.
+func (x *ration) noteUnplaced(now time.Duration) {
+	if x.refusedShare == 0 {
 		x.since = now
 	}
-	x.cut = 1 - max(leastRation, (1-x.cut)*(1-rationGain))
+	x.refusedShare = 1 - max(minRation, (1-x.refusedShare)*(1-rationGain))
 }
 
-// placed notes a request that was taken and got one.
-func (x *ration) placed() {
-	x.cut = max(0, 1-(1-x.cut)*(1+rationGain*vainShare/(1-vainShare)))
+// noteDispatched notes a request that was taken and got one.
+func (x *ration) noteDispatched() {
+	x.refusedShare = max(0, 1-(1-x.refusedShare)*(1+rationGain*unplacedShare/(1-unplacedShare)))
 }
 
 // rationed reports whether a tier of a pool is not taken whole.
 func (p *pool) rationed() bool {
-	return slices.ContainsFunc(p.rations[:], func(x ration) bool { return x.cut > 0 })
+	return slices.ContainsFunc(p.rations[:], func(x ration) bool { return x.refusedShare > 0 })
 }
 
-// guesses are the latest expected lengths of a service's answers.
-type guesses struct {
-	last [guessesKept]int
-	n    int
+// recentLengths are the latest expected lengths of a service's answers.
+type recentLengths struct {
+	lengths [maxRecentLengths]int
+	n       int
 }
 
-// rank gives the part of the kept lengths that are shorter than one, with equal ones drawn by
+// quantile gives the part of the kept lengths that are shorter than one, with equal ones drawn by
 // u in [0, 1), and keeps it.
-func (g *guesses) rank(tokens int, u float64) float64 {
+func (g *recentLengths) quantile(tokens int, u float64) float64 {
 	shorter, equal := 0, 1
-	n := min(g.n, guessesKept)
-	for _, t := range g.last[:n] {
+	n := min(g.n, maxRecentLengths)
+	for _, t := range g.lengths[:n] {
 		switch {
 		case t < tokens:
 			shorter++
@@ -89,51 +89,51 @@
 			equal++
 		}
 	}
-	g.last[g.n%guessesKept] = tokens
+	g.lengths[g.n%maxRecentLengths] = tokens
 	g.n++
 	return (float64(shorter) + u*float64(equal)) / float64(n+1)
 }
 
-// maxGuesses bounds the services remembered.
-const maxGuesses = 1 << 12
+// maxLengthServices bounds the services remembered.
+const maxLengthServices = 1 << 12
 
-// rankLength sets how a request's expected answer compares with others of its service.
-func (s *Scheduler) rankLength(r *Request) {
+// setLengthQuantile sets how a request's expected answer compares with others of its service.
+func (s *Scheduler) setLengthQuantile(r *Request) {
 	if s.cfg.Disabled.Rationing || r.MaxTokens <= 1 {
 		return
 	}
-	g := s.guesses[r.Settings.Service]
-	if g == nil {
-		if len(s.guesses) >= maxGuesses {
-			clear(s.guesses)
+	recent := s.recentLengths[r.Settings.Service]
+	if recent == nil {
+		if len(s.recentLengths) >= maxLengthServices {
+			clear(s.recentLengths)
 		}
-		g = &guesses{}
-		s.guesses[r.Settings.Service] = g
+		recent = &recentLengths{}
+		s.recentLengths[r.Settings.Service] = recent
 	}
-	r.length = g.rank(r.outGuess, s.Rand.Float64())
-	r.taken = s.Rand.Float64() < rationChance
+	r.lengthQuantile = recent.quantile(r.expectedOutput, s.Rand.Float64())
+	r.rationExempt = s.Rand.Float64() < exemptChance
 }
 
-// rationed reports whether a request is beyond the share of its tier that is taken now.
-func (s *Scheduler) rationed(r *Request) bool {
-	return !r.taken && r.length > 1-r.pool.rations[r.rank()].cut
+// beyondRation reports whether a request is beyond the share of its tier that is taken now.
+func (s *Scheduler) beyondRation(r *Request) bool {
+	return !r.rationExempt && r.lengthQuantile > 1-r.pool.rations[r.rank()].refusedShare
 }
 
-// rationAfter is when a request that is refused by a ration is to come back: a shortage that has
+// rationRetryAfter is when a request that is refused by a ration is to come back: a shortage that has
 // lasted for some time is taken to last as long again.
-func (s *Scheduler) rationAfter(now time.Duration, r *Request) time.Duration {
-	return min(longestRation, max(s.wait(now, r), now-r.pool.rations[r.rank()].since))
+func (s *Scheduler) rationRetryAfter(now time.Duration, r *Request) time.Duration {
+	return min(maxRationRetryAfter, max(s.estimateWait(now, r), now-r.pool.rations[r.rank()].since))
 }
 
-// noteVain and notePlaced tell the ration of a request's tier what became of it.
-func (s *Scheduler) noteVain(now time.Duration, r *Request) {
-	if r.length > 0 && !r.taken {
-		r.pool.rations[r.rank()].vain(now)
+// noteUnplaced and notePlaced tell the ration of a request's tier what became of it.
+func (s *Scheduler) noteUnplaced(now time.Duration, r *Request) {
+	if r.lengthQuantile > 0 && !r.rationExempt {
+		r.pool.rations[r.rank()].noteUnplaced(now)
 	}
 }
 
-func (s *Scheduler) notePlaced(r *Request) {
-	if r.length > 0 && !r.taken {
-		r.pool.rations[r.rank()].placed()
+func (s *Scheduler) noteDispatched(r *Request) {
+	if r.lengthQuantile > 0 && !r.rationExempt {
+		r.pool.rations[r.rank()].noteDispatched()
 	}
 }
--- a/sched/request.go
+++ b/sched/request.go
@@ -35,31 +35,31 @@
 	// Data is the caller's own.
 	Data any
 
-	pool     *pool
-	flow     *flow
-	cost     float64
-	outGuess int
-	long     bool
-	seq      uint64
-	heapAt   int
-	waiting  bool
-	last     bool    // it has waited as long as it may
-	length   float64 // the part of its service's requests with a shorter expected answer
-	taken    bool    // it is taken whatever its length
-	spare    bool    // it is taken only where there is room to spare
-
-	at        *endpointState
-	sentAt    time.Duration
-	predicted time.Duration
-	step      time.Duration // of the endpoint at the last dispatch
-	load      float64       // there, at the last dispatch
-	firstAt   time.Duration
-	tokens    int
-	avoid     *endpointState
+	pool           *pool
+	flow           *flow
+	cost           float64
+	expectedOutput int
+	long           bool
+	seq            uint64
+	heapIndex      int
+	waiting        bool
+	lastChance     bool    // it has waited as long as it may
+	lengthQuantile float64 // the part of its service's requests with a shorter expected answer
+	rationExempt   bool    // it is taken whatever its length
+	spareOnly      bool    // it is taken only where there is room to spare
+
+	dispatchedTo *endpointState
+	dispatchedAt time.Duration
+	predicted    time.Duration
+	step         time.Duration // of the endpoint at the last dispatch
+	load         float64       // there, at the last dispatch
+	progressAt   time.Duration
+	tokens       int
+	avoid        *endpointState
 }
 
-// latest is the time at which a waiting request is given up.
-func (r *Request) latest() time.Duration {
+// queueDeadline is the time at which a waiting request is given up.
+func (r *Request) queueDeadline() time.Duration {
 	if r.DispatchBy > 0 {
 		return min(r.DispatchBy, r.Deadline)
 	}
--- a/sched/rules_test.go
+++ b/sched/rules_test.go
@@ -15,8 +15,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// stage is a scheduler with a few engines and a clock.
-type stage struct {
+// testScheduler is a scheduler with a few engines and a clock.
+type testScheduler struct {
 	*Scheduler
 	now  time.Duration
 	next int
@@ -30,9 +30,9 @@
 	step    time.Duration
 }
 
-// newStage makes a scheduler whose engines have reported.
-func newStage(cfg Config, engines ...engine) *stage {
-	s := &stage{Scheduler: &Scheduler{Config: cfg, Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}, now: time.Second}
+// newTestScheduler makes a scheduler whose engines have reported.
+func newTestScheduler(cfg Config, engines ...engine) *testScheduler {
+	s := &testScheduler{Scheduler: &Scheduler{Config: cfg, Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}, now: time.Second}
 	s.Init()
 	var list []Endpoint
 	for _, e := range engines {
@@ -46,7 +46,7 @@
 }
 
 // report gives an engine's account.
-func (s *stage) report(e engine, at time.Duration) {
+func (s *testScheduler) report(e engine, at time.Duration) {
 	step := e.step
 	if step == 0 {
 		step = 5 * time.Millisecond
@@ -55,7 +55,7 @@
 }
 
 // request makes a request of a workspace and tier.
-func (s *stage) request(ws string, rank int) *Request {
+func (s *testScheduler) request(ws string, rank int) *Request {
 	s.next++
 	return &Request{
 		ID: fmt.Sprint(s.next), Model: "m", PromptTokens: 64, MaxTokens: 20, Arrived: s.now, Deadline: s.now + time.Minute,
@@ -66,7 +66,7 @@
 }
 
 // submit submits requests and returns the last decision.
-func (s *stage) submit(n int, ws string, rank int) (rs []*Request, last Decision) {
+func (s *testScheduler) submit(n int, ws string, rank int) (rs []*Request, last Decision) {
 	for range n {
 		r := s.request(ws, rank)
 		last = s.Submit(s.now, r)
@@ -76,15 +76,15 @@
 }
 
 // end ends dispatched requests.
-func (s *stage) end(rs ...*Request) {
+func (s *testScheduler) end(rs ...*Request) {
 	for _, r := range rs {
 		s.FirstToken(s.now, r)
 		s.Done(s.now, r, Completed, 10)
 	}
 }
 
-func TestTopTierFindsRoomThatLowerTiersLeave(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 10})
+func TestReserveForHigherTiers(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 10})
 	var ranks []int
 	for rank := 2; rank >= 0; rank-- {
 		n := 0
@@ -99,7 +99,7 @@
 }
 
 func TestHigherTierGoesFirst(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 4})
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 4})
 	running, _ := s.submit(3, "w", 2)
 	s.submit(5, "w", 2)
 	high, d := s.submit(20, "w", 1)
@@ -112,7 +112,7 @@
 }
 
 func TestWorkspacesShareByWeight(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 2})
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 2})
 	running, _ := s.submit(1, "x", 1)
 	for range 60 {
 		s.submit(1, "flood", 1)
@@ -136,7 +136,7 @@
 }
 
 func TestFullHostShedsTheNewestOfTheLowestTier(t *testing.T) {
-	s := newStage(Config{MaxWaiting: 4}, engine{name: "a", slots: 1})
+	s := newTestScheduler(Config{MaxWaiting: 4}, engine{name: "a", slots: 1})
 	s.submit(1, "w", 0)
 	s.submit(1, "w", 0)
 	low, _ := s.submit(3, "w", 2)
@@ -144,16 +144,16 @@
 	must.Eq(t, 4, s.Waiting())
 	high := s.request("w", 1)
 	must.Eq(t, Wait, s.Submit(s.now, high).Verdict)
-	due := s.Poll(s.now)
-	must.Len(t, 1, due)
-	must.Eq(t, low[2], due[0].Request)
-	must.Eq(t, ReasonShed, due[0].Reason)
+	decisions := s.Poll(s.now)
+	must.Len(t, 1, decisions)
+	must.Eq(t, low[2], decisions[0].Request)
+	must.Eq(t, ReasonShed, decisions[0].Reason)
 	_, d := s.submit(1, "w", 2)
 	must.Eq(t, Refuse, d.Verdict)
 }
 
-func TestFloorKeepsLowerTiersOutEverywhere(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 10})
+func TestFloorRefusesLowerTiers(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 10})
 	must.Eq(t, Run, s.Submit(s.now, s.request("w", 2)).Verdict)
 	s.SetFloor(s.now, FloorState{Pool: PoolKey(nil, "m"), Rank: 1, Age: 100 * time.Millisecond})
 	must.Eq(t, ReasonFloor, s.Submit(s.now, s.request("w", 2)).Reason)
@@ -166,20 +166,20 @@
 
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name string
-		prep func(*stage, *Request)
-		want Reason
+		name  string
+		setup func(*testScheduler, *Request)
+		want  Reason
 	}{
-		{"deadline shorter than any engine", func(_ *stage, r *Request) { r.Deadline = r.Arrived + time.Millisecond }, ReasonDeadline},
-		{"deadline shorter than the queue", func(s *stage, r *Request) {
+		{"deadline shorter than any engine", func(_ *testScheduler, r *Request) { r.Deadline = r.Arrived + time.Millisecond }, ReasonDeadline},
+		{"deadline shorter than the queue", func(s *testScheduler, r *Request) {
 			s.submit(100, "w", 1)
 			r.Deadline = r.Arrived + 200*time.Millisecond
 			r.Settings.Workspace = "w2"
 			r.Settings.Weight = 0.01
 			s.submit(1, "w2", 1)
 		}, ReasonDeadline},
-		{"queue of the workspace full", func(s *stage, _ *Request) { s.submit(103, "w", 1) }, ReasonQueueFull},
-		{"rate", func(s *stage, r *Request) {
+		{"queue of the workspace full", func(s *testScheduler, _ *Request) { s.submit(103, "w", 1) }, ReasonQueueFull},
+		{"rate", func(s *testScheduler, r *Request) {
 			for range 5 {
 				q := s.request("w", 1)
 				q.Settings.Rate, q.Settings.RateScope = 10, "w"
@@ -187,7 +187,7 @@
 			}
 			r.Settings.Rate, r.Settings.RateScope = 10, "w"
 		}, ReasonRate},
-		{"retry budget", func(s *stage, r *Request) {
+		{"retry budget", func(s *testScheduler, r *Request) {
 			for range budgetBurst {
 				q := s.request("w", 1)
 				q.Retry = true
@@ -195,13 +195,13 @@
 			}
 			r.Retry = true
 		}, ReasonRetryBudget},
-		{"nobody holds the model", func(_ *stage, r *Request) { r.Model = "other" }, ReasonNoEndpoint},
-		{"no such service", func(_ *stage, r *Request) { r.Model = "" }, ReasonNoEndpoint},
+		{"nobody holds the model", func(_ *testScheduler, r *Request) { r.Model = "other" }, ReasonNoEndpoint},
+		{"no such service", func(_ *testScheduler, r *Request) { r.Model = "" }, ReasonNoEndpoint},
 	}
 	for _, c := range cases {
-		s := newStage(Config{}, engine{name: "a", slots: 4})
+		s := newTestScheduler(Config{}, engine{name: "a", slots: 4})
 		r := s.request("w", 1)
-		c.prep(s, r)
+		c.setup(s, r)
 		d := s.Submit(s.now, r)
 		must.Eq(t, c.want, d.Reason, must.Sprint(c.name))
 		must.GreaterEq(t, minRetryAfter, d.RetryAfter, must.Sprint(c.name))
@@ -209,7 +209,7 @@
 }
 
 func TestConcurrencyIsSharedByScope(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 50})
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 50})
 	var rs []*Request
 	for range 5 {
 		r := s.request("w", 1)
@@ -223,19 +223,19 @@
 }
 
 func TestDeadlinePassesWhileWaiting(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 1})
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 1})
 	s.submit(2, "w", 0)
 	_, d := s.submit(1, "w", 1)
 	must.Eq(t, Wait, d.Verdict)
 	s.now += time.Minute
-	due := s.Poll(s.now)
-	must.Len(t, 1, due)
-	must.Eq(t, ReasonDeadline, due[0].Reason)
+	decisions := s.Poll(s.now)
+	must.Len(t, 1, decisions)
+	must.Eq(t, ReasonDeadline, decisions[0].Reason)
 	must.Zero(t, s.Waiting())
 }
 
-func TestEngineNotHeardOfMakesRequestsWait(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 4})
+func TestRequestsWaitForFirstReport(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 4})
 	s.SetEndpoints([]Endpoint{{Name: "new", Engine: true}})
 	_, d := s.submit(1, "w", 0)
 	must.Eq(t, Wait, d.Verdict)
@@ -244,7 +244,7 @@
 }
 
 func TestReportsAreCorrectedByOwnDispatches(t *testing.T) {
-	s := newStage(Config{Disabled: Rules{RandomTies: true}}, engine{name: "a", slots: 10, running: 2}, engine{name: "b", slots: 10, running: 2})
+	s := newTestScheduler(Config{Disabled: Rules{RandomTies: true}}, engine{name: "a", slots: 10, running: 2}, engine{name: "b", slots: 10, running: 2})
 	seen := map[string]int{}
 	for range 8 {
 		_, d := s.submit(1, "w", 1)
@@ -260,9 +260,9 @@
 	must.Eq(t, 2, s.byName["a"].others)
 }
 
-func TestPrefixIsPreferredAndMoved(t *testing.T) {
+func TestPrefixAffinityAndTransfer(t *testing.T) {
 	cfg := Config{Disabled: Rules{RandomTies: true}}
-	s := newStage(cfg, engine{name: "a", slots: 10}, engine{name: "b", slots: 10})
+	s := newTestScheduler(cfg, engine{name: "a", slots: 10}, engine{name: "b", slots: 10})
 	blocks := Blocks(string(make([]byte, 64*BlockTokens*TokenBytes)))
 	must.Len(t, 64, blocks)
 	for _, b := range blocks {
@@ -287,8 +287,8 @@
 	must.Eq(t, d.Endpoint, s.Explain(d.Request.ID)[0].Endpoint)
 }
 
-func TestSlowEngineIsEasedOutAndLetBackIn(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 8}, engine{name: "b", slots: 8}, engine{name: "c", slots: 8})
+func TestSlowEngineIsThrottledAndRestored(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 8}, engine{name: "b", slots: 8}, engine{name: "c", slots: 8})
 	first, _ := s.submit(1, "w", 0)
 	s.end(first...)
 	slow := s.byName["a"]
@@ -296,7 +296,7 @@
 		s.observeTokens(s.now, slow, 10, 10*10*slow.step())
 	}
 	s.Tick(s.now)
-	must.True(t, slow.eased)
+	must.True(t, slow.throttled)
 	seen := map[string]int{}
 	for range 12 {
 		r := s.request("w", 1)
@@ -308,16 +308,16 @@
 		s.observeTokens(s.now, s.byName["b"], 10, 10*10*slow.step())
 	}
 	s.Tick(s.now)
-	must.False(t, s.byName["b"].eased)
+	must.False(t, s.byName["b"].throttled)
 	for range 12 {
 		s.observeTokens(s.now, slow, 10, 10*slow.step())
 	}
 	s.Tick(s.now)
-	must.False(t, slow.eased)
+	must.False(t, slow.throttled)
 }
 
-func TestStuckEngineIsNoticedWithoutAnswers(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 8})
+func TestStuckEngineIsDetectedWithoutFirstToken(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 8})
 	s.submit(1, "w", 0)
 	for range 20 {
 		s.now += 100 * time.Millisecond
@@ -326,28 +326,28 @@
 	must.Greater(t, s.cfg.SlowThreshold, s.slowness(s.now, s.byName["a"]))
 }
 
-// TestWokeTakesGapOut checks that a time in which this process did not run makes no engine look slow, and no answer long.
-func TestWokeTakesGapOut(t *testing.T) {
-	for _, slept := range []bool{false, true} {
-		s := newStage(Config{}, engine{name: "a", slots: 8})
+// TestSuspensionIsExcluded checks that a time in which this process did not run makes no engine look slow, and no answer long.
+func TestSuspensionIsExcluded(t *testing.T) {
+	for _, noted := range []bool{false, true} {
+		s := newTestScheduler(Config{}, engine{name: "a", slots: 8})
 		rs, _ := s.submit(2, "w", 0)
 		s.now += 20 * time.Millisecond
 		s.FirstToken(s.now, rs[0])
-		gap := 8 * time.Second
-		s.now += gap
-		if slept {
-			s.NoteGap(gap)
+		suspension := 8 * time.Second
+		s.now += suspension
+		if noted {
+			s.NoteGap(suspension)
 		}
 		s.Tick(s.now)
 		s.end(rs...)
 		e := s.byName["a"]
-		must.EqOp(t, !slept, s.slowness(s.now, e) > s.cfg.SlowThreshold)
-		must.EqOp(t, !slept, e.service > time.Second)
+		must.EqOp(t, !noted, s.slowness(s.now, e) > s.cfg.SlowThreshold)
+		must.EqOp(t, !noted, e.meanService > time.Second)
 	}
 }
 
-func TestUnsentGoesElsewhere(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 8}, engine{name: "b", slots: 8})
+func TestRedispatchUnsentAvoidsEndpoint(t *testing.T) {
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 8}, engine{name: "b", slots: 8})
 	r := s.request("w", 0)
 	first := s.Submit(s.now, r)
 	second := s.RedispatchUnsent(s.now, r)
@@ -358,7 +358,7 @@
 }
 
 func TestLongRequestsLeaveRoomForShortOnes(t *testing.T) {
-	s := newStage(Config{}, engine{name: "a", slots: 8})
+	s := newTestScheduler(Config{}, engine{name: "a", slots: 8})
 	short, _ := s.submit(1, "w", 1)
 	s.end(short...)
 	long := func() Decision {
@@ -377,7 +377,7 @@
 	must.Eq(t, Run, d.Verdict)
 }
 
-func TestBlocksShareOnlyEqualBeginnings(t *testing.T) {
+func TestBlocksMatchEqualPrefixes(t *testing.T) {
 	a := make([]byte, 10*BlockTokens*TokenBytes)
 	b := append([]byte(nil), a...)
 	b[5*BlockTokens*TokenBytes] = 1
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -26,34 +26,34 @@
 	Hosts func(workspace string) int
 
 	cfg Config
-	// news is what is known of other hosts, and drawnAt when claims were drawn last.
-	news    PeerState
-	drawnAt time.Duration
-	// missing counts the hosts that may be serving and are not heard.
-	missing int
+	// peerState is what is known of other hosts, and drawnAt when claims were drawn last.
+	peerState     PeerState
+	claimsDrawnAt time.Duration
+	// silentPeers counts the hosts that may be serving and are not heard.
+	silentPeers int
 
-	endpoints []*endpointState
-	byName    map[string]*endpointState
-	pools     map[uint64]*pool
-	poolRefs  map[poolRef]*pool
-	prefixes  prefixIndex
-	limits    limits
-	lengths   lengths
-	guesses   map[string]*guesses // by service
-	deadlines deadlineHeap
-	waitingOf map[string]int
-	waiting   int
-	seq       uint64
-	pending   []Decision
+	endpoints          []*endpointState
+	byName             map[string]*endpointState
+	pools              map[uint64]*pool
+	poolCache          map[poolCacheKey]*pool
+	prefixes           prefixIndex
+	limits             limits
+	lengths            lengths
+	recentLengths      map[string]*recentLengths // by service
+	deadlines          deadlineHeap
+	waitingByWorkspace map[string]int
+	waiting            int
+	seq                uint64
+	pending            []Decision
 
 	cands   []candidate
 	matches [maxMatches]match
 	matched int
-	// ownerAt is when an owner of places answered last, or 0.
-	ownerAt time.Duration
+	// lastOwnerAnswer is when an owner of places answered last, or 0.
+	lastOwnerAnswer time.Duration
 	// ejections counts those of this host.
 	ejections int
-	log       [logSize]entry
+	log       [logSize]logEntry
 	logNext   int
 }
 
@@ -62,11 +62,11 @@
 	s.cfg = s.Config.withDefaults()
 	s.byName = make(map[string]*endpointState)
 	s.pools = make(map[uint64]*pool)
-	s.poolRefs = make(map[poolRef]*pool)
+	s.poolCache = make(map[poolCacheKey]*pool)
 	s.lengths = make(lengths)
-	s.guesses = make(map[string]*guesses)
+	s.recentLengths = make(map[string]*recentLengths)
 	s.limits = newLimits()
-	s.waitingOf = make(map[string]int)
+	s.waitingByWorkspace = make(map[string]int)
 }
 
 // SetEndpoints replaces the declared endpoints; those no longer named get no new work.
@@ -84,8 +84,8 @@
 		e.Endpoint = d
 		e.present = true
 	}
-	clear(s.poolRefs)
-	s.refill()
+	clear(s.poolCache)
+	s.refreshMembers()
 }
 
 // SetLeaving marks an endpoint as leaving or not.
@@ -103,19 +103,19 @@
 		return
 	}
 	before := e.report
-	e.take(now, rep)
+	e.applyReport(now, rep)
 	if before.Model != e.report.Model || before.AcceptsPrompts != e.report.AcceptsPrompts {
-		s.refill()
+		s.refreshMembers()
 	}
 	s.wake(e)
 }
 
 // ApplyCacheEvent notes that an endpoint holds a prompt block or evicted it.
-func (s *Scheduler) ApplyCacheEvent(name string, block uint64, gone bool) {
+func (s *Scheduler) ApplyCacheEvent(name string, block uint64, evicted bool) {
 	e := s.byName[name]
 	switch {
 	case e == nil:
-	case gone:
+	case evicted:
 		s.prefixes.remove(block, e.index)
 	default:
 		s.prefixes.add(block, e.index)
@@ -140,16 +140,16 @@
 
 // FirstToken notes that the first token came.
 func (s *Scheduler) FirstToken(now time.Duration, r *Request) {
-	if r.at == nil || r.firstAt != 0 {
+	if r.dispatchedTo == nil || r.progressAt != 0 {
 		return
 	}
 	s.Answered(r)
-	r.at.prefilled(now, r)
-	r.firstAt = max(now, 1)
+	r.dispatchedTo.finishPrefill(now, r)
+	r.progressAt = max(now, 1)
 	s.observeFirst(now, r)
-	s.observeDoubt(now, r)
+	s.observeSilentPeers(now, r)
 	for _, b := range r.Blocks {
-		s.prefixes.add(b, r.at.index)
+		s.prefixes.add(b, r.dispatchedTo.index)
 	}
 }
 
@@ -158,14 +158,14 @@
 
 // Progress notes that n tokens came in all; it may be called for every token.
 func (s *Scheduler) Progress(now time.Duration, r *Request, n int) {
-	if r.at == nil || r.firstAt == 0 || n-r.tokens < progressTokens {
+	if r.dispatchedTo == nil || r.progressAt == 0 || n-r.tokens < progressTokens {
 		return
 	}
 	if r.tokens > 0 {
-		s.observeTokens(now, r.at, n-r.tokens, now-r.firstAt)
+		s.observeTokens(now, r.dispatchedTo, n-r.tokens, now-r.progressAt)
 	}
 	r.tokens = n
-	r.firstAt = now
+	r.progressAt = now
 }
 
 // Result says how a dispatched request ended.
@@ -184,12 +184,12 @@
 )
 
 // Done notes the end of a dispatched request with the tokens that came.
-func (s *Scheduler) Done(now time.Duration, r *Request, res Result, tokens int) {
-	e := r.at
+func (s *Scheduler) Done(now time.Duration, r *Request, result Result, tokens int) {
+	e := r.dispatchedTo
 	if e == nil {
 		return
 	}
-	switch res {
+	switch result {
 	case Completed:
 		e.health.Succeed(now)
 	case Broken:
@@ -197,16 +197,16 @@
 	case Errored:
 		s.Failed(now, r, outlier.Errored)
 	}
-	e.end(now, r)
-	s.limits.leave(r.Settings)
-	r.at = nil
-	if res == Completed {
-		s.lengths.learn(lengthKey{r.Settings.Workspace, r.Settings.Service}, tokens)
-		took := now - r.sentAt
-		if e.service == 0 {
-			e.service = took
+	e.removeRequest(now, r)
+	s.limits.release(r.Settings)
+	r.dispatchedTo = nil
+	if result == Completed {
+		s.lengths.observe(lengthKey{r.Settings.Workspace, r.Settings.Service}, tokens)
+		took := now - r.dispatchedAt
+		if e.meanService == 0 {
+			e.meanService = took
 		}
-		e.service += time.Duration(lengthGain * float64(took-e.service))
+		e.meanService += time.Duration(lengthGain * float64(took-e.meanService))
 	}
 	s.wake(e)
 }
@@ -221,15 +221,15 @@
 // Redispatch ends a dispatch whose request is to go to another endpoint, and decides
 // again.
 func (s *Scheduler) Redispatch(now time.Duration, r *Request) Decision {
-	e := r.at
-	e.end(now, r)
-	s.limits.leave(r.Settings)
-	r.at = nil
-	r.firstAt = 0
+	e := r.dispatchedTo
+	e.removeRequest(now, r)
+	s.limits.release(r.Settings)
+	r.dispatchedTo = nil
+	r.progressAt = 0
 	r.tokens = 0
-	r.taken = true // the caller has waited for it once
+	r.rationExempt = true // the caller has waited for it once
 	r.avoid = e
-	return s.place(now, r)
+	return s.admit(now, r)
 }
 
 // Tick looks at what time alone changes; call it every 50 ms or so.
@@ -238,9 +238,9 @@
 		s.checkStuck(now, e)
 	}
 	for _, p := range s.pools {
-		s.ease(now, p)
+		s.updateThrottling(now, p)
 	}
-	s.survey(now)
+	s.updatePanicMode(now)
 	s.Wake()
 }
 
@@ -267,7 +267,7 @@
 	q.push(r)
 	r.pool.waiting++
 	s.waiting++
-	s.waitingOf[r.Settings.Workspace]++
+	s.waitingByWorkspace[r.Settings.Workspace]++
 	heap.Push(&s.deadlines, r)
 }
 
@@ -277,26 +277,26 @@
 	r.pool.tiers[r.rank()].remove(r)
 	r.pool.waiting--
 	s.waiting--
-	if s.waitingOf[r.Settings.Workspace]--; s.waitingOf[r.Settings.Workspace] == 0 {
-		delete(s.waitingOf, r.Settings.Workspace)
+	if s.waitingByWorkspace[r.Settings.Workspace]--; s.waitingByWorkspace[r.Settings.Workspace] == 0 {
+		delete(s.waitingByWorkspace, r.Settings.Workspace)
 	}
-	heap.Remove(&s.deadlines, r.heapAt)
+	heap.Remove(&s.deadlines, r.heapIndex)
 }
 
 // deadlineHeap orders waiting requests by deadline.
 type deadlineHeap []*Request
 
 func (h deadlineHeap) Len() int           { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool { return h[i].latest() < h[j].latest() }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].queueDeadline() < h[j].queueDeadline() }
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *deadlineHeap) Push(x any) {
 	r := x.(*Request)
-	r.heapAt = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -15,8 +15,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// aimed makes a scheduler with endpoints of the given steps and prompt work.
-func aimed(steps []time.Duration, prefill, running []int) *Scheduler {
+// newObjectiveScheduler makes a scheduler with endpoints of the given steps and prompt work.
+func newObjectiveScheduler(steps []time.Duration, prefill, running []int) *Scheduler {
 	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 6}
 	s.Init()
 	var list []Endpoint
@@ -32,7 +32,7 @@
 	return s
 }
 
-func TestChoiceByWorth(t *testing.T) {
+func TestChooseByValue(t *testing.T) {
 	fast, slow := 3*time.Millisecond, 14*time.Millisecond
 	cases := []struct {
 		name             string
@@ -50,7 +50,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := aimed(tc.steps, tc.prefill, tc.running)
+			s := newObjectiveScheduler(tc.steps, tc.prefill, tc.running)
 			s.cfg.Disabled.Share = true
 			s.Config.Disabled.Share = true
 			for range 20 { // the choice has chance in it
@@ -72,20 +72,20 @@
 	}
 }
 
-// TestLastChanceOfWorthless has a request that is worth less than nothing wherever it goes,
+// TestLastChanceWithNegativeValue has a request that is worth less than nothing wherever it goes,
 // as its prompt delays more than it earns: once it has waited as long as it may it is sent
 // all the same, since endpoints have room.
-func TestLastChanceOfWorthless(t *testing.T) {
-	s := aimed([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
+func TestLastChanceWithNegativeValue(t *testing.T) {
+	s := newObjectiveScheduler([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 60000,
 		MaxTokens: 100, ExpectedTokens: 100, Deadline: 20 * time.Second, DispatchBy: 200 * time.Millisecond,
 		Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 250 * time.Millisecond, EventTokens: 6},
 	}
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
-	got := s.Poll(r.DispatchBy)
-	must.Len(t, 1, got)
-	must.EqOp(t, Run, got[0].Verdict)
+	decisions := s.Poll(r.DispatchBy)
+	must.Len(t, 1, decisions)
+	must.EqOp(t, Run, decisions[0].Verdict)
 }
 
 // TestStalls holds the pause that the reading of prompts makes against the one wanted.
@@ -107,7 +107,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := aimed([]time.Duration{tc.step}, []int{0}, []int{0})
+			s := newObjectiveScheduler([]time.Duration{tc.step}, []int{0}, []int{0})
 			r := &Request{Objective: Objective{FirstToken: time.Second, EventGap: tc.gap, EventTokens: tc.eventTokens}}
 			must.EqOp(t, tc.want, s.stalls(r, s.byName["0"], tc.step, tc.prompt))
 		})
@@ -117,24 +117,24 @@
 // TestLastChance checks that a request that fits nowhere well is sent at last, and
 // lets one behind it pass meanwhile.
 func TestLastChance(t *testing.T) {
-	s := aimed([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
-	ask := func(prompt int) *Request {
+	s := newObjectiveScheduler([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
+	request := func(prompt int) *Request {
 		return &Request{
 			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: prompt, MaxTokens: 900,
 			ExpectedTokens: 900, Deadline: 14 * time.Second, DispatchBy: 200 * time.Millisecond,
 			Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 		}
 	}
-	r := ask(20000)
+	r := request(20000)
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
 	out := s.Poll(201 * time.Millisecond)
 	must.Len(t, 1, out)
 	must.EqOp(t, Run, out[0].Verdict)
 }
 
-// TestLastChancePlain checks that a request without an aim is sent, too, if an endpoint
+// TestLastChanceWithoutObjective checks that a request without an aim is sent, too, if an endpoint
 // has come back by the time at which it would be refused.
-func TestLastChancePlain(t *testing.T) {
+func TestLastChanceWithoutObjective(t *testing.T) {
 	cases := []struct {
 		name string
 		poll time.Duration
@@ -149,16 +149,16 @@
 			s.Init()
 			s.SetEndpoints([]Endpoint{{Name: "a", Engine: true, Slots: 1}})
 			s.ApplyReport(0, "a", Report{Slots: 1, Step: 20 * time.Millisecond, Model: "m", AcceptsPrompts: true})
-			ask := func(start time.Duration) *Request {
+			request := func(start time.Duration) *Request {
 				e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
 				return &Request{Settings: e, Model: "m", MaxTokens: 1, Deadline: time.Second, DispatchBy: start}
 			}
-			first := ask(time.Second)
+			first := request(time.Second)
 			must.EqOp(t, Run, s.Submit(0, first).Verdict)
 			s.BackOff(0, first, 60*time.Millisecond)
 			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is left alone
 			s.Withdraw(first)
-			must.EqOp(t, Wait, s.Submit(0, ask(min(66*time.Millisecond, tc.poll))).Verdict)
+			must.EqOp(t, Wait, s.Submit(0, request(min(66*time.Millisecond, tc.poll))).Verdict)
 			out := s.Poll(tc.poll)
 			must.Len(t, 1, out)
 			must.EqOp(t, tc.want, out[0].Verdict)
@@ -166,14 +166,14 @@
 	}
 }
 
-// TestNearFirst checks that an endpoint of the own zone is taken unless it has much
+// TestSameZoneFirst checks that an endpoint of the own zone is taken unless it has much
 // less room, however many far ones there are.
-func TestNearFirst(t *testing.T) {
+func TestSameZoneFirst(t *testing.T) {
 	const n = 12 // the first is near
 	cases := []struct {
-		name        string
-		nearRunning int
-		least, most int // of 100 requests that go to the near one
+		name            string
+		sameZoneRunning int
+		low, high       int // of 100 requests that go to the near one
 	}{
 		{"as much room", 0, 100, 100},
 		{"a little less room", 3, 100, 100},
@@ -192,11 +192,11 @@
 			for i := range n {
 				rep := Report{Slots: 10, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", AcceptsPrompts: true}
 				if i == 0 {
-					rep.Running = tc.nearRunning
+					rep.Running = tc.sameZoneRunning
 				}
 				s.ApplyReport(0, fmt.Sprint(i), rep)
 			}
-			near := 0
+			sameZone := 0
 			for range 100 {
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 500,
@@ -205,23 +205,23 @@
 				d := s.Submit(0, r)
 				must.EqOp(t, Run, d.Verdict)
 				if d.Endpoint == "0" {
-					near++
+					sameZone++
 				}
 				s.Done(0, r, Canceled, 0)
 			}
-			must.Between(t, tc.least, near, tc.most)
+			must.Between(t, tc.low, sameZone, tc.high)
 		})
 	}
 }
 
-func BenchmarkWorth(b *testing.B) {
+func BenchmarkChooseByValue(b *testing.B) {
 	for _, n := range []int{22, 100, 930} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			steps, prefill, running := make([]time.Duration, n), make([]int, n), make([]int, n)
 			for i := range n {
 				steps[i], running[i] = time.Duration(2+i%12)*time.Millisecond, i%5
 			}
-			s := aimed(steps, prefill, running)
+			s := newObjectiveScheduler(steps, prefill, running)
 			e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/sched/woke.go
+++ b/sched/woke.go
@@ -11,9 +11,9 @@
 func (s *Scheduler) NoteGap(gap time.Duration) {
 	for _, e := range s.endpoints {
 		for _, r := range e.inflight {
-			r.sentAt += gap
-			if r.firstAt != 0 {
-				r.firstAt += gap
+			r.dispatchedAt += gap
+			if r.progressAt != 0 {
+				r.progressAt += gap
 			}
 		}
 	}
