--- a/sched/blocks.go
+++ b/sched/blocks.go
@@ -14,17 +14,18 @@
 const (
 	// BlockTokens is the number of prompt tokens in a cache block.
 	BlockTokens = 64
-	// TokenBytes is the number of bytes taken for a token.
+	// TokenBytes is the assumed number of bytes in a token.
 	TokenBytes = 4
-	// MaxBlocks bounds the leading blocks of a prompt that are looked at.
+	// MaxBlocks limits the number of leading prompt blocks that are hashed.
 	MaxBlocks = 256
 )
 
-// Tokens estimates the number of tokens of a prompt of n bytes, rounded up.
+// Tokens estimates the number of tokens in a prompt of n bytes, rounded up.
 func Tokens(n int) int { return (n + TokenBytes - 1) / TokenBytes }
 
-// Blocks returns the chained hashes of a prompt's leading whole blocks, at most
-// MaxBlocks: two prompts share block i only if they are equal up to its end.
+// Blocks returns the chained hashes of the leading whole blocks of a prompt, at most MaxBlocks.
+// Because the hashes are chained, two prompts have the same hash for block i only if they are
+// equal up to the end of block i.
 func Blocks(prompt string) []uint64 {
 	const size = BlockTokens * TokenBytes
 	n := min(len(prompt)/size, MaxBlocks)
--- a/sched/choose.go
+++ b/sched/choose.go
@@ -6,21 +6,21 @@
 
 import "time"
 
-// candidate is an endpoint considered for a request.
+// candidate is an endpoint considered for a request, with its predictions.
 type candidate struct {
 	e            *endpointState
-	cached       int // prompt tokens held
+	cached       int // prompt tokens in the endpoint's cache
 	load         float64
 	firstToken   time.Duration
 	completion   time.Duration
-	value        float64 // see chooseByWorth
+	value        float64 // see chooseByValue
 	relativeLoad float64
 }
 
-// maxCandidates bounds the candidates kept for explanations.
+// maxCandidates limits the candidates kept for Explain.
 const maxCandidates = 8
 
-// slotLimit is the number of requests up to which a tier may fill an endpoint.
+// slotLimit returns the number of requests up to which a tier may fill an endpoint.
 func (s *Scheduler) slotLimit(rank int, e *endpointState) float64 {
 	n := float64(e.slots())
 	if s.cfg.Disabled.LateBinding {
@@ -35,7 +35,7 @@
 	return max(1, n-max(1, n*s.cfg.Reserve*float64(rank)))
 }
 
-// admits reports whether an endpoint has room for a request.
+// admits reports whether an endpoint may take a request now.
 func (s *Scheduler) admits(now time.Duration, r *Request, e *endpointState, load float64) bool {
 	limit := s.slotLimit(r.rank(), e)
 	if r.spareOnly {
@@ -56,19 +56,19 @@
 	return true
 }
 
-// withinShare reports whether this host uses less than its own share of an
-// endpoint. The own share needs no report: completions free it at once, so that
-// an endpoint does not stand idle while hosts wait for a report to say so.
+// withinShare reports whether this host uses less than its own share of an endpoint. The own share
+// needs no report: a completion frees it at once, so the endpoint does not stay idle until a
+// report shows the free slot.
 func (s *Scheduler) withinShare(e *endpointState, limit float64) bool {
 	return !s.cfg.Disabled.Share && float64(e.own) < limit/float64(max(1, s.SharingHosts))
 }
 
-// minSuccess bounds the part of requests that an endpoint is taken not to fail.
+// minSuccess is the lower bound of the assumed success rate of an endpoint.
 const minSuccess = 0.05
 
-// choose returns the endpoint with the least predicted time to the end of the
-// answer, at random among near-equal ones so that hosts with the same stale
-// reports do not all choose one; nil if none has room.
+// choose returns the endpoint with the shortest predicted time to the end of the answer, or nil if
+// no endpoint has room. It picks at random among near-equal endpoints, so that hosts with the same
+// stale reports do not all choose the same one.
 func (s *Scheduler) choose(now time.Duration, r *Request) *candidate {
 	s.matchPrefix(r)
 	s.cands = s.cands[:0]
@@ -84,7 +84,7 @@
 		if e.CrossZone {
 			c.completion += time.Duration(s.cfg.CrossZoneCost * float64(c.completion))
 		}
-		// A failure costs at least one more try.
+		// A failure costs at least one more attempt.
 		c.completion = time.Duration(float64(c.completion) / max(minSuccess, 1-s.risk(now, r, e)))
 		best = min(best, c.completion)
 		s.cands = append(s.cands, c)
@@ -92,7 +92,7 @@
 	return s.randomNearBest(best)
 }
 
-// randomNearBest draws one of the candidates near the best.
+// randomNearBest returns a random candidate whose completion is within the tolerance of best.
 func (s *Scheduler) randomNearBest(best time.Duration) *candidate {
 	limit := best + time.Duration(s.cfg.TieTolerance*float64(best))
 	if s.cfg.Disabled.RandomTies {
@@ -112,7 +112,7 @@
 	return picked
 }
 
-// matchPrefix finds which endpoints hold leading blocks of a request's prompt.
+// matchPrefix finds the endpoints that hold leading blocks of a request's prompt.
 func (s *Scheduler) matchPrefix(r *Request) {
 	s.matched = 0
 	if !s.cfg.Disabled.Affinity && r.Settings.Affinity && len(r.Blocks) > 0 {
@@ -120,7 +120,8 @@
 	}
 }
 
-// cachedTokens returns the prompt tokens that an endpoint holds by the last matchPrefix.
+// cachedTokens returns the prompt tokens that an endpoint holds according to the last call of
+// matchPrefix.
 func (s *Scheduler) cachedTokens(e *endpointState) int {
 	for _, m := range s.matches[:s.matched] {
 		if int(m.index) == e.index+1 {
@@ -130,8 +131,8 @@
 	return 0
 }
 
-// importFrom returns an endpoint whose cache is worth moving to the chosen one,
-// because moving it takes less time than computing it again.
+// importFrom returns the endpoint whose KV cache is to be transferred to the chosen endpoint, or
+// "" if no transfer takes less time than computing the tokens again.
 func (s *Scheduler) importFrom(now time.Duration, c *candidate) string {
 	if s.cfg.Disabled.Transfer {
 		return ""
--- a/sched/claim.go
+++ b/sched/claim.go
@@ -9,55 +9,57 @@
 	"time"
 )
 
-// Hosts that share endpoints hear of a free place at about the same time, and some time
-// after it got free. If each sent a request there, the endpoint would get one from every
-// host, and more until the news of it comes back. So while free places are scarce, a host
-// fills a place only
+// Hosts that share endpoints learn of a free slot at about the same time, and some time after it
+// became free. If each of them sent a request there, the endpoint would get one from every host,
+// and more until updated peer state arrives. While free slots are scarce, a host therefore fills a
+// slot only
 //
-//   - where one of its own requests ended lately: the others take that place for filled; or
-//   - by a claim. Claims are drawn so that all hosts together take the free places of an
-//     endpoint in about twice the time that news takes, each in proportion to what it has
-//     to place: faster, they would take the same places again and again.
+//   - where one of its own requests ended recently, because the other hosts still count that
+//     slot as used, or
+//   - with a claim. Claims are drawn at random so that all hosts together take the free slots
+//     of an endpoint within about two peer-state delays, each host in proportion to its
+//     demand. If they took them faster, several hosts would take the same slot repeatedly.
 //
-// Places are scarce when those free at all endpoints are fewer than a few times the
-// requests that come to all hosts until news of them is heard, or few while a tier is rationed. Where requests take less
-// time than news, as at plain services, news tells nothing of the places that are free now,
-// and none are claimed. Where a host owns an endpoint's places and answers, its grants take the place of claims; see grant.go.
+// Slots are scarce when the free slots of all endpoints are fewer than a few times the requests
+// that arrive at all hosts within one peer-state delay, or when few are free while a tier is
+// rationed. Where requests take less time than the delay, as at plain services, peer state says
+// nothing about the slots that are free now, and no claims are drawn. Where an endpoint has a slot
+// owner that answers, its grants replace claims; see grant.go.
 
-// Figures of claims.
+// Parameters of claims.
 const (
-	// claimDelays is the number of delays of news in which free places are claimed. With 1
-	// engines are overfilled for twice as long in TestStaleHostsDoNotOverfill; played days
-	// show no difference.
+	// claimDelays is the number of peer-state delays within which free slots are claimed. With 1,
+	// engines are overfilled for twice as long in TestStaleHostsDoNotOverfill; simulated days show
+	// no difference.
 	claimDelays = 2
-	// scarceFactor is how many times the requests that come in a delay may exceed the
-	// free places before these are not scarce.
+	// scarceFactor makes slots scarce when fewer are free than this many times the requests that
+	// arrive at all hosts within one peer-state delay.
 	scarceFactor = 4
-	// scarceFreeShare is the part of all places up to which free ones are scarce while a tier is rationed: what
-	// tiers leave to those above them counts as free, too. With all places scarce whatever is free, hosts
-	// choose among the few engines that they have claims on, and 76 of 1,316 long requests were late in
-	// place of 61.
+	// scarceFreeShare is the share of all slots below which free slots are scarce while a tier is
+	// rationed. Slots that a tier reserves for higher tiers count as free. If slots were scarce
+	// regardless of how many are free, hosts would choose among the few engines that they have
+	// claims on: 76 of 1,316 long requests were late instead of 61.
 	scarceFreeShare = 0.25
-	// freshPeerState is the delay of news up to which few hosts can have seen the same place:
-	// then a request needs a claim only while its tier is rationed or others wait elsewhere, and
-	// without a ration none once it has waited as long as it may.
+	// freshPeerState is the peer-state delay up to which few hosts can have seen the same free
+	// slot. A request then needs a claim only while its tier is rationed or while requests of its
+	// tier or above wait at other hosts; without a ration its last chance needs no claim.
 	freshPeerState = 50 * time.Millisecond
-	// rateHalfLife is the time in which the rate of arrivals forgets half of what it saw.
+	// rateHalfLife is the half-life of arrivals in the arrival rate.
 	rateHalfLife = time.Second
 )
 
-// PeerState is what a host knows of the others' requests.
+// PeerState is what a host knows of the requests at other hosts.
 type PeerState struct {
 	// Waiting counts the requests that wait at other hosts, by model and tier.
 	Waiting map[string][]int
-	// Age is the mean age of what is known of the others.
+	// Age is the mean age of this information, the peer-state delay.
 	Age time.Duration
 }
 
-// SetPeerState takes what was heard of the other hosts.
+// SetPeerState replaces the state of the other hosts.
 func (s *Scheduler) SetPeerState(state PeerState) { s.peerState = state }
 
-// DrawClaims draws which free places this host may take; call it every 25 ms or so.
+// DrawClaims draws the free slots that this host may take; call it about every 25 ms.
 func (s *Scheduler) DrawClaims(now time.Duration) {
 	dt := now - s.claimsDrawnAt
 	s.claimsDrawnAt = now
@@ -67,7 +69,7 @@
 	}
 }
 
-// drawPoolClaims draws the claims of one pool.
+// drawPoolClaims decides whether the slots of a pool are scarce and draws its claims.
 func (s *Scheduler) drawPoolClaims(now, dt time.Duration, p *pool) {
 	free, slots, serviceSum, measured := 0.0, 0.0, time.Duration(0), 0
 	for _, e := range p.members {
@@ -81,7 +83,7 @@
 		}
 	}
 	peerStateUseful := measured == 0 || serviceSum/time.Duration(measured) > s.peerState.Age
-	// What comes to this host, and to all, in the delay of the news.
+	// The requests that arrive at this host, and at all hosts, within one peer-state delay.
 	arriving := p.arrivals.rate() * s.peerState.Age.Seconds()
 	scarceBelow := scarceFactor * arriving * float64(s.SharingHosts)
 	if p.rationed() {
@@ -103,8 +105,8 @@
 	}
 }
 
-// drawEndpointClaims draws the claims on one endpoint, of which this host is to take a part of
-// the free places. Claims that were not used are given up after some time.
+// drawEndpointClaims draws the claims on one endpoint, of whose free slots this host takes the
+// given share. Unused claims expire.
 func (s *Scheduler) drawEndpointClaims(now time.Duration, e *endpointState, share float64) {
 	if s.ownerAnswers(now, e) {
 		if now-e.claimedAt > grantTTL {
@@ -131,12 +133,12 @@
 	}
 }
 
-// freeSlots is the number of places of an endpoint that nobody is known to have.
+// freeSlots estimates the number of an endpoint's slots that no known request uses.
 func (s *Scheduler) freeSlots(now time.Duration, e *endpointState) float64 {
 	return float64(e.slots()) - float64(e.own) - s.reportWeight(now, e)*float64(e.others)
 }
 
-// mayTakeSlot reports whether a request may take a place of an endpoint.
+// mayTakeSlot reports whether a request may take a slot of an endpoint.
 func (s *Scheduler) mayTakeSlot(now time.Duration, r *Request, e *endpointState) bool {
 	if !r.pool.scarce || e.claims > 0 {
 		return true
@@ -151,7 +153,7 @@
 	return s.peerState.Age <= freshPeerState && !rationed && (r.lastChance || !s.contended(r))
 }
 
-// takeSlot counts a place as taken.
+// takeSlot uses up a vacated slot or a claim.
 func (e *endpointState) takeSlot() {
 	if e.vacated > 0 {
 		e.vacated--
@@ -160,23 +162,24 @@
 	e.claims = max(0, e.claims-1)
 }
 
-// arrivals follows the rate of requests that come to a pool at this host. The zero value
-// has seen none.
+// arrivals estimates the rate of requests that arrive for a pool at this host. The zero value has
+// seen none.
 type arrivals struct{ sum float64 }
 
 // add counts a request.
 func (a *arrivals) add() { a.sum++ }
 
-// decay lets time pass.
+// decay reduces the weight of past arrivals by the time that has passed.
 func (a *arrivals) decay(dt time.Duration) {
 	a.sum *= math.Exp2(-dt.Seconds() / rateHalfLife.Seconds())
 }
 
-// rate is in requests a second: a sum that halves in a time T rests at rate·T/ln 2.
+// rate returns the rate in requests per second: at a constant rate, a sum with half-life T settles
+// at rate·T/ln 2.
 func (a *arrivals) rate() float64 { return a.sum * math.Ln2 / rateHalfLife.Seconds() }
 
-// OwnWaiting gives the number of requests that wait at this host, by model and tier; models
-// for which none waits are left out.
+// OwnWaiting returns the number of requests that wait at this host, by model and tier; models
+// without waiting requests are left out.
 func (s *Scheduler) OwnWaiting() map[string][]int {
 	out := make(map[string][]int)
 	for _, p := range s.pools {
@@ -193,7 +196,7 @@
 	return out
 }
 
-// contended reports whether other hosts have requests waiting that go before r or beside it.
+// contended reports whether requests of r's tier or a higher one wait at other hosts.
 func (s *Scheduler) contended(r *Request) bool {
 	waiting := s.peerState.Waiting[r.pool.model]
 	for _, n := range waiting[:min(len(waiting), r.rank()+1)] {
--- a/sched/config.go
+++ b/sched/config.go
@@ -6,86 +6,90 @@
 
 import "time"
 
-// Config holds the policy's figures; a zero field means the default named.
+// Config holds the parameters of the scheduler; a zero field means the default.
 type Config struct {
-	// MaxWaiting bounds the requests waiting on the host; default 10,000.
+	// MaxWaiting limits the requests that wait at this host; default 10,000.
 	MaxWaiting int
-	// Reserve is the share of an endpoint's slots that each tier leaves free for
-	// the tiers above it; default 0.1.
+	// Reserve is the share of an endpoint's slots that each tier leaves free for the tiers above
+	// it; default 0.1.
 	Reserve float64
 	// Overcommit is the share of slots by which the top tier may exceed them; default 0.5.
 	Overcommit float64
-	// LongShare is the share of an endpoint's slots that long requests of one
-	// host may fill; default 0.5.
+	// LongShare is the share of an endpoint's slots that long requests of all hosts together may
+	// fill; each host takes an equal part of it; default 0.5.
 	LongShare float64
-	// LongFactor makes a request long whose cost is that many times the mean; default 4.
+	// LongFactor is the multiple of the mean cost above which a request is long; default 4.
 	LongFactor float64
-	// TieTolerance is the share by which predicted times may differ and count as equal; default 0.1.
+	// TieTolerance is the relative difference up to which predicted times count as equal; default
+	// 0.1.
 	TieTolerance float64
-	// CrossZoneCost is the share by which an endpoint in another zone counts as later
-	// than it is; default 0.
+	// CrossZoneCost is the penalty of an endpoint in another zone: the share by which its
+	// predicted time, or the amount by which its relative load, counts as larger; default 0.
 	CrossZoneCost float64
-	// SlowThreshold eases an endpoint out at that many times its own speed; default 3.
+	// SlowThreshold is the slowness above which an endpoint is throttled, as a multiple of the
+	// time that it reports; default 3.
 	SlowThreshold float64
-	// RecoveryThreshold lets it back in below that; default 1.5.
+	// RecoveryThreshold is the slowness below which throttling ends; default 1.5.
 	RecoveryThreshold float64
-	// MaxThrottledShare is the largest share of a pool eased out; default 0.34.
+	// MaxThrottledShare is the largest share of a pool that is throttled at a time; default 0.34.
 	MaxThrottledShare float64
-	// EarlyWaitWeight is the part of the estimated wait that early refusal counts on;
-	// default 0.5, since what waits is dropped anyway once it is too late.
+	// EarlyWaitWeight is the weight of the estimated wait in early refusal; default 0.5, since a
+	// waiting request that becomes too late is dropped anyway.
 	EarlyWaitWeight float64
-	// FloorDuration is how long a shedding floor stands after the last refusal; default 1.2 s,
-	// three heartbeats, so that other hosts hear of it while it stands.
+	// FloorDuration is how long a shedding floor stays in force after the last refusal; default
+	// 1.2 s, three heartbeats, so that other hosts learn of it while it is in force.
 	FloorDuration time.Duration
-	// NoEndpointWait is how long an endpoint that could not be reached is left alone; default 1 s.
+	// NoEndpointWait is the estimated wait while no endpoint of a pool is usable; default 1 s.
 	NoEndpointWait time.Duration
-	// ReportTTL is the age at which a report counts nothing; default 5 s.
+	// ReportTTL is the age at which the weight of a report reaches zero; default 5 s.
 	ReportTTL time.Duration
-	// OthersShare is the share of this host's own recent dispatches that each
-	// other host is taken to have made since a report; default 0.5.
+	// OthersShare is the share of this host's own dispatches since a report that each other host
+	// is assumed to have made since then; default 0.5.
 	OthersShare float64
-	// TransferFixed and TransferBlock are the cost of moving KV cache: a fixed
-	// time and one for each block; defaults 5 ms and 100 us.
+	// TransferFixed and TransferBlock are the cost of transferring KV cache: a fixed time and a
+	// time per block; defaults 5 ms and 100 us.
 	TransferFixed, TransferBlock time.Duration
-	// Disabled switches rules off, for measuring what each is worth.
+	// Disabled switches rules off, to measure the effect of each.
 	Disabled Rules
 }
 
-// Rules names the rules that can be switched off.
+// Rules lists the rules that can be switched off.
 type Rules struct {
-	// FairQueueing is weighted fair order among workspaces; without it, first come first served.
+	// FairQueueing is weighted fair queueing among workspaces; without it, requests are served
+	// first come, first served.
 	FairQueueing bool
-	// Reserve is the room kept for higher tiers.
+	// Reserve keeps slots free for higher tiers.
 	Reserve bool
-	// LongCap is the bound on long requests of an endpoint.
+	// LongCap limits the long requests at an endpoint.
 	LongCap bool
-	// Affinity is the preference for endpoints that hold the prefix.
+	// Affinity prefers endpoints that hold the prompt's prefix.
 	Affinity bool
-	// PeerCorrection is the correction for what other hosts sent since a report.
+	// PeerCorrection estimates what other hosts have dispatched since a report.
 	PeerCorrection bool
-	// Slow is the learning of slow endpoints.
+	// Slow detects and throttles slow endpoints.
 	Slow bool
-	// EarlyRefusal is the refusal of what cannot meet its deadline.
+	// EarlyRefusal refuses requests that cannot meet their deadline.
 	EarlyRefusal bool
 	// Floor is the shedding floor.
 	Floor bool
-	// RandomTies is the random choice among near-equal endpoints.
+	// RandomTies chooses at random among near-equal endpoints.
 	RandomTies bool
-	// Transfer is the moving of KV cache.
+	// Transfer transfers KV cache between endpoints.
 	Transfer bool
-	// Share lets a host fill its own share of an endpoint whatever reports say.
+	// Share lets a host fill its own share of an endpoint regardless of reports.
 	Share bool
-	// SilentPeers is the guess of what hosts that are not heard have running.
+	// SilentPeers estimates the load of hosts that send no heartbeats.
 	SilentPeers bool
-	// Claims shares free places among hosts that have requests waiting.
+	// Claims divides scarce free slots among the hosts that have waiting requests.
 	Claims bool
-	// Rationing is the taking of the shortest answers first while places are short.
+	// Rationing admits the shortest expected answers first while slots are scarce.
 	Rationing bool
-	// LateBinding is late binding; without it, all is dispatched at once.
+	// LateBinding keeps requests waiting until an endpoint has room; without it, all are
+	// dispatched at once.
 	LateBinding bool
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults returns c with defaults in place of zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.MaxWaiting, 10000)
 	setDefault(&c.Reserve, 0.1)
@@ -106,7 +110,7 @@
 	return c
 }
 
-// setDefault sets a zero value to its default.
+// setDefault replaces a zero value by its default.
 func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -2,13 +2,12 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package sched decides where a request runs, what waits and what is refused.
+// Package sched decides where a request runs, which requests wait and which are refused.
 //
-// It is pure: it does no I/O, reads no clock and draws chance from a source
-// that is passed in, so that equal inputs give equal decisions. Times are
-// durations since a start that the caller chooses.
+// It does no I/O, reads no clock and takes random numbers from a source that is passed in, so that
+// equal inputs give equal decisions. Times are durations since a start that the caller chooses.
 //
-// A Scheduler is fed requests, reports, dispatch results and completions, and
-// returns grants and refusals. order.go shows in one place which rule comes
-// when; each rule stands in a file of its own.
+// The inputs of a Scheduler are requests, reports, dispatch results and completions; it returns
+// decisions to run, wait or refuse. order.go shows the order in which the rules apply; each rule
+// is in a file of its own.
 package sched
--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -10,49 +10,51 @@
 	"github.com/heathkeel/heathkeel/outlier"
 )
 
-// Report is what the scheduler takes from an endpoint's account.
+// Report is the part of an endpoint's load report that the scheduler uses.
 type Report struct {
-	// At is when the figures were taken, since the scheduler's start.
+	// At is when the report was taken, since the scheduler's start.
 	At time.Duration
-	// Running and Waiting count requests; PrefillTokens is prompt work not yet done.
+	// Running and Waiting count requests; PrefillTokens counts the prompt tokens not yet computed.
 	Running, Waiting, PrefillTokens int
-	// Slots is the number of requests that run at once; 0 keeps the declared one.
+	// Slots is the number of requests that run at once; 0 keeps the declared number.
 	Slots int
-	// Step is the time of a step and PrefillPerStep the prompt tokens in one.
+	// Step is the duration of a step and PrefillPerStep the prompt tokens computed in one.
 	Step           time.Duration
 	PrefillPerStep int
-	// Model is the model held, or empty.
+	// Model is the model that the endpoint holds, or empty.
 	Model string
-	// Estimated says that the host worked it out itself: it does not tell that the endpoint is there.
+	// Estimated says that the host derived the report itself, so that it is no evidence that the
+	// endpoint is reachable.
 	Estimated bool
-	// AcceptsPrompts says that prompts may begin here: the role is not "decode".
+	// AcceptsPrompts says that the endpoint computes prompts: its role is not "decode".
 	AcceptsPrompts bool
 }
 
-// Endpoint is a declared endpoint as the scheduler needs it.
+// Endpoint is the declaration of an endpoint as the scheduler uses it.
 type Endpoint struct {
-	// Name identifies it.
+	// Name is its name.
 	Name string
 	// Engine is true for a model engine.
 	Engine bool
 	// Slots is the number of requests that run at once.
 	Slots int
-	// Leaving says that it gets no new work.
+	// Leaving says that the endpoint gets no new requests.
 	Leaving bool
-	// CrossZone says that it stands in another zone, which costs; see Config.FarCost.
+	// CrossZone says that the endpoint is in another zone; see Config.CrossZoneCost.
 	CrossZone bool
 }
 
-// loadSample is the own load at a time.
+// loadSample is the load that this host has put on an endpoint at one time.
 type loadSample struct {
 	at                   time.Duration
 	outstanding, prefill int
 }
 
-// sampleCount is the number of own-load samples kept for comparing with lagged reports.
+// sampleCount is the number of load samples kept to compare with delayed reports.
 const sampleCount = 64
 
-// endpointState is what this host knows of an endpoint.
+// endpointState is what this host knows of an endpoint. Its own requests are those that this host
+// has dispatched.
 type endpointState struct {
 	Endpoint
 	index   int
@@ -60,43 +62,43 @@
 
 	report    Report
 	hasReport bool
-	downUntil time.Duration // it is known to be of no use until then
+	downUntil time.Duration // no new requests until then
 	health    outlier.Record
 
-	ownerReportAt   time.Duration // when the owner of its places told of other hosts' requests
-	unansweredSince time.Duration // since when the owner was asked without an answer, or 0
-	lastAskedAt     time.Duration // when it was asked last
-	vacated         int           // places that own requests left lately
-	vacatedAt       time.Duration // when the last one did
-	claims          int           // free places that this host may take
-	claimedAt       time.Duration // when the last claim was drawn
-	own             int           // own requests there
-	ownLong         int           // long ones of them
-	ownPrefill      [maxRanks]int // own prompt tokens sent and without first token
-	sent            uint64        // own dispatches ever
+	ownerReportAt   time.Duration // when the slot owner last reported the requests of other hosts
+	unansweredSince time.Duration // time of the oldest request to the slot owner without an answer, or 0
+	lastAskedAt     time.Duration // time of the latest request to the slot owner
+	vacated         int           // slots that own requests left recently
+	vacatedAt       time.Duration // when the latest of them was left
+	claims          int           // free slots that this host may take
+	claimedAt       time.Duration // when the latest claim was drawn or granted
+	own             int           // own requests in flight
+	ownLong         int           // the long ones of them
+	ownPrefill      [maxRanks]int // prompt tokens of own requests without a first token, by tier
+	dispatches      uint64        // number of own dispatches
 	samples         [sampleCount]loadSample
 	nextSample      int
 	atReport        loadSample // own load when the report was taken
 	inflight        []*Request
 
-	others        int // requests of others, from the last report
+	others        int // requests of other hosts, from the last report
 	othersPrefill int
 
-	slowFactor    float64 // observed time over the endpoint's own claim
+	slowFactor    float64 // observed time over the time that the endpoint reports
 	slowUpdatedAt time.Duration
-	observations  int // number of observations
+	observations  int // of slowness
 	throttled     bool
-	meanService   time.Duration // mean time of a request there
+	meanService   time.Duration // moving average of the time of a request
 }
 
-// Fallbacks for endpoints that have not reported their speed.
+// Defaults for endpoints that have not reported their speed.
 const (
 	defaultStep    = 10 * time.Millisecond
 	defaultPrefill = 512
 	defaultSlots   = 8
 )
 
-// step is the time of a decoding step by the endpoint's own claim.
+// step returns the duration of a decoding step that the endpoint reports.
 func (e *endpointState) step() time.Duration {
 	if e.report.Step > 0 {
 		return e.report.Step
@@ -104,7 +106,7 @@
 	return defaultStep
 }
 
-// prefillTime is the time to compute n prompt tokens by the endpoint's own claim.
+// prefillTime returns the time to compute n prompt tokens at the speed that the endpoint reports.
 func (e *endpointState) prefillTime(n int) time.Duration {
 	per := e.report.PrefillPerStep
 	if per <= 0 {
@@ -113,7 +115,7 @@
 	return time.Duration(float64(e.step()) * float64(n) / float64(per))
 }
 
-// slots is the number of requests that run at once.
+// slots returns the number of requests that run at once.
 func (e *endpointState) slots() int {
 	switch {
 	case e.report.Slots > 0:
@@ -124,7 +126,7 @@
 	return defaultSlots
 }
 
-// recordLoad keeps a sample of the own load.
+// recordLoad stores a sample of the own load.
 func (e *endpointState) recordLoad(now time.Duration) {
 	prefill := 0
 	for _, p := range e.ownPrefill {
@@ -134,7 +136,7 @@
 	e.nextSample++
 }
 
-// ownLoadAt returns the own load at an earlier time, as far back as samples go.
+// ownLoadAt returns the own load at an earlier time, or the oldest sample kept.
 func (e *endpointState) ownLoadAt(at time.Duration) loadSample {
 	n := min(e.nextSample, sampleCount)
 	for i := 1; i <= n; i++ {
@@ -149,7 +151,7 @@
 	return loadSample{}
 }
 
-// applyReport accepts a report and works out what others have there.
+// applyReport stores a report and derives the load of other hosts from it.
 func (e *endpointState) applyReport(now time.Duration, rep Report) {
 	if e.hasReport && rep.At < e.report.At {
 		return
@@ -166,11 +168,11 @@
 	}
 }
 
-// addRequest counts a dispatch.
+// addRequest records a dispatch.
 func (e *endpointState) addRequest(now time.Duration, r *Request) {
 	e.health.Begin(now)
 	e.own++
-	e.sent++
+	e.dispatches++
 	if r.long {
 		e.ownLong++
 	}
@@ -179,13 +181,13 @@
 	e.recordLoad(now)
 }
 
-// finishPrefill counts the end of a request's prompt work.
+// finishPrefill records the end of a request's prompt computation.
 func (e *endpointState) finishPrefill(now time.Duration, r *Request) {
 	e.ownPrefill[r.rank()] -= r.PromptTokens
 	e.recordLoad(now)
 }
 
-// removeRequest counts the end of a request.
+// removeRequest records the end of a request.
 func (e *endpointState) removeRequest(now time.Duration, r *Request) {
 	e.health.Inconclusive()
 	e.own--
@@ -209,7 +211,7 @@
 	e.recordLoad(now)
 }
 
-// HasReport reports whether an endpoint has ever given an account of itself.
+// HasReport reports whether a report of the endpoint has arrived.
 func (s *Scheduler) HasReport(name string) bool {
 	e := s.byName[name]
 	return e != nil && e.hasReport
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -10,33 +10,33 @@
 type CandidateLog struct {
 	// Endpoint is its name.
 	Endpoint string `json:"endpoint"`
-	// Cached is the prompt tokens that it was taken to hold.
+	// Cached is the number of prompt tokens assumed to be in its cache.
 	Cached int `json:"cached_tokens"`
-	// FirstToken and Whole are the predicted times to the first token and the end.
+	// FirstToken and Completion are the predicted times to the first token and the end.
 	FirstToken time.Duration `json:"first_ns"`
 	Completion time.Duration `json:"whole_ns"`
 }
 
-// DecisionLog tells how a request was decided.
+// DecisionLog describes a decision on a request.
 type DecisionLog struct {
-	// ID, Workspace, Service and Tier name the request.
+	// ID, Workspace, Service and Tier identify the request.
 	ID        string `json:"id"`
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Tier      string `json:"tier"`
-	// At is when, since the host's start.
+	// At is the time of the decision, since the host's start.
 	At time.Duration `json:"at_ns"`
 	// Verdict is "run", "wait" or "refuse"; Reason explains a refusal.
 	Verdict string `json:"verdict"`
 	Reason  Reason `json:"reason,omitempty"`
-	// Endpoint is the one chosen, and ImportFrom the one whose cache moves there.
+	// Endpoint is the chosen endpoint, and ImportFrom the one whose KV cache is transferred to it.
 	Endpoint   string `json:"endpoint,omitempty"`
 	ImportFrom string `json:"import_from,omitempty"`
 	// Candidates are at most maxCandidates endpoints that had room.
 	Candidates []CandidateLog `json:"candidates,omitempty"`
 }
 
-// logEntry is a decision in the ring, of fixed size.
+// logEntry is a decision in the ring buffer, of fixed size.
 type logEntry struct {
 	id        string
 	names     requestNames
@@ -47,13 +47,13 @@
 	filled    bool
 }
 
-// requestNames are the names shown for a decision.
+// requestNames are the names that identify a request in the log.
 type requestNames struct{ workspace, service, tier string }
 
-// logSize is the number of decisions remembered on a host.
+// logSize is the number of decisions kept on a host.
 const logSize = 512
 
-// logDecision notes a decision.
+// logDecision stores a decision and overwrites the oldest one.
 func (s *Scheduler) logDecision(now time.Duration, d Decision, cands []candidate) {
 	e := &s.log[s.logNext%logSize]
 	s.logNext++
@@ -63,7 +63,7 @@
 	e.candCount = copy(e.cands[:], cands)
 }
 
-// Explain returns the remembered decisions on a request, oldest first.
+// Explain returns the stored decisions on a request, oldest first.
 func (s *Scheduler) Explain(id string) []DecisionLog {
 	var out []DecisionLog
 	for i := range logSize {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// export gives an entry in the form that is shown.
+// export converts an entry to a DecisionLog.
 func (e *logEntry) export() DecisionLog {
 	l := DecisionLog{
 		ID: e.id, Workspace: e.names.workspace, Service: e.names.service, Tier: e.names.tier, At: e.at,
--- a/sched/floor.go
+++ b/sched/floor.go
@@ -6,19 +6,19 @@
 
 import "time"
 
-// floor is the lowest tier that is taken in a pool after a higher one was
-// refused for lack of capacity.
+// floor is the lowest tier that a pool accepts after a request was refused for lack of capacity.
 type floor struct {
 	rank  int
 	until time.Duration
 }
 
-// excludes reports whether the floor keeps a tier out.
+// excludes reports whether the floor excludes a tier.
 func (f *floor) excludes(now time.Duration, rank int) bool {
 	return now < f.until && rank > f.rank
 }
 
-// lower sets the floor at a tier that was refused now or at an earlier time.
+// lower sets the floor to a tier that was refused, in force until the given time, unless a lower
+// floor is in force.
 func (f *floor) lower(now time.Duration, rank int, until time.Duration) {
 	if now >= f.until || rank < f.rank {
 		f.rank, f.until = rank, until
@@ -29,16 +29,16 @@
 	}
 }
 
-// FloorState is a floor as hosts tell each other.
+// FloorState is a floor as hosts report it to each other.
 type FloorState struct {
-	// Pool is the pool's key and Rank the lowest tier taken.
+	// Pool is the pool's key and Rank the lowest tier accepted.
 	Pool uint64
 	Rank int
 	// Age is the time since the refusal that set it.
 	Age time.Duration
 }
 
-// maxFloors bounds the floors told.
+// maxFloors limits the floors reported.
 const maxFloors = 8
 
 // Floors returns the floors in force, at most maxFloors.
@@ -53,7 +53,7 @@
 	return out
 }
 
-// SetFloor takes a floor of another host.
+// SetFloor applies a floor reported by another host.
 func (s *Scheduler) SetFloor(now time.Duration, f FloorState) {
 	p := s.pools[f.Pool]
 	until := now + s.cfg.FloorDuration - f.Age
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -12,32 +12,35 @@
 	"github.com/heathkeel/heathkeel/places"
 )
 
-// In large fleets one host owns the places of an endpoint and gives them, see package places. While places are scarce a
-// host then fills one only by a grant; where no owner answers, it goes on by claims.
+// In large fleets one host owns the slots of an endpoint and grants them; see package places.
+// While slots are scarce, a host then fills one only with a grant. Where the owner does not
+// answer, the host falls back to claims.
 
 const (
-	// endpointsAskedPerRequest is the number of endpoints that are asked for a place for each request that waits: with one, a
-	// request waits for that endpoint's next free place; with many, most places that are granted are given back.
+	// endpointsAskedPerRequest is the number of endpoints whose owners are asked for a slot for
+	// each waiting request. With one, a request waits for the next free slot of that endpoint;
+	// with many, most granted slots are returned.
 	endpointsAskedPerRequest = 6
-	// maxAskedRequests bounds the requests for which is asked at a time.
+	// maxAskedRequests limits the requests for which slots are requested at a time.
 	maxAskedRequests = 4
-	// ownerTTL is the time after an owner's answer in which a host relies on owners: several of its asks.
+	// ownerTTL is the time after an owner's answer for which a host relies on owners: several
+	// times the interval between its requests to them.
 	ownerTTL = 300 * time.Millisecond
-	// ownerTimeout is the time without an answer of an endpoint's owner after which the host goes on by claims there: three asks.
-	// A host that has died is known to have after 0.7 s and more.
+	// ownerTimeout is the time without an answer of an endpoint's owner after which the host falls
+	// back to claims there: three requests. A failed host is detected only after 0.7 s or more.
 	ownerTimeout = 150 * time.Millisecond
-	// grantTTL is the time in which a granted place may be taken, well within the time after which its owner gives it to
-	// another host.
+	// grantTTL is the time for which a granted slot may be taken. It is well below the time after
+	// which the owner grants the slot to another host.
 	grantTTL = 50 * time.Millisecond
-	// ownerReportTTL is the time for which what an owner told of other hosts' requests is better than what comes by way of
-	// relays.
+	// ownerReportTTL is the time for which an owner's count of other hosts' requests is preferred
+	// to what arrives through relays.
 	ownerReportTTL = 400 * time.Millisecond
-	// askJitter is the part of an endpoint's places by which its load is blurred in the choice whom to ask, so that hosts with the
-	// same news do not all ask the same.
+	// askJitter is the random part of an endpoint's load in the choice of owners to ask, as a
+	// share of its slots, so that hosts with the same information do not all ask the same owners.
 	askJitter = 0.5
 )
 
-// ownerAnswers reports whether owners of places answer, and that of an endpoint does.
+// ownerAnswers reports whether slot owners answer, and the owner of this endpoint does.
 func (s *Scheduler) ownerAnswers(now time.Duration, e *endpointState) bool {
 	if s.lastOwnerAnswer == 0 || now-s.lastOwnerAnswer >= ownerTTL {
 		return false
@@ -45,7 +48,7 @@
 	return e.unansweredSince == 0 || now-e.unansweredSince < ownerTimeout
 }
 
-// recordAsk notes that the owner of an endpoint's places is asked, and since when without an answer.
+// recordAsk records a request to the owner of an endpoint's slots.
 func (e *endpointState) recordAsk(now time.Duration) {
 	if e.unansweredSince == 0 || now-e.lastAskedAt > ownerTimeout {
 		e.unansweredSince = max(now, 1)
@@ -53,7 +56,8 @@
 	e.lastAskedAt = now
 }
 
-// SlotRequests names the endpoints at which this host wants a place, and the highest tier for which.
+// SlotRequests returns the endpoints at which this host wants a slot, each with the highest tier
+// for which it wants one, and records that their owners are asked.
 func (s *Scheduler) SlotRequests(now time.Duration) map[string]int {
 	out := make(map[string]int)
 	for _, p := range s.pools {
@@ -72,8 +76,9 @@
 	return out
 }
 
-// endpointsToAsk picks the endpoints of a pool to ask: those with most room as far as is known, near ones first as in the choice.
-// Without that, words between zones cost 0.011 of the worth of a day at 63 hosts.
+// endpointsToAsk returns the n endpoints of a pool with the lowest known load, where endpoints in
+// other zones count as more loaded, as in the choice of an endpoint. Without that, messages
+// between zones cost 0.011 of the value of a simulated day at 63 hosts.
 func (s *Scheduler) endpointsToAsk(now time.Duration, p *pool, n int) []*endpointState {
 	type ranked struct {
 		e    *endpointState
@@ -97,7 +102,8 @@
 	return out
 }
 
-// ApplyGrant takes what the owner of an endpoint's places answers, and reports whether a place that was granted is of use.
+// ApplyGrant applies an answer of the owner of an endpoint's slots. It reports whether a granted
+// slot is useful; if not, it is to be returned.
 func (s *Scheduler) ApplyGrant(now time.Duration, name string, g places.Grant) bool {
 	s.lastOwnerAnswer = max(now, 1)
 	e := s.byName[name]
@@ -118,7 +124,8 @@
 	return false
 }
 
-// TierLimit gives the number of requests up to which a tier may fill an endpoint.
+// TierLimit returns a function that gives the number of requests up to which a tier may fill an
+// endpoint.
 func (s *Scheduler) TierLimit(now time.Duration, name string) func(rank int) int {
 	e := s.byName[name]
 	if e == nil || !e.available(now) {
@@ -127,7 +134,7 @@
 	return func(rank int) int { return int(s.slotLimit(rank, e)) }
 }
 
-// InFlight is the number of this host's requests at an endpoint.
+// InFlight returns the number of this host's requests at an endpoint.
 func (s *Scheduler) InFlight(name string) int {
 	if e := s.byName[name]; e != nil {
 		return e.own
--- a/sched/health.go
+++ b/sched/health.go
@@ -10,20 +10,23 @@
 	"github.com/heathkeel/heathkeel/outlier"
 )
 
-// Endpoints that fail their requests are left alone for a time, see package outlier: a failure that comes at once makes
-// an endpoint look idle, so that it would draw more requests than any other. What of that holds for a pool as a
-// whole is decided here.
+// Endpoints that fail requests get no new ones for some time; see package outlier. An endpoint
+// that fails immediately looks idle, so it would otherwise attract more requests than any other.
+// The rules here are those that concern a pool as a whole.
 
 const (
-	// panicThreshold is the part of a pool's endpoints that must be sound for ejections to count: if half of them fail, what
-	// fails is probably not the endpoints, and the others could not carry the load.
+	// panicThreshold is the share of a pool's endpoints that must be healthy for ejections to
+	// count. If fewer are, the cause is probably not the endpoints, and the remaining ones could
+	// not carry the load.
 	panicThreshold = 0.5
-	// maxProbers is the number of hosts that together may send a request to an endpoint that others have found failing, at
-	// about the same moment: each does so with a chance of this number over that of the hosts.
+	// maxProbers is the expected number of hosts that probe an endpoint that others have found
+	// failing at about the same moment: each host probes with a probability of maxProbers over the
+	// number of hosts.
 	maxProbers = 4
 )
 
-// Failed notes that the endpoint of a dispatched request failed it; call it before Done or Again.
+// Failed records that the endpoint of a dispatched request failed; call it before Done or
+// Redispatch.
 func (s *Scheduler) Failed(now time.Duration, r *Request, f outlier.Failure) {
 	if r.dispatchedTo == nil {
 		return
@@ -34,21 +37,22 @@
 	s.updatePanicMode(now)
 }
 
-// Answered notes the first sign of an answer to a dispatched request.
+// Answered records the first sign of an answer to a dispatched request.
 func (s *Scheduler) Answered(r *Request) {
 	if r.dispatchedTo != nil {
 		r.dispatchedTo.health.AnswerStarted()
 	}
 }
 
-// BackOff leaves the endpoint of a dispatched request alone for a time in which it is known to be of no use.
-func (s *Scheduler) BackOff(now time.Duration, r *Request, hold time.Duration) {
+// BackOff sends no new requests to the endpoint of a dispatched request for the given time, in
+// which it is known to be unavailable.
+func (s *Scheduler) BackOff(now time.Duration, r *Request, backoff time.Duration) {
 	if r.dispatchedTo != nil {
-		r.dispatchedTo.downUntil = max(r.dispatchedTo.downUntil, now+hold)
+		r.dispatchedTo.downUntil = max(r.dispatchedTo.downUntil, now+backoff)
 	}
 }
 
-// Evidence is what this host tells others of an endpoint's latest outcomes.
+// Evidence returns what this host reports to others about an endpoint's recent outcomes.
 func (s *Scheduler) Evidence(now time.Duration, name string) outlier.Evidence {
 	if e := s.byName[name]; e != nil {
 		return e.health.LocalEvidence(now)
@@ -56,17 +60,17 @@
 	return outlier.Evidence{}
 }
 
-// ApplyPeerEvidence takes the sum of what other hosts tell of an endpoint.
+// ApplyPeerEvidence applies the sum of what other hosts report about an endpoint.
 func (s *Scheduler) ApplyPeerEvidence(now time.Duration, name string, ev outlier.Evidence) {
 	if e := s.byName[name]; e != nil {
 		e.health.SetPeerEvidence(now, ev)
 	}
 }
 
-// Ejections counts the times at which this host ejected an endpoint for failures of its own requests.
+// Ejections returns how often this host has ejected an endpoint for failures of its own requests.
 func (s *Scheduler) Ejections() int { return s.ejections }
 
-// Ejected counts the endpoints that get no work now because they fail.
+// Ejected returns the number of endpoints that are ejected now.
 func (s *Scheduler) Ejected(now time.Duration) int {
 	n := 0
 	for _, e := range s.endpoints {
@@ -77,7 +81,8 @@
 	return n
 }
 
-// updatePanicMode looks in which pools too few endpoints are left for ejections to count.
+// updatePanicMode determines the pools in which too few endpoints are healthy for ejections to
+// count.
 func (s *Scheduler) updatePanicMode(now time.Duration) {
 	for _, p := range s.pools {
 		total, healthy := 0, 0
@@ -94,18 +99,19 @@
 	}
 }
 
-// available reports whether an endpoint takes new work, as far as is known from all but its failures.
+// available reports whether an endpoint accepts new requests, regardless of its failures.
 func (e *endpointState) available(now time.Duration) bool {
 	return e.present && !e.Leaving && now >= e.downUntil
 }
 
-// usable reports whether an endpoint of a pool may get new work now.
+// usable reports whether an endpoint of a pool may get new requests now.
 func (p *pool) usable(now time.Duration, e *endpointState) bool {
 	return e.available(now) && (p.panicMode || e.health.State(now) != outlier.Open)
 }
 
-// risk is the part of its worth that a request is expected to lose at an endpoint that fails some. A probe of one that is
-// half open is to be sent while others have room, too, or it would not be used again until they have none.
+// risk returns the expected share of a request's value that is lost to failures of an endpoint. A
+// probe of a half-open endpoint has no risk; otherwise the endpoint would get none while other
+// endpoints have room.
 func (s *Scheduler) risk(now time.Duration, r *Request, e *endpointState) float64 {
 	if r.Settings.Repeatable && e.health.State(now) == outlier.HalfOpen && !r.pool.panicMode {
 		return 0
@@ -113,8 +119,9 @@
 	return e.health.FailureRatio(now)
 }
 
-// healthAdmits reports whether a request may be risked at an endpoint that may have failed others lately. One that has run
-// and for which nothing better has come is: its caller has an answer in part, or has waited for one.
+// healthAdmits reports whether a request may go to an endpoint in spite of recent failures. The
+// last chance of a request that was dispatched before needs only an available endpoint, since its
+// caller has part of an answer or has waited for one.
 func (s *Scheduler) healthAdmits(now time.Duration, r *Request, e *endpointState) bool {
 	if r.pool.panicMode || (r.lastChance && r.rationExempt) {
 		return e.available(now)
--- a/sched/hidden.go
+++ b/sched/hidden.go
@@ -6,22 +6,22 @@
 
 import "time"
 
-// Figures of the doubt about hosts that are not heard.
+// Parameters of the estimate for silent hosts.
 const (
-	// silentGain is the weight of an observation.
+	// silentGain is the weight of a new observation.
 	silentGain = 0.1
-	// silentLateness is the delay of a first token against its prediction, as a part of the
-	// aim, from which it is taken to have waited behind requests that were not known.
+	// silentLateness is the delay of a first token beyond its prediction, as a share of the
+	// objective, from which the request is assumed to have waited behind unknown requests.
 	silentLateness = 0.25
 )
 
-// SetSilentPeers takes the number of hosts that may be serving and are not heard.
+// SetSilentPeers sets the number of hosts that may be serving but send no heartbeats to this host.
 //
-// A host that hears only some of the others, or none, would take endpoints for idle that
-// those fill. It cannot know whether they serve on. So it takes each of them to have as many
-// requests as it has itself, evenly over the endpoints of a service, at first surely,
-// and then as far as its own first tokens bear that out: those that come as fast as was
-// predicted without the unheard hosts speak against them, those that wait speak for them.
+// A host that hears only some of the others, or none, would consider endpoints idle that the
+// silent hosts fill. It cannot know whether they still serve. It therefore assumes that each of
+// them has as many requests as it has itself, spread evenly over the endpoints of a pool. At first
+// this estimate has its full weight; later the weight follows the host's own first tokens. First
+// tokens that arrive as predicted without the silent hosts lower it, and late ones raise it.
 func (s *Scheduler) SetSilentPeers(n int) {
 	if n > s.silentPeers {
 		for _, p := range s.pools {
@@ -31,8 +31,7 @@
 	s.silentPeers = n
 }
 
-// silentLoad is the number of requests that the hosts which are not heard are taken to have at
-// each endpoint of a pool.
+// silentLoad returns the assumed number of requests of silent hosts at each endpoint of a pool.
 func (s *Scheduler) silentLoad(p *pool) float64 {
 	if s.silentPeers == 0 || s.cfg.Disabled.SilentPeers || len(p.members) == 0 {
 		return 0
@@ -44,7 +43,7 @@
 	return p.silentActivity * float64(s.silentPeers) * float64(own) / float64(len(p.members))
 }
 
-// observeSilentPeers learns from a first token whether the hosts that are not heard serve on.
+// observeSilentPeers updates from a first token the estimate of whether silent hosts still serve.
 func (s *Scheduler) observeSilentPeers(now time.Duration, r *Request) {
 	if s.silentPeers == 0 || r.Objective.FirstToken <= 0 {
 		return
--- a/sched/length.go
+++ b/sched/length.go
@@ -6,28 +6,26 @@
 
 import "math"
 
-// defaultOutput is the answer's length in tokens that is assumed before any was seen.
+// defaultOutput is the assumed length of an answer, in tokens, before any was observed.
 const defaultOutput = 64
 
-// lengthGain is the weight of a new length.
+// lengthGain is the weight of a new observation.
 const lengthGain = 0.1
 
-// lengthEstimate estimates the answers of one service: mean and mean deviation, as in
-// the estimate of round-trip times [Jacobson, "Congestion avoidance and
-// control", 1988].
+// lengthEstimate estimates the length of a service's answers by mean and mean deviation, as in the
+// estimate of round-trip times [Jacobson, "Congestion avoidance and control", 1988].
 type lengthEstimate struct{ mean, dev float64 }
 
-// lengthKey names a service.
+// lengthKey identifies a service.
 type lengthKey struct{ workspace, service string }
 
 // lengths holds the estimates of all services.
 type lengths map[lengthKey]*lengthEstimate
 
-// maxLengths bounds the services remembered.
+// maxLengths limits the services kept.
 const maxLengths = 1 << 15
 
-// expected returns the expected number of tokens of an answer: mean plus deviation,
-// at most limit.
+// expected returns the expected number of tokens of an answer, mean plus deviation, at most limit.
 func (l lengths) expected(k lengthKey, limit int) int {
 	x := l[k]
 	if x == nil {
@@ -36,7 +34,7 @@
 	return max(1, min(limit, int(x.mean+x.dev)))
 }
 
-// observe takes the length of a whole answer.
+// observe updates the estimate with the length of a whole answer.
 func (l lengths) observe(k lengthKey, tokens int) {
 	x := l[k]
 	if x == nil {
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -12,11 +12,11 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// epoch turns times since the start into the instants that the rate library wants.
+// epoch converts times since the start to the time.Time values of package rate.
 var epoch = time.Unix(0, 0)
 
-// scopeLimit holds the rate and concurrency of one scope on this host. A scope's
-// limit is divided by the number of hosts that serve its workspace.
+// scopeLimit is the rate and concurrency of one scope on this host. A scope's limit is divided by
+// the number of hosts that serve its workspace.
 type scopeLimit struct {
 	rate        *rate.Limiter
 	running     int
@@ -29,7 +29,7 @@
 	budgets map[string]*budget
 }
 
-// newLimits returns limits under which nothing has run yet.
+// newLimits returns unused limits.
 func newLimits() limits {
 	return limits{scopes: make(map[string]*scopeLimit), budgets: make(map[string]*budget)}
 }
@@ -37,17 +37,17 @@
 // budget is a workspace's credit for retries.
 type budget struct{ credit float64 }
 
-// Figures of the retry budget.
+// Parameters of rate limits and retry budgets.
 const (
 	// budgetBurst is the largest credit, in retries.
 	budgetBurst = 10
-	// rateBurst is the time whose requests a rate limit lets through at once.
+	// rateBurst is the burst of a rate limit, in seconds of its rate.
 	rateBurst = 0.5
-	// maxBudgets bounds the budgets remembered; scopes are as many as settings declare.
+	// maxBudgets limits the budgets kept; the number of scopes is limited by the settings.
 	maxBudgets = 1 << 15
 )
 
-// scope returns the limit of a scope.
+// scope returns the limit of a scope and creates it if needed.
 func (l *limits) scope(name string) *scopeLimit {
 	x := l.scopes[name]
 	if x == nil {
@@ -57,8 +57,8 @@
 	return x
 }
 
-// takeRate reports whether the rate of the request's scope lets it through, and
-// if not, after what time one would be.
+// takeRate reports whether the rate limit of the request's scope admits it, and if not, after what
+// time it would.
 func (l *limits) takeRate(now time.Duration, e *settings.Effective, hosts int) (bool, time.Duration) {
 	if e.Rate == 0 {
 		return true, 0
@@ -91,15 +91,15 @@
 	return true
 }
 
-// release counts the end of a request that enter let in.
+// release ends a request that acquire counted.
 func (l *limits) release(e *settings.Effective) {
 	if e.Concurrency != 0 {
 		l.scope(e.ConcurrencyScope).running--
 	}
 }
 
-// takeRetry earns credit with a first try and spends it with a retry; it
-// reports whether the request may go on.
+// takeRetry adds credit for a first attempt and spends it for a retry. It reports whether the
+// request may proceed.
 func (l *limits) takeRetry(e *settings.Effective, retry bool) bool {
 	b := l.budgets[e.Workspace]
 	if b == nil {
--- a/sched/order.go
+++ b/sched/order.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// Submit decides a new request, in this order: limits that operators set, the
-// retry budget, whether anything could serve it, the shedding floor, room at an
-// endpoint, whether waiting can end in time, and room to wait.
+// Submit decides a new request. It checks, in this order: the rate limits set by operators, the
+// retry budget, whether any endpoint could serve the request, the shedding floor, whether it can
+// meet its deadline, room at an endpoint, the tier's ration, and room in the queue.
 func (s *Scheduler) Submit(now time.Duration, r *Request) Decision {
 	r.pool = s.poolOf(r)
 	r.pool.arrivals.add()
@@ -26,7 +26,7 @@
 	return s.admit(now, r)
 }
 
-// admit runs a request, lets it wait, or refuses it.
+// admit runs, queues or refuses a request.
 func (s *Scheduler) admit(now time.Duration, r *Request) Decision {
 	if r.pool.floor.excludes(now, r.rank()) {
 		return s.refuse(now, r, ReasonFloor, r.pool.floor.until-now)
@@ -52,8 +52,8 @@
 	return d
 }
 
-// awaitsReport reports whether an engine that might serve the request has not given
-// an account of itself yet, as after a start: then the request waits.
+// awaitsReport reports whether an engine that might serve the request has not reported yet, as
+// after a start; the request then waits.
 func (s *Scheduler) awaitsReport(r *Request) bool {
 	if r.Model == "" {
 		return false
@@ -66,7 +66,7 @@
 	return false
 }
 
-// estimate sets cost and expected length of a request.
+// estimate sets the cost and the expected output of a request.
 func (s *Scheduler) estimate(r *Request) {
 	r.expectedOutput = s.lengths.expected(lengthKey{r.Settings.Workspace, r.Settings.Service}, max(1, r.MaxTokens))
 	if r.ExpectedTokens > 0 {
@@ -84,7 +84,7 @@
 	p.meanCost += 0.01 * (r.cost - p.meanCost)
 }
 
-// hosts is the number of hosts that share a workspace's limits.
+// hosts returns the number of hosts that share a workspace's limits.
 func (s *Scheduler) hosts(r *Request) int {
 	if s.Hosts == nil {
 		return 1
@@ -92,8 +92,8 @@
 	return max(1, s.Hosts(r.Settings.Workspace))
 }
 
-// mustQueue reports whether a request of the same or a higher tier waits already;
-// a new one then waits behind it.
+// mustQueue reports whether a request of the same or a higher tier already waits; a new request
+// then waits behind it.
 func (s *Scheduler) mustQueue(r *Request) bool {
 	for k := 0; k <= r.rank(); k++ {
 		if r.pool.tiers[k].waiting > 0 {
@@ -142,11 +142,11 @@
 	return d
 }
 
-// minRetryAfter is the least time after which a caller is told to come back.
+// minRetryAfter is the shortest time after which callers are asked to retry.
 const minRetryAfter = 100 * time.Millisecond
 
-// estimateWait estimates how long a request waits for room: the cost of what is served
-// before it, over this host's share of the pool's speed.
+// estimateWait estimates how long a request waits for room: the cost of the requests served before
+// it, divided by this host's share of the pool's speed.
 func (s *Scheduler) estimateWait(now time.Duration, r *Request) time.Duration {
 	ahead := 0.0
 	for k := 0; k < r.rank(); k++ {
@@ -156,7 +156,7 @@
 	if ahead == 0 {
 		return 0
 	}
-	stepRate := 0.0 // of all slots, a second
+	stepRate := 0.0 // of all slots together, per second
 	for _, e := range r.pool.members {
 		if r.pool.usable(now, e) {
 			stepRate += float64(e.slots()) / (e.step().Seconds() * s.slowness(now, e))
@@ -169,7 +169,8 @@
 	return time.Duration(ahead / share * float64(time.Second))
 }
 
-// minIdleCompletion is the shortest time to a whole answer at any endpoint, were it idle.
+// minIdleCompletion returns the shortest time to the end of the answer among the pool's endpoints
+// if they were idle.
 func (s *Scheduler) minIdleCompletion(now time.Duration, r *Request) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for _, e := range r.pool.members {
@@ -178,7 +179,7 @@
 	return least
 }
 
-// cannotMeetDeadline reports whether a request that comes now cannot end in time.
+// cannotMeetDeadline reports whether a request that arrives now cannot end in time.
 func (s *Scheduler) cannotMeetDeadline(now time.Duration, r *Request) bool {
 	if s.cfg.Disabled.EarlyRefusal || len(r.pool.members) == 0 {
 		return false
@@ -187,8 +188,8 @@
 	return now+wait+s.minIdleCompletion(now, r) > r.Deadline
 }
 
-// dispatchLastChance dispatches a request that has waited as long as it may to the best
-// endpoint that admits it, although little may be earned there.
+// dispatchLastChance dispatches a request at its queue deadline to the best endpoint that admits
+// it, even if the expected value there is low.
 func (s *Scheduler) dispatchLastChance(now time.Duration, r *Request) (Decision, bool) {
 	if now >= r.Deadline {
 		return Decision{}, false
@@ -201,11 +202,11 @@
 	return d, ok
 }
 
-// maxPassing bounds the requests looked at behind one that fits no endpoint now.
+// maxPassing limits the requests tried behind one that fits no endpoint now.
 const maxPassing = 16
 
-// dispatchPassing dispatches requests behind one that fits no endpoint now, in order of
-// arrival: an endpoint with room for a short prompt may have none for a long one.
+// dispatchPassing dispatches requests behind one that fits no endpoint now, in order of arrival:
+// an endpoint may have room for a short prompt but not for a long one.
 func (s *Scheduler) dispatchPassing(now time.Duration, q *tierQueue, out []Decision) []Decision {
 	n := 0
 	for at := q.arrival.Front(); at != nil && n < maxPassing; n++ {
@@ -219,14 +220,14 @@
 	return out
 }
 
-// tooLate reports whether a request that waited is not likely to end in time any
-// more; running it would only take room from others.
+// tooLate reports whether a waiting request is no longer likely to end in time; running it would
+// only take room from others.
 func (s *Scheduler) tooLate(now time.Duration, r *Request) bool {
 	return !s.cfg.Disabled.EarlyRefusal && now+s.meanIdleCompletion(now, r) > r.Deadline
 }
 
-// meanIdleCompletion is the time to a whole answer at an endpoint of the pool taken at
-// random by its slots, were it idle.
+// meanIdleCompletion returns the mean time to the end of the answer over the pool's slots if the
+// endpoints were idle.
 func (s *Scheduler) meanIdleCompletion(now time.Duration, r *Request) time.Duration {
 	sum, slots := 0.0, 0.0
 	for _, e := range r.pool.members {
@@ -243,7 +244,7 @@
 	return time.Duration(sum / slots)
 }
 
-// idleCompletion is the time to a whole answer at an endpoint, were it idle.
+// idleCompletion returns the time to the end of the answer at an endpoint if it were idle.
 func (s *Scheduler) idleCompletion(r *Request, e *endpointState) time.Duration {
 	if !e.Engine {
 		return e.step()
@@ -251,8 +252,8 @@
 	return e.prefillTime(r.PromptTokens) + time.Duration(r.expectedOutput)*e.step()
 }
 
-// makeQueueRoom bounds what waits: the workspace's own bound first, then the host's,
-// dropping the newest request of the lowest tier below r's, or refusing r.
+// makeQueueRoom applies the queue limits, first the workspace's, then the host's. If the host's
+// queue is full, it sheds the newest request of the lowest tier below r's, or else refuses r.
 func (s *Scheduler) makeQueueRoom(now time.Duration, r *Request) (Decision, bool) {
 	if s.waitingByWorkspace[r.Settings.Workspace] >= r.Settings.Queue {
 		return s.refuse(now, r, ReasonQueueFull, s.estimateWait(now, r)), false
@@ -285,8 +286,8 @@
 	return nil
 }
 
-// Poll returns the decisions on waiting requests that are due now: those shed,
-// those whose deadline passed and those that can run.
+// Poll returns the decisions on waiting requests that can be made now: requests that were shed,
+// that reached their deadline or that can run.
 func (s *Scheduler) Poll(now time.Duration) []Decision {
 	out := s.pending
 	s.pending = nil
@@ -308,9 +309,9 @@
 	return out
 }
 
-// dispatchWaiting dispatches what can run of one pool, the highest tier first. A tier
-// whose head finds no room stops those below it, unless the head is long: then
-// shorter ones behind it may pass.
+// dispatchWaiting dispatches the waiting requests of a pool that can run, highest tier first.
+// A tier whose head finds no room blocks the tiers below it, unless the head is long or has an
+// objective. Behind a head with an objective, later requests of its tier are tried as well.
 func (s *Scheduler) dispatchWaiting(now time.Duration, p *pool, out []Decision) []Decision {
 	for rank := 0; rank < maxRanks; rank++ {
 		q := &p.tiers[rank]
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -12,8 +12,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// pool is a set of endpoints that the same requests may go to, with the
-// requests that wait for it.
+// pool is a set of endpoints that the same requests may go to, with the requests that wait for
+// them.
 type pool struct {
 	key     uint64
 	names   []string
@@ -21,25 +21,25 @@
 	members []*endpointState
 	tiers   [maxRanks]tierQueue
 	waiting int
-	// arrivals is the rate of requests of this host, and scarce says that places may be
-	// filled by right only; see DrawClaims.
+	// arrivals is the rate of requests at this host; scarce says that a slot may be filled only
+	// with a claim, a grant or a vacated slot; see DrawClaims.
 	arrivals       arrivals
 	scarce         bool
-	silentActivity float64 // how far unheard hosts are taken to serve on, 0 to 1
-	meanCost       float64 // mean cost of a request, in steps
+	silentActivity float64 // estimated probability that silent hosts still serve
+	meanCost       float64 // of a request, in steps
 	floor          floor
 	rations        [maxRanks]ration
 	dirty          bool
 	panicMode      bool // so many endpoints fail that ejections do not count
 }
 
-// poolCacheKey finds the pool of a request quickly.
+// poolCacheKey identifies a request's pool without hashing its endpoints.
 type poolCacheKey struct {
 	settings *settings.Effective
 	model    string
 }
 
-// maxPoolCache bounds the cache of poolRefs.
+// maxPoolCache limits the cache of pools.
 const maxPoolCache = 1 << 15
 
 // poolOf returns the pool of a request.
@@ -62,7 +62,8 @@
 	return p
 }
 
-// PoolKey identifies a pool on every host: the permitted endpoints and the model.
+// PoolKey returns the key that identifies a pool on every host: a hash of the permitted endpoints
+// and the model.
 func PoolKey(endpoints []string, model string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(model)
@@ -94,7 +95,7 @@
 	return e.Engine && e.report.Model == p.model && e.report.AcceptsPrompts
 }
 
-// refreshMembers sets the members of all pools, after endpoints or what they hold changed.
+// refreshMembers sets the members of all pools after endpoints or their models have changed.
 func (s *Scheduler) refreshMembers() {
 	for _, p := range s.pools {
 		s.setMembers(p)
--- a/sched/predict.go
+++ b/sched/predict.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// load estimates the requests at an endpoint: the own ones, the others' of the
-// last report fading with its age, and what others may have sent since.
+// load estimates the number of requests at an endpoint: this host's own, the other hosts' from the
+// last report, weighted by its age, and those that other hosts may have sent since.
 func (s *Scheduler) load(now time.Duration, e *endpointState) float64 {
 	weight := s.reportWeight(now, e)
 	n := float64(e.own) + weight*float64(e.others)
@@ -18,7 +18,7 @@
 	return n
 }
 
-// reportWeight is the weight of the last report: 1 when fresh, 0 at ReportLife.
+// reportWeight returns the weight of the last report: 1 when new, 0 at ReportTTL.
 func (s *Scheduler) reportWeight(now time.Duration, e *endpointState) float64 {
 	if !e.hasReport {
 		return 0
@@ -27,9 +27,8 @@
 	return max(0, 1-age)
 }
 
-// predictFirstToken estimates the time to the first token of r at e, given the prompt
-// tokens that e need not compute. Prompt work of lower tiers is left out, since
-// engines honour priorities.
+// predictFirstToken estimates the time to the first token of r at e, which already holds the
+// cached prompt tokens. Prompts of lower tiers are left out, since engines honour priorities.
 func (s *Scheduler) predictFirstToken(now time.Duration, r *Request, e *endpointState, load float64, cached int) time.Duration {
 	ahead := s.prefillAhead(now, r, e)
 	uncached := max(1, r.PromptTokens-cached)
@@ -40,7 +39,7 @@
 	return time.Duration(float64(t) * s.slowness(now, e))
 }
 
-// serviceTime is the mean time that a request spends at e.
+// serviceTime returns the mean time that a request spends at e.
 func (s *Scheduler) serviceTime(e *endpointState) time.Duration {
 	if e.meanService > 0 {
 		return e.meanService
--- a/sched/prefix.go
+++ b/sched/prefix.go
@@ -4,20 +4,18 @@
 
 package sched
 
-// holders are endpoints that may hold a block, by index plus one; the first is
-// the latest.
+// holders are endpoints that may hold a block, by index plus one, the latest first.
 type holders [4]uint16
 
-// prefixIndex remembers which endpoints hold which prompt blocks. It is bounded:
-// two maps of at most half the blocks each, of which the older is dropped when
-// the younger is full, so that evidence that is not renewed decays.
+// prefixIndex records which endpoints hold which prompt blocks. It is bounded: it has two maps of
+// at most half the blocks each. When the younger one is full, the older one is dropped, so that
+// entries that are not renewed expire.
 type prefixIndex struct {
 	generationSize int
 	young, old     map[uint64]holders
 }
 
-// maxIndexedBlocks bounds the blocks remembered on a host; at about 40 bytes each it
-// is 5 MB.
+// maxIndexedBlocks limits the blocks in the index of a host; at about 40 bytes each, that is 5 MB.
 const maxIndexedBlocks = 1 << 17
 
 // get returns the holders of a block.
@@ -29,7 +27,7 @@
 	return h, ok
 }
 
-// add notes that an endpoint holds a block.
+// add records that an endpoint holds a block.
 func (x *prefixIndex) add(block uint64, index int) {
 	if x.young == nil || len(x.young) >= x.generationSize {
 		x.generationSize = maxIndexedBlocks / 2
@@ -51,7 +49,7 @@
 	x.young[block] = h
 }
 
-// remove notes that an endpoint evicted a block.
+// remove records that an endpoint evicted a block.
 func (x *prefixIndex) remove(block uint64, index int) {
 	for _, m := range []map[uint64]holders{x.young, x.old} {
 		h, ok := m[block]
@@ -70,18 +68,18 @@
 	}
 }
 
-// match is how many leading blocks an endpoint holds.
+// match is the number of leading blocks that an endpoint holds.
 type match struct {
 	index  uint16
 	blocks int
 }
 
-// maxMatches bounds the endpoints that a prompt is matched with.
+// maxMatches limits the endpoints matched with a prompt.
 const maxMatches = 8
 
-// lookup finds endpoints that hold leading blocks. It probes a ladder of
-// lengths, the longest first, since who holds a block holds those before it;
-// the lengths found are lower bounds.
+// lookup finds endpoints that hold leading blocks. It probes decreasing prefix lengths, since an
+// endpoint that holds a block also holds the blocks before it. It skips some lengths, so the
+// lengths found are lower bounds.
 func (x *prefixIndex) lookup(blocks []uint64, out *[maxMatches]match) int {
 	n := 0
 	for i := len(blocks); i > 0 && n < maxMatches; i = nextProbe(i) {
@@ -99,10 +97,11 @@
 	return n
 }
 
-// nextProbe is the next shorter length to probe: one less at first, then an eighth less.
+// nextProbe returns the next shorter length to probe: one less, or an eighth less from 16 blocks
+// on.
 func nextProbe(i int) int { return i - max(1, i/8) }
 
-// hasMatch reports whether an endpoint was matched already.
+// hasMatch reports whether an endpoint was already matched.
 func hasMatch(ms []match, v uint16) bool {
 	for i := range ms {
 		if ms[i].index == v {
--- a/sched/quantile.go
+++ b/sched/quantile.go
@@ -4,10 +4,10 @@
 
 package sched
 
-// Quantile follows a quantile of a stream of positive values without keeping them: it
-// moves by a part of itself, up with weight Share and down with weight 1-Share, so that
-// it rests where the part Share of the values lies below [Robbins and Monro, "A
-// stochastic approximation method", 1951]. The zero value has seen nothing.
+// Quantile estimates a quantile of a stream of positive values without storing them. Each value
+// moves the estimate by a fraction of itself, up with weight q and down with weight 1-q, so that
+// it settles where the share q of the values is lower [Robbins and Monro, "A stochastic
+// approximation method", 1951]. The zero value has seen no values.
 type Quantile struct {
 	// Value is the estimate, 0 before the first value.
 	Value float64
@@ -17,13 +17,13 @@
 
 // Gains of a Quantile.
 const (
-	// firstGain is the relative step after the first value; it falls with their number.
+	// firstGain is the relative step before it decreases with the number of values.
 	firstGain = 0.5
-	// minGain bounds it from below, so that changes are followed.
+	// minGain is the smallest relative step, so that the estimate follows changes.
 	minGain = 0.04
 )
 
-// Observe takes a value; share is the quantile wanted, in (0,1).
+// Observe adds a value; share is the wanted quantile, in (0,1).
 func (q *Quantile) Observe(x, share float64) {
 	if x <= 0 {
 		return
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -9,49 +9,49 @@
 	"container/list"
 )
 
-// flow is the waiting requests of one workspace in one tier of one pool. Inside
-// it, services take turns by their own virtual time, so that a workspace's long
-// contracts do not stand before its one-line lookups.
+// flow holds the waiting requests of one workspace in one tier of one pool. Within it, services
+// take turns by their own virtual time, so that long contracts of a workspace do not delay its
+// one-line lookups.
 type flow struct {
 	workspace   string
 	weight      float64
 	virtualTime float64
 	services    []*serviceQueue
 	waiting     int
-	cost        float64 // of what waits
+	cost        float64 // of the waiting requests
 	heapIndex   int
 }
 
-// serviceQueue is the waiting requests of one service, in order of arrival.
+// serviceQueue holds the waiting requests of one service, in order of arrival.
 type serviceQueue struct {
 	name        string
 	virtualTime float64
 	queue       list.List
 }
 
-// tierQueue orders the flows of one tier by start-time fair queueing [Goyal,
-// Vin and Cheng, "Start-time fair queueing", 1996]: the flow with the least
-// virtual time goes first, and pays cost/weight.
+// tierQueue orders the flows of one tier by start-time fair queueing [Goyal, Vin and Cheng,
+// "Start-time fair queueing", 1996]: the flow with the least virtual time is served first, and its
+// virtual time advances by cost/weight.
 type tierQueue struct {
 	flows       map[string]*flow
 	active      flowHeap
 	virtualTime float64
 	waiting     int
-	cost        float64 // of what waits
-	weight      float64 // of the flows with something waiting
+	cost        float64 // of the waiting requests
+	weight      float64 // of the flows with waiting requests
 	// arrival holds all waiting requests in order of arrival.
 	arrival   list.List
 	positions map[*Request]position
 	fifo      bool
 }
 
-// position is where a request stands in its lists.
+// position holds a request's elements in the lists.
 type position struct {
 	arrival, service *list.Element
 	queue            *serviceQueue
 }
 
-// flowHeap is a heap of flows that have waiting requests.
+// flowHeap is a heap of the flows that have waiting requests.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
@@ -76,7 +76,7 @@
 	return f
 }
 
-// maxIdleFlows bounds the flows remembered while nothing of theirs waits.
+// maxIdleFlows is the number of flows at which those without waiting requests are dropped.
 const maxIdleFlows = 10000
 
 // push adds a waiting request.
@@ -108,7 +108,7 @@
 	r.flow = f
 }
 
-// dropIdle forgets flows with nothing waiting.
+// dropIdle removes the flows without waiting requests.
 func (q *tierQueue) dropIdle() {
 	for name, f := range q.flows {
 		if f.waiting == 0 {
@@ -117,7 +117,8 @@
 	}
 }
 
-// service returns the queue of a service, which starts level with the others.
+// service returns the queue of a service. A new or idle queue starts at the least virtual time of
+// the others.
 func (f *flow) service(name string) *serviceQueue {
 	minVirtual := 0.0
 	for i, sq := range f.services {
@@ -136,7 +137,7 @@
 	return sq
 }
 
-// minVirtualTime is the least virtual time among services with something waiting.
+// minVirtualTime returns the least virtual time of the services with waiting requests.
 func (f *flow) minVirtualTime() float64 {
 	minVirtual, found := 0.0, false
 	for _, sq := range f.services {
@@ -177,7 +178,7 @@
 	return q.arrival.Back().Value.(*Request)
 }
 
-// remove takes a request out without charging its flow.
+// remove removes a request without charging its flow.
 func (q *tierQueue) remove(r *Request) {
 	at := q.positions[r]
 	delete(q.positions, r)
@@ -194,13 +195,13 @@
 		heap.Remove(&q.active, f.heapIndex)
 	}
 	if q.waiting == 0 {
-		q.cost, q.weight = 0, 0 // no rounding is left behind
+		q.cost, q.weight = 0, 0 // clears rounding errors
 	}
 }
 
-// costBefore estimates the cost that is served before a request of a workspace
-// that comes now: what waits of its own flow, with the other flows' share of the
-// time, and at most all that waits.
+// costBefore estimates the cost served before a request of a workspace that arrives now: the
+// waiting cost of its own flow, increased by the other flows' share of the time, and at most the
+// cost of all waiting requests.
 func (q *tierQueue) costBefore(workspace string, weight float64) float64 {
 	f := q.flows[workspace]
 	if q.waiting == 0 || q.fifo {
@@ -213,7 +214,7 @@
 	return min(q.cost, own*(1+others/weight))
 }
 
-// charge makes a flow and a service pay for a request that was dispatched.
+// charge charges a dispatched request to its flow and service.
 func (q *tierQueue) charge(r *Request) {
 	f := r.flow
 	if f == nil {
--- a/sched/request.go
+++ b/sched/request.go
@@ -10,29 +10,29 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Request is what the scheduler decides about. The caller sets the exported
-// fields before Submit and leaves the request alone until its end.
+// Request is a request to be decided. The caller sets the exported fields before Submit and must
+// not change them until the request has ended.
 type Request struct {
-	// ID names the request.
+	// ID identifies the request.
 	ID string
 	// Settings are the values in force when it arrived.
 	Settings *settings.Effective
-	// Model is the model asked for; empty for a plain service.
+	// Model is the requested model; empty for a plain service.
 	Model string
-	// Blocks are the prompt's cache blocks and PromptTokens its length.
+	// Blocks are the hashes of the prompt's cache blocks and PromptTokens is its length.
 	Blocks       []uint64
 	PromptTokens int
-	// MaxTokens bounds the answer, in tokens, and LikelyTokens is the caller's guess, or 0.
+	// MaxTokens limits the answer, in tokens, and ExpectedTokens is the caller's estimate, or 0.
 	MaxTokens, ExpectedTokens int
 	// Arrived and Deadline are times since the scheduler's start.
 	Arrived, Deadline time.Duration
-	// DispatchBy is the latest time to be dispatched, or 0 for none beside Deadline.
+	// DispatchBy is the latest time of dispatch; 0 means that only Deadline applies.
 	DispatchBy time.Duration
-	// Objective is what the request is worth where, or empty.
+	// Objective holds the latency objectives; the zero value means none.
 	Objective Objective
-	// Retry says that the caller tried before.
+	// Retry says that the caller has tried before.
 	Retry bool
-	// Data is the caller's own.
+	// Data is for the caller's use.
 	Data any
 
 	pool           *pool
@@ -43,22 +43,22 @@
 	seq            uint64
 	heapIndex      int
 	waiting        bool
-	lastChance     bool    // it has waited as long as it may
-	lengthQuantile float64 // the part of its service's requests with a shorter expected answer
-	rationExempt   bool    // it is taken whatever its length
-	spareOnly      bool    // it is taken only where there is room to spare
+	lastChance     bool    // it has reached its queue deadline
+	lengthQuantile float64 // share of its service's requests with a shorter expected answer
+	rationExempt   bool    // rations do not apply to it
+	spareOnly      bool    // only endpoints with spare slots admit it
 
 	dispatchedTo *endpointState
 	dispatchedAt time.Duration
 	predicted    time.Duration
 	step         time.Duration // of the endpoint at the last dispatch
-	load         float64       // there, at the last dispatch
+	load         float64       // of the endpoint at the last dispatch
 	progressAt   time.Duration
 	tokens       int
 	avoid        *endpointState
 }
 
-// queueDeadline is the time at which a waiting request is given up.
+// queueDeadline returns the time until which a request may wait.
 func (r *Request) queueDeadline() time.Duration {
 	if r.DispatchBy > 0 {
 		return min(r.DispatchBy, r.Deadline)
@@ -66,38 +66,38 @@
 	return r.Deadline
 }
 
-// PredictedFirstToken is the time to the first token that was predicted at the last dispatch.
+// PredictedFirstToken returns the time to the first token predicted at the last dispatch.
 func (r *Request) PredictedFirstToken() time.Duration { return r.predicted }
 
-// Step is the time of a token at the endpoint of the last dispatch, as it was known then.
+// Step returns the time per token at the endpoint of the last dispatch, as known then.
 func (r *Request) Step() time.Duration { return r.step }
 
-// Load is the number of requests that the endpoint of the last dispatch was taken to have.
+// Load returns the estimated number of requests at the endpoint at the last dispatch.
 func (r *Request) Load() float64 { return r.load }
 
-// rank is the tier's place, 0 the highest, bounded by maxRanks.
+// rank returns the rank of the tier, 0 the highest, less than maxRanks.
 func (r *Request) rank() int { return min(max(r.Settings.Rank, 0), maxRanks-1) }
 
 // maxRanks is the largest number of tiers.
 const maxRanks = 8
 
-// Verdict says what is to be done with a request.
+// Verdict is the kind of a decision.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of a Decision.
 const (
-	// Run means dispatch it to Decision.Endpoint.
+	// Run means that the request is to be dispatched to Decision.Endpoint.
 	Run Verdict = iota
 	// Wait means that a later decision follows.
 	Wait
-	// Refuse means that it is not run; see Decision.Reason.
+	// Refuse means that the request is not run; see Decision.Reason.
 	Refuse
 )
 
-// Reason says why a request was refused.
+// Reason is the reason of a refusal.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons of a refusal.
 const (
 	ReasonNone        Reason = ""
 	ReasonNoEndpoint  Reason = "no endpoint"
@@ -110,22 +110,21 @@
 	ReasonLength      Reason = "long answer while places are short"
 )
 
-// Overload reports whether the reason is a lack of capacity rather than a limit
-// that operators set.
+// Overload reports whether the reason is a lack of capacity rather than a limit set by operators.
 func (r Reason) Overload() bool {
 	return r == ReasonDeadline || r == ReasonQueueFull || r == ReasonShed || r == ReasonFloor || r == ReasonLength
 }
 
-// Decision is the scheduler's word on one request.
+// Decision is the scheduler's decision on a request.
 type Decision struct {
-	// Request is the one decided.
+	// Request is the request decided on.
 	Request *Request
-	// Verdict says what to do.
+	// Verdict says what is to be done.
 	Verdict Verdict
-	// Endpoint is where to dispatch, with Run.
+	// Endpoint is the endpoint to dispatch to, for Run.
 	Endpoint string
-	// ImportFrom is an endpoint whose KV cache of the prompt should be moved
-	// to Endpoint first, or empty.
+	// ImportFrom is an endpoint whose KV cache of the prompt is to be transferred to Endpoint
+	// first, or empty.
 	ImportFrom string
 	// Reason and RetryAfter explain a refusal.
 	Reason     Reason
--- a/sched/rules_test.go
+++ b/sched/rules_test.go
@@ -326,17 +326,17 @@
 	must.Greater(t, s.cfg.SlowThreshold, s.slowness(s.now, s.byName["a"]))
 }
 
-// TestSuspensionIsExcluded checks that a time in which this process did not run makes no engine look slow, and no answer long.
-func TestSuspensionIsExcluded(t *testing.T) {
+// TestGapIsExcluded checks that a time in which this process did not run makes no engine look slow, and no answer long.
+func TestGapIsExcluded(t *testing.T) {
 	for _, noted := range []bool{false, true} {
 		s := newTestScheduler(Config{}, engine{name: "a", slots: 8})
 		rs, _ := s.submit(2, "w", 0)
 		s.now += 20 * time.Millisecond
 		s.FirstToken(s.now, rs[0])
-		suspension := 8 * time.Second
-		s.now += suspension
+		gap := 8 * time.Second
+		s.now += gap
 		if noted {
-			s.NoteGap(suspension)
+			s.NoteGap(gap)
 		}
 		s.Tick(s.now)
 		s.end(rs...)
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -13,23 +13,23 @@
 	"github.com/heathkeel/heathkeel/outlier"
 )
 
-// Scheduler holds the state of one host's decisions. Set the exported fields,
-// then call Init. It is not safe for concurrent use.
+// Scheduler decides the requests of one host. Set the exported fields, then call Init. It is not
+// safe for concurrent use.
 type Scheduler struct {
-	// Config holds the policy's figures.
+	// Config holds the parameters.
 	Config Config
-	// Rand is the source of chance.
+	// Rand is the source of random numbers.
 	Rand *rand.Rand
-	// SharingHosts is the number of hosts that share the endpoints, this one included.
+	// SharingHosts is the number of hosts that share the endpoints, including this one.
 	SharingHosts int
-	// Hosts gives the number of hosts that serve a workspace; nil means 1.
+	// Hosts returns the number of hosts that serve a workspace; nil means 1.
 	Hosts func(workspace string) int
 
 	cfg Config
-	// peerState is what is known of other hosts, and drawnAt when claims were drawn last.
+	// peerState is the state of other hosts; claimsDrawnAt is the time of the last DrawClaims.
 	peerState     PeerState
 	claimsDrawnAt time.Duration
-	// silentPeers counts the hosts that may be serving and are not heard.
+	// silentPeers is the number of hosts that may be serving but send no heartbeats.
 	silentPeers int
 
 	endpoints          []*endpointState
@@ -49,15 +49,15 @@
 	cands   []candidate
 	matches [maxMatches]match
 	matched int
-	// lastOwnerAnswer is when an owner of places answered last, or 0.
+	// lastOwnerAnswer is the time of the last answer of any slot owner, or 0.
 	lastOwnerAnswer time.Duration
-	// ejections counts those of this host.
+	// ejections counts the ejections by this host.
 	ejections int
 	log       [logSize]logEntry
 	logNext   int
 }
 
-// Init makes the scheduler ready.
+// Init prepares the scheduler for use.
 func (s *Scheduler) Init() {
 	s.cfg = s.Config.withDefaults()
 	s.byName = make(map[string]*endpointState)
@@ -69,7 +69,7 @@
 	s.waitingByWorkspace = make(map[string]int)
 }
 
-// SetEndpoints replaces the declared endpoints; those no longer named get no new work.
+// SetEndpoints replaces the declared endpoints; those no longer listed get no new requests.
 func (s *Scheduler) SetEndpoints(list []Endpoint) {
 	for _, e := range s.endpoints {
 		e.present = false
@@ -88,7 +88,7 @@
 	s.refreshMembers()
 }
 
-// SetLeaving marks an endpoint as leaving or not.
+// SetLeaving sets whether an endpoint is leaving.
 func (s *Scheduler) SetLeaving(name string, leaving bool) {
 	if e := s.byName[name]; e != nil && e.Leaving != leaving {
 		e.Leaving = leaving
@@ -96,7 +96,7 @@
 	}
 }
 
-// ApplyReport takes an endpoint's account.
+// ApplyReport applies a load report of an endpoint.
 func (s *Scheduler) ApplyReport(now time.Duration, name string, rep Report) {
 	e := s.byName[name]
 	if e == nil {
@@ -110,7 +110,7 @@
 	s.wake(e)
 }
 
-// ApplyCacheEvent notes that an endpoint holds a prompt block or evicted it.
+// ApplyCacheEvent records that an endpoint holds a prompt block or evicted it.
 func (s *Scheduler) ApplyCacheEvent(name string, block uint64, evicted bool) {
 	e := s.byName[name]
 	switch {
@@ -122,14 +122,14 @@
 	}
 }
 
-// Wake makes the next Poll look at all that waits.
+// Wake makes the next Poll reconsider all waiting requests.
 func (s *Scheduler) Wake() {
 	for _, p := range s.pools {
 		p.dirty = p.dirty || p.waiting > 0
 	}
 }
 
-// wake marks the pools of an endpoint for a look at what waits.
+// wake makes the next Poll reconsider the pools of an endpoint.
 func (s *Scheduler) wake(e *endpointState) {
 	for _, p := range s.pools {
 		if p.waiting > 0 && !p.dirty && slices.Contains(p.members, e) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// FirstToken notes that the first token came.
+// FirstToken records the arrival of the first token.
 func (s *Scheduler) FirstToken(now time.Duration, r *Request) {
 	if r.dispatchedTo == nil || r.progressAt != 0 {
 		return
@@ -153,10 +153,10 @@
 	}
 }
 
-// progressTokens is the number of tokens after which speed is looked at.
+// progressTokens is the least number of tokens between two observations of speed.
 const progressTokens = 8
 
-// Progress notes that n tokens came in all; it may be called for every token.
+// Progress records that n tokens have arrived in all; it may be called for every token.
 func (s *Scheduler) Progress(now time.Duration, r *Request, n int) {
 	if r.dispatchedTo == nil || r.progressAt == 0 || n-r.tokens < progressTokens {
 		return
@@ -168,22 +168,22 @@
 	r.progressAt = now
 }
 
-// Result says how a dispatched request ended.
+// Result is the outcome of a dispatched request.
 type Result uint8
 
-// The results.
+// Results of a dispatched request.
 const (
-	// Completed means that the whole answer came.
+	// Completed means that the whole answer arrived.
 	Completed Result = iota
-	// Broken means that its answer broke off.
+	// Broken means that the answer ended early.
 	Broken
-	// Errored means that the endpoint answered with a failure of its own.
+	// Errored means that the endpoint answered with an error of its own.
 	Errored
 	// Canceled means that the caller went away.
 	Canceled
 )
 
-// Done notes the end of a dispatched request with the tokens that came.
+// Done records the end of a dispatched request and the number of tokens that arrived.
 func (s *Scheduler) Done(now time.Duration, r *Request, result Result, tokens int) {
 	e := r.dispatchedTo
 	if e == nil {
@@ -211,15 +211,14 @@
 	s.wake(e)
 }
 
-// RedispatchUnsent takes back a dispatch that the endpoint surely did not run, such as
-// one whose connection was refused, and decides again without that endpoint.
+// RedispatchUnsent undoes a dispatch that the endpoint certainly did not run, such as one whose
+// connection was refused, and decides again without that endpoint.
 func (s *Scheduler) RedispatchUnsent(now time.Duration, r *Request) Decision {
 	s.Failed(now, r, outlier.Unreachable)
 	return s.Redispatch(now, r)
 }
 
-// Redispatch ends a dispatch whose request is to go to another endpoint, and decides
-// again.
+// Redispatch ends a dispatch whose request is to go to another endpoint, and decides again.
 func (s *Scheduler) Redispatch(now time.Duration, r *Request) Decision {
 	e := r.dispatchedTo
 	e.removeRequest(now, r)
@@ -227,12 +226,12 @@
 	r.dispatchedTo = nil
 	r.progressAt = 0
 	r.tokens = 0
-	r.rationExempt = true // the caller has waited for it once
+	r.rationExempt = true // its caller has already waited for an answer
 	r.avoid = e
 	return s.admit(now, r)
 }
 
-// Tick looks at what time alone changes; call it every 50 ms or so.
+// Tick updates the state that changes with time alone; call it about every 50 ms.
 func (s *Scheduler) Tick(now time.Duration) {
 	for _, e := range s.endpoints {
 		s.checkStuck(now, e)
@@ -244,8 +243,8 @@
 	s.Wake()
 }
 
-// Withdraw takes a waiting request out, because its caller went away; it
-// reports whether the request was waiting.
+// Withdraw removes a waiting request whose caller went away. It reports whether the request was
+// waiting.
 func (s *Scheduler) Withdraw(r *Request) bool {
 	if !r.waiting {
 		return false
@@ -254,10 +253,10 @@
 	return true
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (s *Scheduler) Waiting() int { return s.waiting }
 
-// enqueue adds a request to what waits.
+// enqueue adds a request to the queue.
 func (s *Scheduler) enqueue(r *Request) {
 	s.seq++
 	r.seq = s.seq
@@ -271,7 +270,7 @@
 	heap.Push(&s.deadlines, r)
 }
 
-// unqueue removes a request from what waits.
+// unqueue removes a request from the queue.
 func (s *Scheduler) unqueue(r *Request) {
 	r.waiting = false
 	r.pool.tiers[r.rank()].remove(r)
@@ -283,7 +282,7 @@
 	heap.Remove(&s.deadlines, r.heapIndex)
 }
 
-// deadlineHeap orders waiting requests by deadline.
+// deadlineHeap orders waiting requests by queue deadline.
 type deadlineHeap []*Request
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/sched/slow.go
+++ b/sched/slow.go
@@ -6,25 +6,25 @@
 
 import "time"
 
-// Figures of the learning of speed.
+// Parameters of slowness detection.
 const (
 	// slowGain is the weight of a new observation.
 	slowGain = 0.25
-	// slowHalfLife is the time in which an old observation loses half its weight,
-	// so that an endpoint that gets no work is tried again.
+	// slowHalfLife is the time in which an observation loses half its weight, so that an endpoint
+	// that gets no requests is tried again.
 	slowHalfLife = 20 * time.Second
-	// minSlowObservations is the number of observations before an endpoint is eased out.
+	// minSlowObservations is the number of observations required before an endpoint is throttled.
 	minSlowObservations = 3
-	// stuckFactor is how many predicted times a first token may be late before
-	// the delay itself counts as an observation.
+	// stuckFactor and stuckGrace define an overdue first token: its delay counts as an observation
+	// once it exceeds stuckFactor times the predicted time plus stuckGrace.
 	stuckFactor = 3
-	// stuckGrace is added to it.
+	// stuckGrace is the constant part of that threshold.
 	stuckGrace = 100 * time.Millisecond
-	// maxSlowRatio bounds one observation.
+	// maxSlowRatio limits the ratio of one observation.
 	maxSlowRatio = 50
 )
 
-// slowness is the factor by which e is slower than it says, 1 if it keeps its word.
+// slowness returns the factor by which e is slower than it reports, at least 1.
 func (s *Scheduler) slowness(now time.Duration, e *endpointState) float64 {
 	if s.cfg.Disabled.Slow || e.slowFactor <= 1 {
 		return 1
@@ -36,7 +36,7 @@
 	return 1 + (e.slowFactor-1)/(1+halves)
 }
 
-// observeSlowness takes one ratio of observed to claimed time.
+// observeSlowness adds an observed ratio of actual to reported time.
 func (s *Scheduler) observeSlowness(now time.Duration, e *endpointState, ratio float64) {
 	current := s.slowness(now, e)
 	e.slowFactor = current + slowGain*(min(ratio, maxSlowRatio)-current)
@@ -50,8 +50,8 @@
 		return
 	}
 	ratio := float64(now-r.dispatchedAt) / float64(r.predicted) * s.slowness(now, r.dispatchedTo)
-	// A first token that is late by queueing only is no sign of a slow engine,
-	// so this evidence counts only when it is gross.
+	// A first token that is late only because of queueing does not show a slow engine, so it
+	// counts only if it is very late.
 	if ratio > s.cfg.SlowThreshold {
 		s.observeSlowness(now, r.dispatchedTo, ratio)
 	}
@@ -64,21 +64,22 @@
 	}
 }
 
-// checkStuck learns from first tokens that are overdue.
+// checkStuck learns from overdue first tokens.
 func (s *Scheduler) checkStuck(now time.Duration, e *endpointState) {
 	for _, r := range e.inflight {
 		if r.progressAt != 0 {
 			continue
 		}
-		late := now - r.dispatchedAt
-		if late > stuckFactor*r.predicted+stuckGrace {
-			s.observeSlowness(now, e, float64(late)/float64(r.predicted+e.step()))
+		elapsed := now - r.dispatchedAt
+		if elapsed > stuckFactor*r.predicted+stuckGrace {
+			s.observeSlowness(now, e, float64(elapsed)/float64(r.predicted+e.step()))
 			return
 		}
 	}
 }
 
-// updateThrottling sets or clears the easing out of endpoints of a pool, a bounded share at a time.
+// updateThrottling starts and ends the throttling of endpoints, at most MaxThrottledShare of a
+// pool. A throttled endpoint gets at most one request at a time, and none of the top tier.
 func (s *Scheduler) updateThrottling(now time.Duration, p *pool) {
 	if s.cfg.Disabled.Slow {
 		return
--- a/sched/value.go
+++ b/sched/value.go
@@ -9,60 +9,66 @@
 	"time"
 )
 
-// Objective is what a request is worth where: it is set for requests whose worth falls
-// once the first token, or a pause between two events, is late.
+// Objective holds the latency objectives of a request whose value falls if its first token, or the
+// gap between two events, is late.
 type Objective struct {
-	// FirstToken is the time from arrival in which the first token is wanted; 0 means no aim.
+	// FirstToken is the wanted time from arrival to the first token; 0 means no objective.
 	FirstToken time.Duration
-	// EventGap is the longest pause between two events that is wanted; 0 means any.
+	// EventGap is the longest wanted gap between two events; 0 means no limit.
 	EventGap time.Duration
 	// EventTokens is the number of tokens in an event; 0 means 1.
 	EventTokens int
 }
 
-// Figures of the worth of an endpoint for a request.
+// Parameters of the expected value of a request at an endpoint. Values are shares of the value of
+// an answer that is in time.
 const (
-	// lateValue is the part of its worth that a late answer keeps.
+	// lateValue is the value of an answer whose first token is late.
 	lateValue = 0.3
-	// firstTokenError is the error of a predicted first token, as a part of the aim.
+	// firstTokenError is the scale of the error of a predicted first token, as a share of the
+	// objective.
 	firstTokenError = 0.15
-	// lengthSigma is the standard deviation of the logarithm of actual over guessed length.
+	// lengthSigma is the standard deviation of the logarithm of the ratio of actual to expected
+	// length.
 	lengthSigma = 0.6
-	// prefillChunkTokens is the number of prompt tokens that an engine reads between two tokens of others.
+	// prefillChunkTokens is the number of prompt tokens that an engine computes between two tokens
+	// of running streams.
 	prefillChunkTokens = 2048
-	// longGapFactor is the part of the in-time worth that remains where pauses will be long.
+	// longGapFactor is the factor on the probability of a first token in time if gaps will be
+	// long.
 	longGapFactor = 0.5
-	// stallCost is the part of a running stream's worth that a long prompt beside it costs.
+	// stallCost is the value that each running stream loses to a long prompt at its endpoint.
 	stallCost = 0.15
-	// maxStallCost bounds that.
+	// maxStallCost limits the loss of all streams together.
 	maxStallCost = 0.5
-	// gapMargin is the part of the wanted pause that a predicted one may take.
+	// gapMargin is the share of the wanted gap that a predicted gap may reach.
 	gapMargin = 0.9
-	// minValueShare is the part of the best possible worth for which a request is sent.
+	// minValueShare is the share of the best possible value from which a request is dispatched.
 	minValueShare = 0.15
-	// valueTolerance is the difference of worth that counts as none.
+	// valueTolerance is the difference up to which values count as equal.
 	valueTolerance = 0.05
-	// idleSlack is how many times the least possible time a long prompt may take.
+	// idleSlack is the multiple of the shortest possible time that a long prompt may take.
 	idleSlack = 1.6
 )
 
-// expectedValue is the expected part of its worth that a request earns at an endpoint:
+// expectedValue returns the expected value of a request at an endpoint:
 //
-//	P(ends by its deadline) · (lateWorth + (1-lateWorth) · P(first token in time) · gaps) · P(does not fail)
+//	P(ends by its deadline) · (lateValue + (1-lateValue) · P(first token in time) · gaps) · P(does not fail)
 //
-// less what its prompt costs the streams that run there. The first token's error
-// is taken as logistic, the length's as log-normal.
+// where gaps is longGapFactor if earlier prompts make gaps too long, or else 1, less the cost to
+// the streams that run there if the prompt makes their gaps too long. The error of the first token
+// is modelled as logistic, that of the length as log-normal.
 func (s *Scheduler) expectedValue(now time.Duration, r *Request, e *endpointState, load float64, firstToken, target time.Duration) float64 {
 	step := time.Duration(float64(e.step()) * s.slowness(now, e))
 	errorScale := firstTokenError * r.Objective.FirstToken.Seconds()
 	firstInTime := 1 / (1 + math.Exp(-(target-now-firstToken).Seconds()/errorScale))
 	doneInTime := 1.0
 	if r.expectedOutput > 1 {
-		left := (r.Deadline - now - firstToken).Seconds()
-		if left <= 0 {
+		timeLeft := (r.Deadline - now - firstToken).Seconds()
+		if timeLeft <= 0 {
 			return 0
 		}
-		margin := math.Log(left / (float64(r.expectedOutput) * step.Seconds()))
+		margin := math.Log(timeLeft / (float64(r.expectedOutput) * step.Seconds()))
 		doneInTime = 0.5 * math.Erfc(-margin/(lengthSigma*math.Sqrt2))
 	}
 	ahead := s.prefillAhead(now, r, e)
@@ -76,9 +82,9 @@
 	return value
 }
 
-// stalls tells whether the reading of n prompt tokens makes a pause of the streams that
-// run there too long: an event waits for as many steps as it has tokens, and each step
-// reads at most a piece.
+// stalls reports whether computing n prompt tokens makes the gaps of the streams at an endpoint
+// too long: an event takes as many steps as it has tokens, and each step computes at most one
+// chunk of prompt tokens.
 func (s *Scheduler) stalls(r *Request, e *endpointState, step time.Duration, n int) bool {
 	if r.Objective.EventGap <= 0 {
 		return false
@@ -88,26 +94,26 @@
 	return pause > time.Duration(gapMargin*float64(r.Objective.EventGap))
 }
 
-// firstTokenTarget is the time by which the first token is wanted: in aim, or for a prompt that
-// no endpoint could read in that time, not much later than the fastest idle one could.
+// firstTokenTarget returns the time by which the first token is wanted: that of the objective, or
+// for a prompt that no endpoint could compute in that time, idleSlack times the time of the
+// fastest endpoint if it were idle.
 func (s *Scheduler) firstTokenTarget(now time.Duration, r *Request) time.Duration {
 	target := r.Arrived + r.Objective.FirstToken
-	least := time.Duration(math.MaxInt64)
+	minIdle := time.Duration(math.MaxInt64)
 	for _, e := range r.pool.members {
 		if r.pool.usable(now, e) {
-			least = min(least, e.prefillTime(r.PromptTokens)+e.step())
+			minIdle = min(minIdle, e.prefillTime(r.PromptTokens)+e.step())
 		}
 	}
-	if least == math.MaxInt64 {
+	if minIdle == math.MaxInt64 {
 		return target
 	}
-	return max(target, now+time.Duration(idleSlack*float64(least)))
+	return max(target, now+time.Duration(idleSlack*float64(minIdle)))
 }
 
-// chooseByValue picks the endpoint for a request with an aim, or none if waiting is
-// better: nothing that admits it is worth enough of what the best endpoint would be
-// worth if it were idle. Among endpoints of near-equal worth it takes the one with
-// the most room.
+// chooseByValue picks the endpoint for a request with an objective. It returns nil if waiting is
+// better: no endpoint that admits the request gives minValueShare of the best value that an idle
+// endpoint would give. Among endpoints of near-equal value it picks a less loaded one.
 func (s *Scheduler) chooseByValue(now time.Duration, r *Request) *candidate {
 	s.matchPrefix(r)
 	s.cands = s.cands[:0]
@@ -140,9 +146,10 @@
 	return s.leastLoaded(best - valueTolerance)
 }
 
-// leastLoaded picks the one with most room of two random near and two random far
-// candidates that are worth least or more: hosts that decide alike at the same moment
-// must not all pick the same, and near ones must not be missed among many far ones.
+// leastLoaded picks the least loaded of two random candidates in this host's zone and two in other
+// zones, all worth at least minValue. The random draw keeps hosts that decide at the same moment
+// from all picking the same endpoint, and the split by zone keeps the few candidates in this zone
+// from being missed among many others.
 func (s *Scheduler) leastLoaded(minValue float64) *candidate {
 	n := 0
 	for i := range s.cands {
@@ -154,27 +161,29 @@
 	if n == 0 {
 		return nil
 	}
-	nearCount := s.partitionByZone(n)
-	picked := s.lessLoadedOfTwo(s.cands[:nearCount])
-	if other := s.lessLoadedOfTwo(s.cands[nearCount:n]); picked == nil || (other != nil && other.relativeLoad < picked.relativeLoad) {
+	sameZoneCount := s.partitionByZone(n)
+	picked := s.lessLoadedOfTwo(s.cands[:sameZoneCount])
+	if other := s.lessLoadedOfTwo(s.cands[sameZoneCount:n]); picked == nil || (other != nil && other.relativeLoad < picked.relativeLoad) {
 		picked = other
 	}
 	return picked
 }
 
-// partitionByZone moves the near ones of the first n candidates to the front and returns their number.
+// partitionByZone moves those of the first n candidates that are in this host's zone to the front
+// and returns their number.
 func (s *Scheduler) partitionByZone(n int) int {
-	near := 0
+	sameZone := 0
 	for i := range s.cands[:n] {
 		if !s.cands[i].e.CrossZone {
-			s.cands[near], s.cands[i] = s.cands[i], s.cands[near]
-			near++
+			s.cands[sameZone], s.cands[i] = s.cands[i], s.cands[sameZone]
+			sameZone++
 		}
 	}
-	return near
+	return sameZone
 }
 
-// lessLoadedOfTwo picks the one with more room of two different random candidates, nil if there are none.
+// lessLoadedOfTwo picks the less loaded of two different random candidates, or nil if there are
+// none.
 func (s *Scheduler) lessLoadedOfTwo(cands []candidate) *candidate {
 	n := len(cands)
 	if n == 0 {
@@ -191,7 +200,7 @@
 	return picked
 }
 
-// prefillAhead is the prompt tokens that are read before those of a request.
+// prefillAhead returns the number of prompt tokens that are computed before those of a request.
 func (s *Scheduler) prefillAhead(now time.Duration, r *Request, e *endpointState) int {
 	ahead := int(s.reportWeight(now, e) * float64(e.othersPrefill))
 	for k := 0; k <= r.rank(); k++ {
--- a/sched/woke.go
+++ b/sched/woke.go
@@ -6,8 +6,9 @@
 
 import "time"
 
-// NoteGap notes that this process did not run for a time that ends now. It is taken out of the times for which requests have been at their
-// endpoints: these had nothing to do with it, and were else learned to be slow.
+// NoteGap records that this process did not run for a time that ends now. It excludes the gap from
+// the time that requests have spent at their endpoints; otherwise the endpoints would be learned
+// to be slow.
 func (s *Scheduler) NoteGap(gap time.Duration) {
 	for _, e := range s.endpoints {
 		for _, r := range e.inflight {
