--- a/places/book.go
+++ b/places/book.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// Figures of the book.
+// Parameters of the allocator.
 const (
-	// grantTTL is the time in which a granted place is to be taken: a datagram each way between regions' zones, and the
-	// wait for a slow host's turn of its processor.
+	// grantTTL is the time in which a granted slot is to be taken. It covers a datagram each way
+	// between zones of different regions, and the wait of a slow host for its processor.
 	grantTTL = 80 * time.Millisecond
-	// requestTTL is the time for which a host is taken to want a place after it said so: it says so again sooner.
+	// requestTTL is the time for which a host's request for a slot counts; the host repeats it
+	// within that time.
 	requestTTL = 120 * time.Millisecond
-	// hostTTL is the silence after which what a host told counts no more: twice the time after which it tells its
-	// requests again, and half of one.
+	// hostTTL is the silence after which a host's last message no longer counts: twice the
+	// interval between its messages, plus half of one.
 	hostTTL = 2500 * time.Millisecond
 )
 
-// Request is what a host tells the owner of an endpoint's places.
+// Request is a host's message to the owner of an endpoint's slots.
 type Request struct {
-	// Running is the number of its requests there.
+	// Running is the number of the host's requests at the endpoint.
 	Running int `json:"r"`
-	// Rank is the highest tier for which it wants a place, 0 the highest, -1 for none.
+	// Rank is the highest tier for which it wants a slot, 0 the highest, -1 for none.
 	Rank int `json:"k"`
-	// Returned says that a place which was granted is not taken. A host that wants none may have one granted all the same, on its
-	// way.
+	// Returned says that a granted slot is not taken. A host that no longer wants a slot may still
+	// receive one whose grant was in flight.
 	Returned bool `json:"b,omitempty"`
 }
 
-// Grant is what the owner answers.
+// Grant is the owner's answer.
 type Grant struct {
-	// Slots is the number of places that the host may take.
+	// Slots is the number of slots that the host may take.
 	Slots int `json:"p,omitempty"`
-	// Running is the number of requests of all hosts there.
+	// Running is the number of requests of all hosts at the endpoint.
 	Running int `json:"r"`
 }
 
-// Allocator is what an owner knows of one endpoint. The zero value knows nothing.
+// Allocator allocates the slots of one endpoint. The zero value is empty.
 type Allocator struct {
 	hosts map[string]*hostState
 }
 
-// hostState is what a host told.
+// hostState is the last message of a host, and the slots granted to it.
 type hostState struct {
 	incarnation uint64
 	seq         uint32
@@ -53,11 +54,12 @@
 	rank        int
 	updatedAt   time.Duration
 	granted     int
-	grantExpiry time.Duration // until when what was granted may be taken
+	grantExpiry time.Duration // end of the time to take the granted slots
 }
 
-// Update takes what a host told in a life of its process. Words that were overtaken do not count. Requests that it has begun since took what
-// was granted.
+// Update applies a message of a host, from the given incarnation of its process. It ignores
+// messages that arrive out of order. An increase of the host's running requests uses up the slots
+// granted to it.
 func (b *Allocator) Update(now time.Duration, host string, incarnation uint64, seq uint32, req Request) {
 	if b.hosts == nil {
 		b.hosts = make(map[string]*hostState)
@@ -78,7 +80,7 @@
 	h.seq, h.running, h.rank, h.updatedAt = seq, req.Running, req.Rank, now
 }
 
-// Running is the number of requests there, as far as the hosts told.
+// Running returns the number of requests at the endpoint according to the hosts' messages.
 func (b *Allocator) Running(now time.Duration) int {
 	n := 0
 	for host, h := range b.hosts {
@@ -91,8 +93,9 @@
 	return n
 }
 
-// Allocate grants the free places: limit tells how many requests may be there for one of a tier to be added. It returns
-// the hosts that got one, the upper tiers first and drawn at random within a tier.
+// Allocate grants free slots; limit returns the number of requests up to which a tier may fill the
+// endpoint. It returns the hosts that got a slot, higher tiers first and in random order within a
+// tier.
 func (b *Allocator) Allocate(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
 	used := b.Running(now)
 	for _, h := range b.hosts {
@@ -115,19 +118,20 @@
 	}
 }
 
-// next draws one of the hosts that want a place for the highest tier and have none granted.
+// next returns a random host among those that want a slot for the highest tier and have no grant,
+// or "".
 func (b *Allocator) next(now time.Duration, r *rand.Rand) string {
-	best, n := "", 0
+	best, ties := "", 0
 	for host, h := range b.hosts {
 		if h.rank < 0 || h.granted > 0 || now-h.updatedAt > requestTTL {
 			continue
 		}
 		switch {
 		case best == "" || h.rank < b.hosts[best].rank:
-			best, n = host, 1
+			best, ties = host, 1
 		case h.rank == b.hosts[best].rank:
-			n++
-			if r.IntN(n) == 0 {
+			ties++
+			if r.IntN(ties) == 0 {
 				best = host
 			}
 		}
@@ -135,7 +139,8 @@
 	return best
 }
 
-// OthersRunning is the number of requests of all hosts but one, granted places counted as taken.
+// OthersRunning returns the number of requests of all hosts but one; their granted slots count as
+// taken.
 func (b *Allocator) OthersRunning(now time.Duration, host string) int {
 	n := b.Running(now)
 	for name, h := range b.hosts {
--- a/places/doc.go
+++ b/places/doc.go
@@ -2,13 +2,15 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package places gives the places of an endpoint to hosts. In large fleets hosts hear of each other's requests
-// by way of relays, 0.45 s late, so that many see the same free place and none knows of the next one. For each
-// endpoint one host is therefore the owner of its places: by rendezvous hashing among the hosts of its zone, so that all that know
-// the same hosts name the same, without any agreement. While places are short, hosts tell the owner how many requests
-// they have there and that they want a place; it grants free ones, upper tiers first.
+// Package places allocates the slots of an endpoint to hosts. In large fleets hosts learn of each
+// other's requests through relays, 0.45 s late, so that many see the same free slot and none knows
+// of the next one. For each endpoint one host is therefore the owner of its slots. It is chosen by
+// rendezvous hashing among the hosts of the endpoint's zone, so that all hosts with the same list
+// of hosts name the same owner without coordination. While slots are scarce, hosts send the owner
+// the number of their requests at the endpoint and ask it for a slot; the owner grants free ones,
+// higher tiers first.
 //
-// A grant is no promise to a caller, and not the only right to send: two hosts that both take themselves for the
-// owner make a place that is given twice, which costs what old news costs all the time. Book is pure and keeps no time of
-// its own.
+// A grant is no promise to a caller, and it is not the only right to send. Two hosts that both
+// consider themselves the owner may grant a slot twice, which costs no more than stale information
+// does without owners. An Allocator does no I/O and reads no clock.
 package places
--- a/places/owner.go
+++ b/places/owner.go
@@ -6,15 +6,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Candidate is a host that may own places.
+// Candidate is a host that may own slots.
 type Candidate struct {
-	// Host and Zone name it.
+	// Host and Zone are its names.
 	Host, Zone string
 }
 
-// Owner names the host that gives the places of an endpoint: of the hosts in its zone, or of all if there are none, the one
-// with the largest hash of both names (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-// 1998). It is empty without hosts.
+// Owner returns the name of the host that owns the slots of an endpoint: the one with the largest
+// hash of both names (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
+// 1998) among the hosts in the endpoint's zone, or among all hosts if that zone has none. It is
+// empty without hosts.
 func Owner(endpoint, zone string, hosts []Candidate) string {
 	if name := maxHash(endpoint, hosts, func(c Candidate) bool { return c.Zone == zone }); name != "" {
 		return name
@@ -22,7 +23,7 @@
 	return maxHash(endpoint, hosts, func(Candidate) bool { return true })
 }
 
-// maxHash names the candidate with the largest hash.
+// maxHash returns the name of the accepted candidate with the largest hash, or "".
 func maxHash(endpoint string, hosts []Candidate, ok func(Candidate) bool) string {
 	name, maxSum := "", uint64(0)
 	for _, c := range hosts {
--- a/places/places_test.go
+++ b/places/places_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// candidates are n hosts in zones a, b and c.
+// candidates returns n hosts in zones a, b and c.
 func candidates(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
@@ -25,8 +25,8 @@
 	return out
 }
 
-// TestOwner holds that owners stand in the endpoint's zone, own about as much as each other, and that the loss of a
-// host moves only what it owned.
+// TestOwner checks that owners are in the endpoint's zone and own about equal shares, and that the
+// loss of a host moves only the endpoints that it owned.
 func TestOwner(t *testing.T) {
 	hosts := candidates(30)
 	owned := make(map[string]int)
@@ -52,32 +52,33 @@
 	must.NotEq(t, "", Owner("e", "elsewhere", hosts)) // a zone without hosts
 }
 
-// TestAllocator plays words of hosts to the owner of an endpoint with two places, of which the top tier may have three.
+// TestAllocator sends messages of hosts to an allocator of two slots, where the top tier may use
+// three.
 func TestAllocator(t *testing.T) {
 	type message struct {
 		at          time.Duration
 		host        string
 		seq         uint32
 		request     Request
-		want        []string // who gets a place for it
-		incarnation uint64   // of the host, 0 for the first
+		want        []string // hosts that then get a slot
+		incarnation uint64   // of the host; 0 means the first
 	}
 	cases := []struct {
 		name     string
 		messages []message
 	}{
-		{"free places", []message{{0, "x", 1, Request{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
-		{"the top tier may have one more", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {0, "z", 1, Request{0, 0, false}, []string{"z"}, 0}}},
-		{"what was granted is taken", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Request{1, -1, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
-		{"what was granted is given back", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "y", 2, Request{0, -1, true}, []string{"z"}, 0}}},
-		{"what was granted is not taken in its time", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {requestTTL + 1, "z", 1, Request{0, 1, false}, []string{"z"}, 0}}},
+		{"free slots", []message{{0, "x", 1, Request{0, 1, false}, []string{"x"}, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"the top tier may use one more", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {0, "z", 1, Request{0, 0, false}, []string{"z"}, 0}}},
+		{"a granted slot is taken", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "y", 2, Request{1, -1, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}}},
+		{"a granted slot is returned", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "y", 2, Request{0, -1, true}, []string{"z"}, 0}}},
+		{"a grant expires", []message{{0, "x", 1, Request{1, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, []string{"y"}, 0}, {requestTTL + 1, "z", 1, Request{0, 1, false}, []string{"z"}, 0}}},
 		{"a request ends", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {50 * ms, "x", 2, Request{1, -1, false}, []string{"y"}, 0}}},
-		{"who waits for a higher tier goes first", []message{{0, "x", 1, Request{3, -1, false}, nil, 0}, {0, "y", 1, Request{0, 2, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "x", 2, Request{1, -1, false}, []string{"z"}, 0}}},
-		{"who waits says so", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {requestTTL + 1, "x", 2, Request{1, -1, false}, nil, 0}}},
-		{"words that were overtaken", []message{{0, "x", 5, Request{2, -1, false}, nil, 0}, {0, "x", 4, Request{0, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}}},
-		{"words that are told twice", []message{{0, "x", 5, Request{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Request{1, 1, false}, nil, 0}}},
-		{"a host that fell silent", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {hostTTL + 1, "y", 1, Request{0, 1, false}, []string{"y"}, 0}}},
-		{"a host that starts again", []message{{0, "x", 900, Request{2, -1, false}, nil, 0}, {ms, "x", 1, Request{0, 1, false}, []string{"x"}, 2}}},
+		{"a higher tier goes first", []message{{0, "x", 1, Request{3, -1, false}, nil, 0}, {0, "y", 1, Request{0, 2, false}, nil, 0}, {0, "z", 1, Request{0, 1, false}, nil, 0}, {0, "x", 2, Request{1, -1, false}, []string{"z"}, 0}}},
+		{"a request for a slot expires", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}, {requestTTL + 1, "x", 2, Request{1, -1, false}, nil, 0}}},
+		{"messages out of order", []message{{0, "x", 5, Request{2, -1, false}, nil, 0}, {0, "x", 4, Request{0, -1, false}, nil, 0}, {0, "y", 1, Request{0, 1, false}, nil, 0}}},
+		{"a message received twice", []message{{0, "x", 5, Request{1, 1, false}, []string{"x"}, 0}, {0, "x", 5, Request{1, 1, false}, nil, 0}}},
+		{"a silent host", []message{{0, "x", 1, Request{2, -1, false}, nil, 0}, {hostTTL + 1, "y", 1, Request{0, 1, false}, []string{"y"}, 0}}},
+		{"a host that restarts", []message{{0, "x", 900, Request{2, -1, false}, nil, 0}, {ms, "x", 1, Request{0, 1, false}, []string{"x"}, 2}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -91,15 +92,14 @@
 			}
 			for i, m := range tc.messages {
 				b.Update(m.at, m.host, cmp.Or(m.incarnation, 1), m.seq, m.request)
-				must.Eq(t, m.want, b.Allocate(m.at, limit, r), must.Sprint("word ", i))
+				must.Eq(t, m.want, b.Allocate(m.at, limit, r), must.Sprint("message ", i))
 			}
 		})
 	}
 }
 
-// TestAllocatorBounds plays random hosts whose words are lost, late and doubled: the places that are taken, and those granted
-// and not returned, are never more than there are but for those whose words were lost, and no grant is made
-// while as many are known to be taken.
+// TestAllocatorBounds simulates random hosts and checks that their requests, and those that the
+// allocator knows of, exceed the slots at most by grants that are taken after they have expired.
 func TestAllocatorBounds(t *testing.T) {
 	const hosts, slots = 12, 9
 	for seed := range uint64(200) {
@@ -134,7 +134,7 @@
 			for i := range running {
 				total += running[i]
 			}
-			must.LessEq(t, slots+hosts/2, total, must.Sprint("seed ", seed)) // a place taken after its time, before its host says so
+			must.LessEq(t, slots+hosts/2, total, must.Sprint("seed ", seed)) // by slots taken after the grant expired and before the host reports them
 			must.LessEq(t, slots+hosts, b.Running(now))
 		}
 	}
