--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkDecide gives the cost of deciding and ending one request.
+// BenchmarkDecide measures the decision on one request and its end.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{22, 100, 500, 2800} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkWaiting gives the cost of one request coming and one going while n wait.
+// BenchmarkWaiting measures the arrival of one request and the end of another while n wait.
 func BenchmarkWaiting(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("waiting=%d", n), func(b *testing.B) {
--- a/sched/claim_test.go
+++ b/sched/claim_test.go
@@ -15,7 +15,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// hostFleet is hosts that share engines and hear of each other with a delay.
+// hostFleet simulates hosts that share engines and learn of each other's requests with a delay.
 type hostFleet struct {
 	hosts         []*Scheduler
 	now           time.Duration
@@ -24,15 +24,15 @@
 	history       [][]map[string]int // by host: the same in the past, newest last
 	ends          map[time.Duration][]running
 	rand          *rand.Rand
-	maxRunning    int // requests at one engine at a time
-	overfullSteps int // engine-steps in which more than slots were there
+	maxRunning    int // most requests at one engine at a time
+	overfullSteps int // engine-steps with more requests than slots
 	engineSteps   int
 	served        int
 	refused       int
-	// draw draws a request and lasts is how long one takes; nil means all alike.
+	// draw returns a random request and duration the time that it takes; if nil, all are alike.
 	draw     func() *Request
 	duration func(*Request) time.Duration
-	// onDecision is called with each decision that ends a request or sends it; nil is allowed.
+	// onDecision is called with each decision to run or refuse a request; it may be nil.
 	onDecision func(Decision)
 }
 
@@ -42,10 +42,10 @@
 	r    *Request
 }
 
-// fleetStep is the time between two steps, of the hosts' draws.
+// fleetStep is the time between two steps, and between two calls of DrawClaims.
 const fleetStep = 25 * time.Millisecond
 
-// newFleet makes hosts that share engines of 7 slots and hear of each other after some time.
+// newFleet returns hosts that share engines of 7 slots and see each other's state after age.
 func newFleet(hosts, engines int, age time.Duration, disabled Rules) *hostFleet {
 	disabled.Share, disabled.LongCap, disabled.Floor, disabled.Slow, disabled.PeerCorrection = true, true, true, true, true
 	f := &hostFleet{age: age, ends: make(map[time.Duration][]running), rand: rand.New(rand.NewPCG(3, 3))}
@@ -64,8 +64,8 @@
 	return f
 }
 
-// step lets a step pass in which some requests come to hosts drawn at random; each takes
-// some time at an engine once it is sent.
+// step advances the time by one step, in which requests arrive at random hosts; each takes about
+// the service time at an engine once it is dispatched.
 func (f *hostFleet) step(arriving int, service time.Duration) {
 	f.now += fleetStep
 	for _, x := range f.ends[f.now] {
@@ -95,7 +95,7 @@
 	f.record(delaySteps)
 }
 
-// report tells a host what the others had running some steps ago.
+// report gives a host the requests that the others had some steps ago.
 func (f *hostFleet) report(h int, s *Scheduler, delaySteps int) {
 	for _, e := range s.endpoints {
 		others := 0
@@ -119,7 +119,7 @@
 	s.SetPeerState(PeerState{Waiting: waiting, Age: f.age})
 }
 
-// request makes a request that may wait for 0.2 s.
+// request returns a request that may wait for 0.2 s.
 func (f *hostFleet) request(service time.Duration) *Request {
 	return &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
@@ -128,7 +128,7 @@
 	}
 }
 
-// apply notes a decision.
+// apply applies a decision.
 func (f *hostFleet) apply(h int, service time.Duration, d Decision) {
 	if f.onDecision != nil && d.Verdict != Wait {
 		f.onDecision(d)
@@ -149,7 +149,7 @@
 	}
 }
 
-// record notes how full the engines are, and what hosts will tell.
+// record counts the requests at the engines and stores those of each host for later reports.
 func (f *hostFleet) record(delaySteps int) {
 	for _, e := range f.hosts[0].endpoints {
 		n := 0
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestStaleHostsDoNotOverfill lets hosts that hear of each other late share engines at
-// twice what these can do, and holds how far the engines are overfilled, and how much of
-// what they can do is done. Without claims all hosts fill the same free places.
+// TestStaleHostsDoNotOverfill checks how far engines are overfilled, and how much of their
+// capacity is used, by hosts with stale peer state at twice the capacity. Without claims, all
+// hosts fill the same free slots.
 func TestStaleHostsDoNotOverfill(t *testing.T) {
 	const service = 1200 * time.Millisecond
 	cases := []struct {
@@ -185,12 +185,12 @@
 		age                    time.Duration
 		disabled               Rules
 		minRunning, maxRunning int     // requests at the fullest engine of 7 slots
-		over                   float64 // part of the time in which an engine has more than slots
-		served                 float64 // part of what engines of 7 slots can do
+		maxOverfull            float64 // share of the time in which an engine has more requests than slots
+		minServed              float64 // share of the capacity of engines with 7 slots
 	}{
-		{"few hosts, fresh news", 6, 18, 25 * time.Millisecond, Rules{}, 7, 12, 0.1, 0.85},
-		{"many hosts, old news", 40, 45, 450 * time.Millisecond, Rules{}, 7, 17, 0.3, 0.85},
-		{"many hosts, old news, no claims", 40, 45, 450 * time.Millisecond, Rules{Claims: true}, 50, 1000, 1, 1},
+		{"few hosts, fresh peer state", 6, 18, 25 * time.Millisecond, Rules{}, 7, 12, 0.1, 0.85},
+		{"many hosts, stale peer state", 40, 45, 450 * time.Millisecond, Rules{}, 7, 17, 0.3, 0.85},
+		{"many hosts, stale peer state, no claims", 40, 45, 450 * time.Millisecond, Rules{Claims: true}, 50, 1000, 1, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -204,17 +204,17 @@
 				carry -= float64(n)
 				f.step(n, service)
 			}
-			over, served := float64(f.overfullSteps)/float64(f.engineSteps), float64(f.served)/(perStep*float64(steps))
-			t.Logf("most %d, over %.2f, served %.2f, refused %d", f.maxRunning, over, served, f.refused)
+			overfull, served := float64(f.overfullSteps)/float64(f.engineSteps), float64(f.served)/(perStep*float64(steps))
+			t.Logf("max running %d, overfull %.2f, served %.2f, refused %d", f.maxRunning, overfull, served, f.refused)
 			must.Between(t, tc.minRunning, f.maxRunning, tc.maxRunning)
-			must.LessEq(t, tc.over, over)
-			must.GreaterEq(t, tc.served, served)
+			must.LessEq(t, tc.maxOverfull, overfull)
+			must.GreaterEq(t, tc.minServed, served)
 		})
 	}
 }
 
-// TestShortRequestsNeedNoClaims checks that places are not claimed where requests end long
-// before news of them is heard.
+// TestShortRequestsNeedNoClaims checks that no claims are needed where requests end long before
+// other hosts learn of them.
 func TestShortRequestsNeedNoClaims(t *testing.T) {
 	f := newFleet(20, 3, 450*time.Millisecond, Rules{})
 	for range 80 {
@@ -223,7 +223,7 @@
 	must.EqOp(t, 0, f.refused)
 }
 
-// TestClaimRules holds when a request may fill a place.
+// TestClaimRules checks when a request may take a slot.
 func TestClaimRules(t *testing.T) {
 	stale := 450 * time.Millisecond
 	cases := []struct {
@@ -233,19 +233,19 @@
 		claims     int
 		lastChance bool
 		age        time.Duration
-		others     []int // that wait at other hosts, by tier; the request is of tier 1
+		others     []int // waiting at other hosts, by tier; the request is of tier 1
 		want       bool
 	}{
-		{"plenty", false, 0, 0, false, stale, []int{9}, true},
-		{"scarce", true, 0, 0, false, stale, nil, false},
-		{"an own request ended there", true, 1, 0, false, stale, []int{9}, true},
+		{"slots not scarce", false, 0, 0, false, stale, []int{9}, true},
+		{"slots scarce", true, 0, 0, false, stale, nil, false},
+		{"an own request ended", true, 1, 0, false, stale, []int{9}, true},
 		{"a claim was drawn", true, 0, 1, false, stale, []int{9}, true},
-		{"last chance, old news", true, 0, 0, true, stale, nil, false},
-		{"last chance, fresh news", true, 0, 0, true, freshPeerState, []int{9}, true},
-		{"fresh news, nobody waits elsewhere", true, 0, 0, false, freshPeerState, nil, true},
-		{"fresh news, lower tiers wait elsewhere", true, 0, 0, false, freshPeerState, []int{0, 0, 9}, true},
-		{"fresh news, the same tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{0, 9}, false},
-		{"fresh news, a higher tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{9}, false},
+		{"last chance, stale peer state", true, 0, 0, true, stale, nil, false},
+		{"last chance, fresh peer state", true, 0, 0, true, freshPeerState, []int{9}, true},
+		{"fresh peer state, no requests wait elsewhere", true, 0, 0, false, freshPeerState, nil, true},
+		{"fresh peer state, lower tiers wait elsewhere", true, 0, 0, false, freshPeerState, []int{0, 0, 9}, true},
+		{"fresh peer state, the same tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{0, 9}, false},
+		{"fresh peer state, a higher tier waits elsewhere", true, 0, 0, false, freshPeerState, []int{9}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -262,16 +262,16 @@
 	}
 }
 
-// TestSingleHostNeedsNoClaims checks that a host without others fills what is free.
+// TestSingleHostNeedsNoClaims checks that a host without others fills the free slots.
 func TestSingleHostNeedsNoClaims(t *testing.T) {
 	f := newFleet(1, 2, 0, Rules{})
 	for range 40 {
 		f.step(1, 2*time.Second)
 	}
-	must.EqOp(t, 12, f.running[0]["e0"]+f.running[0]["e1"]) // one place of 7 is reserved for the tier above
+	must.EqOp(t, 12, f.running[0]["e0"]+f.running[0]["e1"]) // one slot of 7 is reserved for the tier above
 }
 
-// TestOwnWaiting checks what a host tells of its waiting requests.
+// TestOwnWaiting checks the counts of waiting requests that a host reports.
 func TestOwnWaiting(t *testing.T) {
 	f := newFleet(1, 1, 0, Rules{})
 	must.MapEmpty(t, f.hosts[0].OwnWaiting())
--- a/sched/grant_test.go
+++ b/sched/grant_test.go
@@ -14,7 +14,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// scarceHost is a host of a fleet, which has heard of its endpoints as they are full.
+// scarceHost returns a host of a fleet whose endpoints are reported as full.
 func scarceHost(t *testing.T, engines int) (*Scheduler, func(at time.Duration) *Request) {
 	t.Helper()
 	s := newFleet(20, engines, 450*time.Millisecond, Rules{}).hosts[0]
@@ -32,7 +32,7 @@
 	return s, request
 }
 
-// TestGrants plays a host whose request waits for a place that an owner gives.
+// TestGrants checks a request that waits for a slot until an owner grants one.
 func TestGrants(t *testing.T) {
 	const ms = time.Millisecond
 	s, request := scarceHost(t, 8)
@@ -41,7 +41,7 @@
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
 	s.DrawClaims(25 * ms)
 	s.Wake()
-	must.SliceEmpty(t, s.Poll(25*ms)) // a full endpoint is nobody's to fill
+	must.SliceEmpty(t, s.Poll(25*ms)) // full endpoints are not filled without a grant
 	asked := s.SlotRequests(25 * ms)
 	must.MapLen(t, endpointsAskedPerRequest, asked)
 	for _, rank := range asked {
@@ -52,10 +52,11 @@
 	must.SliceLen(t, 1, decisions)
 	must.EqOp(t, "e3", decisions[0].Endpoint)
 	must.MapEmpty(t, s.SlotRequests(30*ms))
-	must.False(t, s.ApplyGrant(31*ms, "e4", places.Grant{Slots: 1, Running: 5})) // nothing waits any more
+	must.False(t, s.ApplyGrant(31*ms, "e4", places.Grant{Slots: 1, Running: 5})) // no request waits any more
 }
 
-// TestGrantExpires checks that a granted place is not taken once its owner may have given it to another host.
+// TestGrantExpires checks that a granted slot is not taken once its owner may have granted it to
+// another host.
 func TestGrantExpires(t *testing.T) {
 	const ms = time.Millisecond
 	s, request := scarceHost(t, 2)
@@ -69,7 +70,8 @@
 	must.EqOp(t, Wait, s.Submit(grantTTL+ms, request(grantTTL+ms)).Verdict)
 }
 
-// TestSilentOwners checks that a host goes on by claims where an owner does not answer, and everywhere once none does.
+// TestSilentOwners checks that a host falls back to claims where an owner does not answer, and
+// everywhere once none does.
 func TestSilentOwners(t *testing.T) {
 	s, request := scarceHost(t, 2)
 	s.ApplyGrant(1, "e0", places.Grant{Running: 7})
@@ -85,7 +87,8 @@
 	must.False(t, s.ownerAnswers(ownerTimeout+ownerTTL, s.byName["e0"]))
 }
 
-// TestOwnerAnswerOverridesReports checks that what an owner tells of other hosts' requests is not overwritten by older news.
+// TestOwnerAnswerOverridesReports checks that an owner's count of other hosts' requests is not
+// overwritten by a report before ownerReportTTL has passed.
 func TestOwnerAnswerOverridesReports(t *testing.T) {
 	s, _ := scarceHost(t, 1)
 	e := s.byName["e0"]
--- a/sched/health_test.go
+++ b/sched/health_test.go
@@ -16,7 +16,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// TestFailingEndpoints lets some of four engines fail and tells which get further requests.
+// TestFailingEndpoints lets some of four engines fail and checks which get further requests.
 func TestFailingEndpoints(t *testing.T) {
 	const n = 4
 	refused, lost := outlier.Unreachable, outlier.Unanswered
@@ -25,18 +25,18 @@
 		failing    []int
 		failure    outlier.Failure
 		times      int
-		repeatable bool // the requests that follow may be repeated
+		repeatable bool // whether the requests that follow may be repeated
 		after      time.Duration
 		want       []int
 	}{
 		{"none", nil, lost, 0, false, 0, []int{0, 1, 2, 3}},
-		{"one is not reached", []int{0}, refused, 1, true, 0, []int{1, 2, 3}},
+		{"one is unreachable", []int{0}, refused, 1, true, 0, []int{1, 2, 3}},
 		{"one loses two answers", []int{0}, lost, 2, true, 0, []int{1, 2, 3}},
-		{"two are not reached", []int{0, 1}, refused, 1, true, 0, []int{2, 3}},
-		{"three are not reached, and the fourth has room", []int{0, 1, 2}, refused, 1, false, 0, []int{3}},
-		{"all are not reached: all are tried", []int{0, 1, 2, 3}, refused, 1, false, 0, []int{0, 1, 2, 3}},
-		{"after its time, requests that may be repeated try it", []int{0}, refused, 1, true, 2 * time.Second, []int{0, 1, 2, 3}},
-		{"but not those that may not", []int{0}, refused, 1, false, 2 * time.Second, []int{1, 2, 3}},
+		{"two are unreachable", []int{0, 1}, refused, 1, true, 0, []int{2, 3}},
+		{"three are unreachable and the fourth has room", []int{0, 1, 2}, refused, 1, false, 0, []int{3}},
+		{"all are unreachable: all are tried", []int{0, 1, 2, 3}, refused, 1, false, 0, []int{0, 1, 2, 3}},
+		{"after the ejection, repeatable requests probe it", []int{0}, refused, 1, true, 2 * time.Second, []int{0, 1, 2, 3}},
+		{"after the ejection, other requests do not", []int{0}, refused, 1, false, 2 * time.Second, []int{1, 2, 3}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/sched/hidden_test.go
+++ b/sched/hidden_test.go
@@ -13,23 +13,23 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// TestSilentPeers holds what a host takes those to have running that it does not hear, and
-// what its own first tokens make of that.
+// TestSilentPeers checks the assumed load of silent hosts and its update by the host's own first
+// tokens.
 func TestSilentPeers(t *testing.T) {
 	const own, engines = 4, 8
 	onTime, late := 100*time.Millisecond, 500*time.Millisecond
 	cases := []struct {
 		name   string
 		silent int
-		delays []time.Duration // that came since
+		delays []time.Duration // first tokens since then
 		low    float64         // requests at each engine
 		high   float64
 	}{
-		{"all are heard", 0, nil, 0, 0},
+		{"no host is silent", 0, nil, 0, 0},
 		{"one of six is silent", 1, nil, 0.5, 0.5},
-		{"alone", 5, nil, 2.5, 2.5},
-		{"alone, and first tokens come late", 5, []time.Duration{late, late, late, late, late, late}, 2.4, 2.5},
-		{"alone, and they come on time", 5, []time.Duration{onTime, onTime, onTime, onTime, onTime, onTime, onTime, onTime}, 0, 1.2},
+		{"all others are silent", 5, nil, 2.5, 2.5},
+		{"all others are silent, first tokens are late", 5, []time.Duration{late, late, late, late, late, late}, 2.4, 2.5},
+		{"all others are silent, first tokens are on time", 5, []time.Duration{onTime, onTime, onTime, onTime, onTime, onTime, onTime, onTime}, 0, 1.2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/sched/quantile_test.go
+++ b/sched/quantile_test.go
@@ -20,9 +20,9 @@
 		draw      func(*rand.Rand) float64
 		low, high float64
 	}{
-		{"low of an exponential", 0.2, exponential, 0.14, 0.32},   // 0.223
-		{"middle of an exponential", 0.5, exponential, 0.55, 0.9}, // 0.693
-		{"high of an exponential", 0.8, exponential, 1.3, 2.0},    // 1.609
+		{"low quantile of an exponential", 0.2, exponential, 0.14, 0.32}, // 0.223
+		{"median of an exponential", 0.5, exponential, 0.55, 0.9},        // 0.693
+		{"high quantile of an exponential", 0.8, exponential, 1.3, 2.0},  // 1.609
 		{"constant", 0.2, func(*rand.Rand) float64 { return 7 }, 6.999, 7.001},
 	}
 	for _, tc := range cases {
--- a/sched/ration_test.go
+++ b/sched/ration_test.go
@@ -15,18 +15,18 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// surge is a load of requests whose lengths differ as those of drafts do, and what became of it.
+// surge simulates requests with widely differing answer lengths and counts those served.
 type surge struct {
 	*hostFleet
-	tokens    map[*Request]int // how long the answers are
+	tokens    map[*Request]int // actual lengths of answers
 	submitted map[string]int
-	served    map[string]int // by the keys of count
+	served    map[string]int // by the keys of tally
 }
 
-// surgeTokenTime is the time of a token where all places of an engine are taken.
+// surgeTokenTime is the time per token while all slots of an engine are taken.
 const surgeTokenTime = 3500 * time.Microsecond
 
-// newSurge makes six hosts before 18 engines with 7 places each.
+// newSurge returns six hosts that share 18 engines with 7 slots each.
 func newSurge(disabled Rules, withLengths bool) *surge {
 	s := &surge{
 		hostFleet: newFleet(6, 18, 25*time.Millisecond, disabled),
@@ -42,8 +42,8 @@
 	return s
 }
 
-// newRequest makes a request: an answer of 150 tokens in the median, with a standard deviation of its
-// logarithm of 1.4, guessed with one of 0.5.
+// newRequest returns a request whose answer has a log-normal length with a median of 150 tokens
+// and sigma 1.4; the expected length has an error with sigma 0.5.
 func (s *surge) newRequest(withLengths bool) *Request {
 	n := int(min(3000, max(1, 150*math.Exp(1.4*s.rand.NormFloat64()))))
 	rank := 1 + s.rand.IntN(2)
@@ -62,7 +62,7 @@
 	return r
 }
 
-// tally counts a request under its workspace, its tier, and in its tier by length.
+// tally counts a request by workspace, by tier, and by tier and length.
 func (s *surge) tally(counts map[string]int, r *Request) {
 	length := "long"
 	if s.tokens[r] < 150 {
@@ -73,9 +73,9 @@
 	}
 }
 
-// run lets requests come at so many times what the engines can do, for a time.
+// run lets requests arrive at a multiple of the engines' capacity for a time.
 func (s *surge) run(load float64, length time.Duration) {
-	const mean = 150 * 2.3 // tokens, of the lengths as they are cut
+	const mean = 150 * 2.3 // tokens, after clamping
 	perStep := load * 7 * 18 * fleetStep.Seconds() / (mean * surgeTokenTime.Seconds())
 	carry := 0.0
 	for end := s.now + length; s.now < end; {
@@ -86,24 +86,25 @@
 	}
 }
 
-// servedShare is the part of some requests that were served.
+// servedShare returns the share of the counted requests that were served.
 func (s *surge) servedShare(key string) float64 {
 	return float64(s.served[key]) / float64(s.submitted[key])
 }
 
-// TestSurge plays ten seconds of twice to two and a half times what engines can do and holds what callers get: more are
-// answered than without rations, no workspace and no tier pays for another, long answers are not
-// starved, and nothing is refused any more soon after the surge.
+// TestSurge simulates ten seconds of two to two and a half times the engines' capacity. It checks
+// that more requests are served than without rations, that no workspace and no tier pays for
+// another, that long answers do not starve, and that soon after the surge almost nothing is
+// refused.
 func TestSurge(t *testing.T) {
 	cases := []struct {
 		name        string
 		load        float64
 		withLengths bool
-		minGain     float64 // least ratio of served requests to those without rations
+		minGain     float64 // least ratio of requests served with and without rations
 	}{
-		{"twice, lengths guessed", 2, true, 1.15},
-		{"two and a half times, lengths guessed", 2.5, true, 1.2},
-		{"twice, lengths unknown", 2, false, 0.95},
+		{"twice the capacity, expected lengths known", 2, true, 1.15},
+		{"two and a half times the capacity, expected lengths known", 2.5, true, 1.2},
+		{"twice the capacity, expected lengths unknown", 2, false, 0.95},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -132,7 +133,7 @@
 
 func TestLengthQuantile(t *testing.T) {
 	var recent recentLengths
-	must.EqOp(t, 0.5, recent.quantile(10, 0.5)) // nothing to compare with
+	must.EqOp(t, 0.5, recent.quantile(10, 0.5)) // no lengths to compare with
 	for range 9 {
 		recent.quantile(10, 0)
 	}
@@ -144,7 +145,7 @@
 	}{
 		{"shorter than all", 1, 0, 0},
 		{"longer than all", 100, 0, 11.0 / 12},
-		{"equal ones are drawn", 10, 0.5, 0.5},
+		{"equal to the others", 10, 0.5, 0.5},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) { must.InDelta(t, tc.want, recent.quantile(tc.tokens, tc.u), 0.1) })
@@ -152,7 +153,7 @@
 	for range 2 * maxRecentLengths {
 		recent.quantile(1000, 0)
 	}
-	must.EqOp(t, 0, recent.quantile(999, 0)) // old lengths are forgotten
+	must.EqOp(t, 0, recent.quantile(999, 0)) // old lengths are dropped
 }
 
 func TestRation(t *testing.T) {
@@ -168,7 +169,7 @@
 	must.EqOp(t, 0, x.refusedShare)
 	x.noteUnplaced(time.Hour)
 	must.EqOp(t, time.Hour, x.since)
-	// It rests where the share of those in vain is the one allowed.
+	// The share is stable where unplacedShare of the requests get no slot.
 	x = ration{refusedShare: 0.5}
 	for range 100 {
 		for range int(math.Round(10 * unplacedShare)) {
@@ -181,25 +182,25 @@
 	must.Between(t, 0.4, x.refusedShare, 0.75)
 }
 
-// TestRationExemptsRedispatches holds that a request whose endpoint did not run it is not given up for
-// its length: its caller has waited, and its place is free again.
+// TestRationExemptsRedispatches checks that a request whose endpoint did not run it is not refused
+// by a ration: its caller has waited, and its slot is free again.
 func TestRationExemptsRedispatches(t *testing.T) {
-	f := newFleet(1, 2, 0, Rules{})
-	s := f.hosts[0]
+	fleet := newFleet(1, 2, 0, Rules{})
+	s := fleet.hosts[0]
 	for range maxRecentLengths {
 		s.Submit(0, &Request{Settings: &settings.Effective{Service: "s", Rank: 1}, Model: "none", MaxTokens: 100, ExpectedTokens: 1})
 	}
-	f.step(0, time.Second)
-	r := f.request(time.Second)
-	d := s.Submit(f.now, r)
+	fleet.step(0, time.Second)
+	r := fleet.request(time.Second)
+	d := s.Submit(fleet.now, r)
 	must.EqOp(t, Run, d.Verdict)
 	for range 1000 {
-		r.pool.rations[1].noteUnplaced(f.now)
+		r.pool.rations[1].noteUnplaced(fleet.now)
 	}
 	for range 6 { // fill the other endpoint
 		s.byName["e0"].own++
 		s.byName["e1"].own++
 	}
-	must.EqOp(t, ReasonLength, s.Submit(f.now, f.request(time.Second)).Reason)
-	must.NotEq(t, ReasonLength, s.Redispatch(f.now, r).Reason)
+	must.EqOp(t, ReasonLength, s.Submit(fleet.now, fleet.request(time.Second)).Reason)
+	must.NotEq(t, ReasonLength, s.Redispatch(fleet.now, r).Reason)
 }
--- a/sched/rules_test.go
+++ b/sched/rules_test.go
@@ -22,7 +22,7 @@
 	next int
 }
 
-// engine describes an engine of a stage.
+// engine describes an engine of a testScheduler.
 type engine struct {
 	name    string
 	slots   int
@@ -30,7 +30,7 @@
 	step    time.Duration
 }
 
-// newTestScheduler makes a scheduler whose engines have reported.
+// newTestScheduler returns a scheduler whose engines have reported.
 func newTestScheduler(cfg Config, engines ...engine) *testScheduler {
 	s := &testScheduler{Scheduler: &Scheduler{Config: cfg, Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 1}, now: time.Second}
 	s.Init()
@@ -45,7 +45,7 @@
 	return s
 }
 
-// report gives an engine's account.
+// report applies a report of an engine.
 func (s *testScheduler) report(e engine, at time.Duration) {
 	step := e.step
 	if step == 0 {
@@ -54,7 +54,7 @@
 	s.ApplyReport(s.now, e.name, Report{At: at, Running: e.running, Slots: e.slots, Step: step, PrefillPerStep: 512, Model: "m", AcceptsPrompts: true})
 }
 
-// request makes a request of a workspace and tier.
+// request returns a request of a workspace and tier.
 func (s *testScheduler) request(ws string, rank int) *Request {
 	s.next++
 	return &Request{
@@ -65,7 +65,7 @@
 	}
 }
 
-// submit submits requests and returns the last decision.
+// submit submits n requests and returns them and the last decision.
 func (s *testScheduler) submit(n int, ws string, rank int) (rs []*Request, last Decision) {
 	for range n {
 		r := s.request(ws, rank)
@@ -170,15 +170,15 @@
 		setup func(*testScheduler, *Request)
 		want  Reason
 	}{
-		{"deadline shorter than any engine", func(_ *testScheduler, r *Request) { r.Deadline = r.Arrived + time.Millisecond }, ReasonDeadline},
-		{"deadline shorter than the queue", func(s *testScheduler, r *Request) {
+		{"deadline shorter than any completion", func(_ *testScheduler, r *Request) { r.Deadline = r.Arrived + time.Millisecond }, ReasonDeadline},
+		{"deadline shorter than the estimated wait", func(s *testScheduler, r *Request) {
 			s.submit(100, "w", 1)
 			r.Deadline = r.Arrived + 200*time.Millisecond
 			r.Settings.Workspace = "w2"
 			r.Settings.Weight = 0.01
 			s.submit(1, "w2", 1)
 		}, ReasonDeadline},
-		{"queue of the workspace full", func(s *testScheduler, _ *Request) { s.submit(103, "w", 1) }, ReasonQueueFull},
+		{"workspace queue full", func(s *testScheduler, _ *Request) { s.submit(103, "w", 1) }, ReasonQueueFull},
 		{"rate", func(s *testScheduler, r *Request) {
 			for range 5 {
 				q := s.request("w", 1)
@@ -195,8 +195,8 @@
 			}
 			r.Retry = true
 		}, ReasonRetryBudget},
-		{"nobody holds the model", func(_ *testScheduler, r *Request) { r.Model = "other" }, ReasonNoEndpoint},
-		{"no such service", func(_ *testScheduler, r *Request) { r.Model = "" }, ReasonNoEndpoint},
+		{"no engine holds the model", func(_ *testScheduler, r *Request) { r.Model = "other" }, ReasonNoEndpoint},
+		{"no plain service", func(_ *testScheduler, r *Request) { r.Model = "" }, ReasonNoEndpoint},
 	}
 	for _, c := range cases {
 		s := newTestScheduler(Config{}, engine{name: "a", slots: 4})
@@ -251,7 +251,7 @@
 		seen[d.Endpoint]++
 	}
 	must.Eq(t, 4, seen["a"])
-	// The lagged report that counts the own ones does not count them twice.
+	// A delayed report that includes own requests does not count them twice.
 	s.now += time.Second
 	s.report(engine{name: "a", slots: 10, running: 6}, s.now)
 	must.Eq(t, 2, s.byName["a"].others)
@@ -303,7 +303,7 @@
 		seen[s.Submit(s.now, r).Endpoint]++
 	}
 	must.LessEq(t, 1, seen["a"])
-	// At most a third is eased out, however slow the others become.
+	// At most a third is throttled, however slow the others become.
 	for range 4 {
 		s.observeTokens(s.now, s.byName["b"], 10, 10*10*slow.step())
 	}
@@ -326,7 +326,8 @@
 	must.Greater(t, s.cfg.SlowThreshold, s.slowness(s.now, s.byName["a"]))
 }
 
-// TestGapIsExcluded checks that a time in which this process did not run makes no engine look slow, and no answer long.
+// TestGapIsExcluded checks that a time in which this process did not run makes no engine look slow
+// and does not count as service time.
 func TestGapIsExcluded(t *testing.T) {
 	for _, noted := range []bool{false, true} {
 		s := newTestScheduler(Config{}, engine{name: "a", slots: 8})
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -15,7 +15,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// newObjectiveScheduler makes a scheduler with endpoints of the given steps and prompt work.
+// newObjectiveScheduler returns a scheduler with engines of the given step times, prompt tokens
+// and running requests.
 func newObjectiveScheduler(steps []time.Duration, prefill, running []int) *Scheduler {
 	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 6}
 	s.Init()
@@ -39,21 +40,21 @@
 		steps            []time.Duration
 		prefill, running []int
 		prompt, out      int
-		want             string // endpoint, or "" for waiting
+		want             string // endpoint, or "" to wait
 	}{
 		{"a long prompt goes to the fast engine", []time.Duration{slow, fast}, []int{0, 0}, []int{0, 4}, 30000, 100, "1"},
 		{"a long answer goes to the fast engine", []time.Duration{slow, fast}, []int{0, 0}, []int{0, 4}, 500, 1500, "1"},
-		{"a short one avoids prompts that are read", []time.Duration{fast, fast}, []int{60000, 0}, []int{1, 5}, 500, 50, "1"},
-		{"more room wins among equals", []time.Duration{fast, fast}, []int{0, 0}, []int{8, 1}, 500, 50, "1"},
-		{"all full", []time.Duration{fast, fast}, []int{0, 0}, []int{16, 16}, 500, 50, ""},
-		{"no answer by the deadline anywhere", []time.Duration{slow}, []int{0}, []int{0}, 500, 100000, ""},
+		{"a short prompt avoids an engine with prompts to compute", []time.Duration{fast, fast}, []int{60000, 0}, []int{1, 5}, 500, 50, "1"},
+		{"the less loaded of two equal engines", []time.Duration{fast, fast}, []int{0, 0}, []int{8, 1}, 500, 50, "1"},
+		{"all engines full", []time.Duration{fast, fast}, []int{0, 0}, []int{16, 16}, 500, 50, ""},
+		{"no engine meets the deadline", []time.Duration{slow}, []int{0}, []int{0}, 500, 100000, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newObjectiveScheduler(tc.steps, tc.prefill, tc.running)
 			s.cfg.Disabled.Share = true
 			s.Config.Disabled.Share = true
-			for range 20 { // the choice has chance in it
+			for range 20 { // the choice is random
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: tc.prompt,
 					MaxTokens: tc.out, ExpectedTokens: tc.out, Deadline: 15 * time.Second, DispatchBy: 200 * time.Millisecond,
@@ -72,9 +73,9 @@
 	}
 }
 
-// TestLastChanceWithNegativeValue has a request that is worth less than nothing wherever it goes,
-// as its prompt delays more than it earns: once it has waited as long as it may it is sent
-// all the same, since endpoints have room.
+// TestLastChanceWithNegativeValue checks a request with a negative value at every endpoint,
+// because its prompt costs other streams more than it earns: at its queue deadline it is
+// dispatched anyway, since endpoints have room.
 func TestLastChanceWithNegativeValue(t *testing.T) {
 	s := newObjectiveScheduler([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
@@ -88,7 +89,7 @@
 	must.EqOp(t, Run, decisions[0].Verdict)
 }
 
-// TestStalls holds the pause that the reading of prompts makes against the one wanted.
+// TestStalls compares the gap caused by computing prompts with the wanted one.
 func TestStalls(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -98,12 +99,12 @@
 		prompt      int
 		want        bool
 	}{
-		{"a fast engine reads any prompt between two events", 3 * time.Millisecond, 400 * time.Millisecond, 5, 50000, false},
-		{"a slow one does not", 14 * time.Millisecond, 400 * time.Millisecond, 5, 50000, true},
-		{"but a short one", 14 * time.Millisecond, 400 * time.Millisecond, 5, 3000, false},
-		{"a middling one is too much where it is slow", 14 * time.Millisecond, 400 * time.Millisecond, 5, 5000, true},
-		{"longer events wait longer", 14 * time.Millisecond, 400 * time.Millisecond, 20, 3000, true},
-		{"no pause is wanted", 14 * time.Millisecond, 0, 5, 50000, false},
+		{"fast engine, long prompt", 3 * time.Millisecond, 400 * time.Millisecond, 5, 50000, false},
+		{"slow engine, long prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 50000, true},
+		{"slow engine, short prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 3000, false},
+		{"slow engine, medium prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 5000, true},
+		{"slow engine, short prompt, longer events", 14 * time.Millisecond, 400 * time.Millisecond, 20, 3000, true},
+		{"no gap objective", 14 * time.Millisecond, 0, 5, 50000, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestLastChance checks that a request that fits nowhere well is sent at last, and
-// lets one behind it pass meanwhile.
+// TestLastChance checks that a request with too little value at every endpoint is dispatched at
+// its queue deadline.
 func TestLastChance(t *testing.T) {
 	s := newObjectiveScheduler([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
 	request := func(prompt int) *Request {
@@ -132,16 +133,16 @@
 	must.EqOp(t, Run, out[0].Verdict)
 }
 
-// TestLastChanceWithoutObjective checks that a request without an aim is sent, too, if an endpoint
-// has come back by the time at which it would be refused.
+// TestLastChanceWithoutObjective checks that a request without an objective is dispatched as well
+// if an endpoint is available again at its queue deadline.
 func TestLastChanceWithoutObjective(t *testing.T) {
 	cases := []struct {
 		name string
 		poll time.Duration
 		want Verdict
 	}{
-		{"the endpoint is back", 100 * time.Millisecond, Run},
-		{"it is not", 59 * time.Millisecond, Refuse},
+		{"the endpoint is available again", 100 * time.Millisecond, Run},
+		{"it is still backed off", 59 * time.Millisecond, Refuse},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -156,7 +157,7 @@
 			first := request(time.Second)
 			must.EqOp(t, Run, s.Submit(0, first).Verdict)
 			s.BackOff(0, first, 60*time.Millisecond)
-			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is left alone
+			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is backed off
 			s.Withdraw(first)
 			must.EqOp(t, Wait, s.Submit(0, request(min(66*time.Millisecond, tc.poll))).Verdict)
 			out := s.Poll(tc.poll)
@@ -166,18 +167,18 @@
 	}
 }
 
-// TestSameZoneFirst checks that an endpoint of the own zone is taken unless it has much
-// less room, however many far ones there are.
+// TestSameZoneFirst checks that an endpoint in the same zone is chosen unless it has much less
+// room, however many endpoints other zones have.
 func TestSameZoneFirst(t *testing.T) {
-	const n = 12 // the first is near
+	const n = 12 // the first is in the same zone
 	cases := []struct {
 		name            string
 		sameZoneRunning int
-		low, high       int // of 100 requests that go to the near one
+		low, high       int // of 100 requests, those that go to the same zone
 	}{
-		{"as much room", 0, 100, 100},
-		{"a little less room", 3, 100, 100},
-		{"much less room", 8, 0, 0},
+		{"equal load", 0, 100, 100},
+		{"slightly higher load", 3, 100, 100},
+		{"much higher load", 8, 0, 0},
 		{"none", 10, 0, 0},
 	}
 	for _, tc := range cases {
