--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -66,7 +66,7 @@
 	health    outlier.Record
 
 	ownerReportAt   time.Duration // when the slot owner last reported the requests of other hosts
-	unansweredSince time.Duration // time of the oldest request to the slot owner without an answer, or 0
+	unansweredSince time.Duration // start of the requests to the slot owner without an answer, or 0
 	lastAskedAt     time.Duration // time of the latest request to the slot owner
 	vacated         int           // slots that own requests left recently
 	vacatedAt       time.Duration // when the latest of them was left
--- a/sched/ration.go
+++ b/sched/ration.go
@@ -44,8 +44,8 @@
 	// maxRecentLengths is the number of the latest expected lengths of a service with which a new
 	// one is compared; it gives quantiles to within 0.1.
 	maxRecentLengths = 64
-	// maxRationRetryAfter limits the retry time of requests refused by a ration. In a surge of
-	// twice the capacity, 42 % of the requests that came back after 1.5 s or more were served, and
+	// maxRationRetryAfter limits the retry time of requests refused by a ration. In one surge
+	// of twice the capacity, 42 % of the requests that came back after 1.5 s or more were served, and
 	// 28 % of those that came back within half a second.
 	maxRationRetryAfter = 4 * time.Second
 )
@@ -82,10 +82,10 @@
 
 // quantile returns the share of the stored lengths that are shorter than tokens, and stores
 // tokens. Equal lengths count with the share u, in [0, 1).
-func (g *recentLengths) quantile(tokens int, u float64) float64 {
+func (x *recentLengths) quantile(tokens int, u float64) float64 {
 	shorter, equal := 0, 1
-	n := min(g.n, maxRecentLengths)
-	for _, t := range g.lengths[:n] {
+	n := min(x.n, maxRecentLengths)
+	for _, t := range x.lengths[:n] {
 		switch {
 		case t < tokens:
 			shorter++
@@ -93,8 +93,8 @@
 			equal++
 		}
 	}
-	g.lengths[g.n%maxRecentLengths] = tokens
-	g.n++
+	x.lengths[x.n%maxRecentLengths] = tokens
+	x.n++
 	return (float64(shorter) + u*float64(equal)) / float64(n+1)
 }
 
--- a/sched/slow.go
+++ b/sched/slow.go
@@ -79,7 +79,8 @@
 }
 
 // updateThrottling starts and ends the throttling of endpoints, at most MaxThrottledShare of a
-// pool. A throttled endpoint gets at most one request at a time, and none of the top tier.
+// pool. A throttled endpoint gets at most one request of this host at a time, and none of the top
+// tier.
 func (s *Scheduler) updateThrottling(now time.Duration, p *pool) {
 	if s.cfg.Disabled.Slow {
 		return
