--- a/sched/endpoint.go
+++ b/sched/endpoint.go
@@ -10,49 +10,51 @@
 	"github.com/heathkeel/heathkeel/outlier"
 )
 
-// Report is what the scheduler takes from an endpoint's account.
+// Report is the part of an endpoint's load report that the scheduler uses.
 type Report struct {
-	// At is when the figures were taken, since the scheduler's start.
+	// At is when the report was taken, since the scheduler's start.
 	At time.Duration
-	// Running and Waiting count requests; PrefillTokens is prompt work not yet done.
+	// Running and Waiting count requests; PrefillTokens counts the prompt tokens not yet computed.
 	Running, Waiting, PrefillTokens int
-	// Slots is the number of requests that run at once; 0 keeps the declared one.
+	// Slots is the number of requests that run at once; 0 keeps the declared number.
 	Slots int
-	// Step is the time of a step and PrefillPerStep the prompt tokens in one.
+	// Step is the duration of a step and PrefillPerStep the prompt tokens computed in one.
 	Step           time.Duration
 	PrefillPerStep int
-	// Model is the model held, or empty.
+	// Model is the model that the endpoint holds, or empty.
 	Model string
-	// Estimated says that the host worked it out itself: it does not tell that the endpoint is there.
+	// Estimated says that the host derived the report itself, so that it is no evidence that the
+	// endpoint is reachable.
 	Estimated bool
-	// AcceptsPrompts says that prompts may begin here: the role is not "decode".
+	// AcceptsPrompts says that the endpoint computes prompts: its role is not "decode".
 	AcceptsPrompts bool
 }
 
-// Endpoint is a declared endpoint as the scheduler needs it.
+// Endpoint is the declaration of an endpoint as the scheduler uses it.
 type Endpoint struct {
-	// Name identifies it.
+	// Name is its name.
 	Name string
 	// Engine is true for a model engine.
 	Engine bool
 	// Slots is the number of requests that run at once.
 	Slots int
-	// Leaving says that it gets no new work.
+	// Leaving says that the endpoint gets no new requests.
 	Leaving bool
-	// CrossZone says that it stands in another zone, which costs; see Config.FarCost.
+	// CrossZone says that the endpoint is in another zone; see Config.CrossZoneCost.
 	CrossZone bool
 }
 
-// sample is the own load at a time.
-type sample struct {
+// loadSample is the load that this host has put on an endpoint at one time.
+type loadSample struct {
 	at                   time.Duration
 	outstanding, prefill int
 }
 
-// sampleCount is the number of own-load samples kept for comparing with lagged reports.
+// sampleCount is the number of load samples kept to compare with delayed reports.
 const sampleCount = 64
 
-// endpointState is what this host knows of an endpoint.
+// endpointState is what this host knows of an endpoint. Its own requests are those that this host
+// has dispatched.
 type endpointState struct {
 	Endpoint
 	index   int
@@ -60,43 +62,43 @@
 
 	report    Report
 	hasReport bool
-	downUntil time.Duration // it is known to be of no use until then
+	downUntil time.Duration // no new requests until then
 	health    outlier.Record
 
-	exactAt    time.Duration // when the owner of its places told of other hosts' requests
-	askedAt    time.Duration // since when the owner was asked without an answer, or 0
-	askedLast  time.Duration // when it was asked last
-	vacated    int           // places that own requests left lately
-	vacatedAt  time.Duration // when the last one did
-	claims     int           // free places that this host may take
-	claimedAt  time.Duration // when the last claim was drawn
-	own        int           // own requests there
-	ownLong    int           // long ones of them
-	ownPrefill [maxRanks]int // own prompt tokens sent and without first token
-	sent       uint64        // own dispatches ever
-	samples    [sampleCount]sample
-	nextSample int
-	atReport   sample // own load when the report was taken
-	inflight   []*Request
-
-	others        int // requests of others, from the last report
+	ownerReportAt   time.Duration // when the slot owner last reported the requests of other hosts
+	unansweredSince time.Duration // start of the requests to the slot owner without an answer, or 0
+	lastAskedAt     time.Duration // time of the latest request to the slot owner
+	vacated         int           // slots that own requests left recently
+	vacatedAt       time.Duration // when the latest of them was left
+	claims          int           // free slots that this host may take
+	claimedAt       time.Duration // when the latest claim was drawn or granted
+	own             int           // own requests in flight
+	ownLong         int           // the long ones of them
+	ownPrefill      [maxRanks]int // prompt tokens of own requests without a first token, by tier
+	dispatches      uint64        // number of own dispatches
+	samples         [sampleCount]loadSample
+	nextSample      int
+	atReport        loadSample // own load when the report was taken
+	inflight        []*Request
+
+	others        int // requests of other hosts, from the last report
 	othersPrefill int
 
-	slow     float64 // observed time over the endpoint's own claim
-	slowAt   time.Duration
-	observed int // number of observations
-	eased    bool
-	service  time.Duration // mean time of a request there
+	slowFactor    float64 // observed time over the time that the endpoint reports
+	slowUpdatedAt time.Duration
+	observations  int // of slowness
+	throttled     bool
+	meanService   time.Duration // moving average of the time of a request
 }
 
-// Fallbacks for endpoints that have not reported their speed.
+// Defaults for endpoints that have not reported their speed.
 const (
 	defaultStep    = 10 * time.Millisecond
 	defaultPrefill = 512
 	defaultSlots   = 8
 )
 
-// step is the time of a decoding step by the endpoint's own claim.
+// step returns the duration of a decoding step that the endpoint reports.
 func (e *endpointState) step() time.Duration {
 	if e.report.Step > 0 {
 		return e.report.Step
@@ -104,7 +106,7 @@
 	return defaultStep
 }
 
-// prefillTime is the time to compute n prompt tokens by the endpoint's own claim.
+// prefillTime returns the time to compute n prompt tokens at the speed that the endpoint reports.
 func (e *endpointState) prefillTime(n int) time.Duration {
 	per := e.report.PrefillPerStep
 	if per <= 0 {
@@ -113,7 +115,7 @@
 	return time.Duration(float64(e.step()) * float64(n) / float64(per))
 }
 
-// slots is the number of requests that run at once.
+// slots returns the number of requests that run at once.
 func (e *endpointState) slots() int {
 	switch {
 	case e.report.Slots > 0:
@@ -124,18 +126,18 @@
 	return defaultSlots
 }
 
-// note keeps a sample of the own load.
-func (e *endpointState) note(now time.Duration) {
-	pre := 0
+// recordLoad stores a sample of the own load.
+func (e *endpointState) recordLoad(now time.Duration) {
+	prefill := 0
 	for _, p := range e.ownPrefill {
-		pre += p
+		prefill += p
 	}
-	e.samples[e.nextSample%sampleCount] = sample{now, e.own, pre}
+	e.samples[e.nextSample%sampleCount] = loadSample{now, e.own, prefill}
 	e.nextSample++
 }
 
-// ownAt returns the own load at an earlier time, as far back as samples go.
-func (e *endpointState) ownAt(at time.Duration) sample {
+// ownLoadAt returns the own load at an earlier time, or the oldest sample kept.
+func (e *endpointState) ownLoadAt(at time.Duration) loadSample {
 	n := min(e.nextSample, sampleCount)
 	for i := 1; i <= n; i++ {
 		s := e.samples[(e.nextSample-i)%sampleCount]
@@ -146,17 +148,17 @@
 	if n == sampleCount {
 		return e.samples[e.nextSample%sampleCount]
 	}
-	return sample{}
+	return loadSample{}
 }
 
-// take accepts a report and works out what others have there.
-func (e *endpointState) take(now time.Duration, rep Report) {
+// applyReport stores a report and derives the load of other hosts from it.
+func (e *endpointState) applyReport(now time.Duration, rep Report) {
 	if e.hasReport && rep.At < e.report.At {
 		return
 	}
 	e.report, e.hasReport = rep, true
-	e.atReport = e.ownAt(rep.At)
-	if e.exactAt == 0 || now-e.exactAt > exactFor {
+	e.atReport = e.ownLoadAt(rep.At)
+	if e.ownerReportAt == 0 || now-e.ownerReportAt > ownerReportTTL {
 		e.others = max(0, rep.Running+rep.Waiting-e.atReport.outstanding)
 	}
 	e.othersPrefill = max(0, rep.PrefillTokens-e.atReport.prefill)
@@ -166,27 +168,27 @@
 	}
 }
 
-// start counts a dispatch.
-func (e *endpointState) start(now time.Duration, r *Request) {
+// addRequest records a dispatch.
+func (e *endpointState) addRequest(now time.Duration, r *Request) {
 	e.health.Begin(now)
 	e.own++
-	e.sent++
+	e.dispatches++
 	if r.long {
 		e.ownLong++
 	}
 	e.ownPrefill[r.rank()] += r.PromptTokens
 	e.inflight = append(e.inflight, r)
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// prefilled counts the end of a request's prompt work.
-func (e *endpointState) prefilled(now time.Duration, r *Request) {
+// finishPrefill records the end of a request's prompt computation.
+func (e *endpointState) finishPrefill(now time.Duration, r *Request) {
 	e.ownPrefill[r.rank()] -= r.PromptTokens
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// end counts the end of a request.
-func (e *endpointState) end(now time.Duration, r *Request) {
+// removeRequest records the end of a request.
+func (e *endpointState) removeRequest(now time.Duration, r *Request) {
 	e.health.Inconclusive()
 	e.own--
 	e.vacated++
@@ -194,7 +196,7 @@
 	if r.long {
 		e.ownLong--
 	}
-	if r.firstAt == 0 {
+	if r.progressAt == 0 {
 		e.ownPrefill[r.rank()] -= r.PromptTokens
 	}
 	for i, q := range e.inflight {
@@ -206,10 +208,10 @@
 			break
 		}
 	}
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// HasReport reports whether an endpoint has ever given an account of itself.
+// HasReport reports whether a report of the endpoint has arrived.
 func (s *Scheduler) HasReport(name string) bool {
 	e := s.byName[name]
 	return e != nil && e.hasReport
--- a/sched/explain.go
+++ b/sched/explain.go
@@ -10,60 +10,60 @@
 type CandidateLog struct {
 	// Endpoint is its name.
 	Endpoint string `json:"endpoint"`
-	// Cached is the prompt tokens that it was taken to hold.
+	// Cached is the number of prompt tokens assumed to be in its cache.
 	Cached int `json:"cached_tokens"`
-	// FirstToken and Whole are the predicted times to the first token and the end.
+	// FirstToken and Completion are the predicted times to the first token and the end.
 	FirstToken time.Duration `json:"first_ns"`
 	Completion time.Duration `json:"whole_ns"`
 }
 
-// DecisionLog tells how a request was decided.
+// DecisionLog describes a decision on a request.
 type DecisionLog struct {
-	// ID, Workspace, Service and Tier name the request.
+	// ID, Workspace, Service and Tier identify the request.
 	ID        string `json:"id"`
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Tier      string `json:"tier"`
-	// At is when, since the host's start.
+	// At is the time of the decision, since the host's start.
 	At time.Duration `json:"at_ns"`
 	// Verdict is "run", "wait" or "refuse"; Reason explains a refusal.
 	Verdict string `json:"verdict"`
 	Reason  Reason `json:"reason,omitempty"`
-	// Endpoint is the one chosen, and ImportFrom the one whose cache moves there.
+	// Endpoint is the chosen endpoint, and ImportFrom the one whose KV cache is transferred to it.
 	Endpoint   string `json:"endpoint,omitempty"`
 	ImportFrom string `json:"import_from,omitempty"`
 	// Candidates are at most maxCandidates endpoints that had room.
 	Candidates []CandidateLog `json:"candidates,omitempty"`
 }
 
-// entry is a decision in the ring, of fixed size.
-type entry struct {
-	id     string
-	ref    refNames
-	at     time.Duration
-	d      Decision
-	n      int
-	cands  [maxCandidates]candidate
-	filled bool
+// logEntry is a decision in the ring buffer, of fixed size.
+type logEntry struct {
+	id        string
+	names     requestNames
+	at        time.Duration
+	decision  Decision
+	candCount int
+	cands     [maxCandidates]candidate
+	filled    bool
 }
 
-// refNames are the names shown for a decision.
-type refNames struct{ workspace, service, tier string }
+// requestNames are the names that identify a request in the log.
+type requestNames struct{ workspace, service, tier string }
 
-// logSize is the number of decisions remembered on a host.
+// logSize is the number of decisions kept on a host.
 const logSize = 512
 
-// remember notes a decision.
-func (s *Scheduler) remember(now time.Duration, d Decision, cands []candidate) {
+// logDecision stores a decision and overwrites the oldest one.
+func (s *Scheduler) logDecision(now time.Duration, d Decision, cands []candidate) {
 	e := &s.log[s.logNext%logSize]
 	s.logNext++
 	st := d.Request.Settings
-	*e = entry{id: d.Request.ID, ref: refNames{st.Workspace, st.Service, st.Tier}, at: now, d: d, filled: true}
-	e.d.Request = nil
-	e.n = copy(e.cands[:], cands)
+	*e = logEntry{id: d.Request.ID, names: requestNames{st.Workspace, st.Service, st.Tier}, at: now, decision: d, filled: true}
+	e.decision.Request = nil
+	e.candCount = copy(e.cands[:], cands)
 }
 
-// Explain returns the remembered decisions on a request, oldest first.
+// Explain returns the stored decisions on a request, oldest first.
 func (s *Scheduler) Explain(id string) []DecisionLog {
 	var out []DecisionLog
 	for i := range logSize {
@@ -75,15 +75,15 @@
 	return out
 }
 
-// export gives an entry in the form that is shown.
-func (e *entry) export() DecisionLog {
+// export converts an entry to a DecisionLog.
+func (e *logEntry) export() DecisionLog {
 	l := DecisionLog{
-		ID: e.id, Workspace: e.ref.workspace, Service: e.ref.service, Tier: e.ref.tier, At: e.at,
-		Verdict: [...]string{"run", "wait", "refuse"}[e.d.Verdict], Reason: e.d.Reason,
-		Endpoint: e.d.Endpoint, ImportFrom: e.d.ImportFrom,
+		ID: e.id, Workspace: e.names.workspace, Service: e.names.service, Tier: e.names.tier, At: e.at,
+		Verdict: [...]string{"run", "wait", "refuse"}[e.decision.Verdict], Reason: e.decision.Reason,
+		Endpoint: e.decision.Endpoint, ImportFrom: e.decision.ImportFrom,
 	}
-	for _, c := range e.cands[:e.n] {
-		l.Candidates = append(l.Candidates, CandidateLog{c.e.Name, c.cached, c.first, c.whole})
+	for _, c := range e.cands[:e.candCount] {
+		l.Candidates = append(l.Candidates, CandidateLog{c.e.Name, c.cached, c.firstToken, c.completion})
 	}
 	return l
 }
--- a/sched/limit.go
+++ b/sched/limit.go
@@ -12,61 +12,61 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// epoch turns times since the start into the instants that the rate library wants.
+// epoch converts times since the start to the time.Time values of package rate.
 var epoch = time.Unix(0, 0)
 
-// limit holds the rate and concurrency of one scope on this host. A scope's
-// limit is divided by the number of hosts that serve its workspace.
-type limit struct {
-	rate    *rate.Limiter
-	running int
-	set     float64
+// scopeLimit is the rate and concurrency of one scope on this host. A scope's limit is divided by
+// the number of hosts that serve its workspace.
+type scopeLimit struct {
+	rate        *rate.Limiter
+	running     int
+	perHostRate float64
 }
 
 // limits holds the limits of all scopes and the retry budgets of workspaces.
 type limits struct {
-	scopes  map[string]*limit
+	scopes  map[string]*scopeLimit
 	budgets map[string]*budget
 }
 
-// newLimits returns limits under which nothing has run yet.
+// newLimits returns unused limits.
 func newLimits() limits {
-	return limits{scopes: make(map[string]*limit), budgets: make(map[string]*budget)}
+	return limits{scopes: make(map[string]*scopeLimit), budgets: make(map[string]*budget)}
 }
 
 // budget is a workspace's credit for retries.
 type budget struct{ credit float64 }
 
-// Figures of the retry budget.
+// Parameters of rate limits and retry budgets.
 const (
 	// budgetBurst is the largest credit, in retries.
 	budgetBurst = 10
-	// rateBurst is the time whose requests a rate limit lets through at once.
+	// rateBurst is the burst of a rate limit, in seconds of its rate.
 	rateBurst = 0.5
-	// maxBudgets bounds the budgets remembered; scopes are as many as settings declare.
+	// maxBudgets limits the budgets kept; the number of scopes is limited by the settings.
 	maxBudgets = 1 << 15
 )
 
-// scope returns the limit of a scope.
-func (l *limits) scope(name string) *limit {
+// scope returns the limit of a scope and creates it if needed.
+func (l *limits) scope(name string) *scopeLimit {
 	x := l.scopes[name]
 	if x == nil {
-		x = &limit{}
+		x = &scopeLimit{}
 		l.scopes[name] = x
 	}
 	return x
 }
 
-// takeRate reports whether the rate of the request's scope lets it through, and
-// if not, after what time one would be.
+// takeRate reports whether the rate limit of the request's scope admits it, and if not, after what
+// time it would.
 func (l *limits) takeRate(now time.Duration, e *settings.Effective, hosts int) (bool, time.Duration) {
 	if e.Rate == 0 {
 		return true, 0
 	}
 	x := l.scope(e.RateScope)
 	share := e.Rate / float64(max(hosts, 1))
-	if x.rate == nil || x.set != share {
-		x.set = share
+	if x.rate == nil || x.perHostRate != share {
+		x.perHostRate = share
 		x.rate = rate.NewLimiter(rate.Limit(share), max(1, int(share*rateBurst)))
 	}
 	res := x.rate.ReserveN(epoch.Add(now), 1)
@@ -78,8 +78,8 @@
 	return false, wait
 }
 
-// enter counts a running request unless its scope is full.
-func (l *limits) enter(e *settings.Effective, hosts int) bool {
+// acquire counts a running request unless its scope is full.
+func (l *limits) acquire(e *settings.Effective, hosts int) bool {
 	if e.Concurrency == 0 {
 		return true
 	}
@@ -91,15 +91,15 @@
 	return true
 }
 
-// leave counts the end of a request that enter let in.
-func (l *limits) leave(e *settings.Effective) {
+// release ends a request that acquire counted.
+func (l *limits) release(e *settings.Effective) {
 	if e.Concurrency != 0 {
 		l.scope(e.ConcurrencyScope).running--
 	}
 }
 
-// takeRetry earns credit with a first try and spends it with a retry; it
-// reports whether the request may go on.
+// takeRetry adds credit for a first attempt and spends it for a retry. It reports whether the
+// request may proceed.
 func (l *limits) takeRetry(e *settings.Effective, retry bool) bool {
 	b := l.budgets[e.Workspace]
 	if b == nil {
--- a/sched/pool.go
+++ b/sched/pool.go
@@ -12,8 +12,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// pool is a set of endpoints that the same requests may go to, with the
-// requests that wait for it.
+// pool is a set of endpoints that the same requests may go to, with the requests that wait for
+// them.
 type pool struct {
 	key     uint64
 	names   []string
@@ -21,48 +21,49 @@
 	members []*endpointState
 	tiers   [maxRanks]tierQueue
 	waiting int
-	// arrivals is the rate of requests of this host, and scarce says that places may be
-	// filled by right only; see DrawClaims.
-	arrivals arrivals
-	scarce   bool
-	doubt    float64 // how far unheard hosts are taken to serve on, 0 to 1
-	mean     float64 // mean cost of a request, in steps
-	floor    floor
-	rations  [maxRanks]ration
-	dirty    bool
-	panics   bool // so many endpoints fail that ejections do not count
+	// arrivals is the rate of requests at this host; scarce says that a slot may be filled only
+	// with a claim, a grant or a vacated slot; see DrawClaims.
+	arrivals       arrivals
+	scarce         bool
+	silentActivity float64 // estimated probability that silent hosts still serve
+	meanCost       float64 // of a request, in steps
+	floor          floor
+	rations        [maxRanks]ration
+	dirty          bool
+	panicMode      bool // so many endpoints fail that ejections do not count
 }
 
-// poolRef finds the pool of a request quickly.
-type poolRef struct {
+// poolCacheKey identifies a request's pool without hashing its endpoints.
+type poolCacheKey struct {
 	settings *settings.Effective
 	model    string
 }
 
-// maxPoolRefs bounds the cache of poolRefs.
-const maxPoolRefs = 1 << 15
+// maxPoolCache limits the cache of pools.
+const maxPoolCache = 1 << 15
 
 // poolOf returns the pool of a request.
 func (s *Scheduler) poolOf(r *Request) *pool {
-	ref := poolRef{r.Settings, r.Model}
-	if p, ok := s.poolRefs[ref]; ok {
+	cacheKey := poolCacheKey{r.Settings, r.Model}
+	if p, ok := s.poolCache[cacheKey]; ok {
 		return p
 	}
-	if len(s.poolRefs) >= maxPoolRefs {
-		clear(s.poolRefs)
+	if len(s.poolCache) >= maxPoolCache {
+		clear(s.poolCache)
 	}
 	key := PoolKey(r.Settings.Endpoints, r.Model)
 	p := s.pools[key]
 	if p == nil {
 		p = &pool{key: key, names: r.Settings.Endpoints, model: r.Model}
 		s.pools[key] = p
-		s.fill(p)
+		s.setMembers(p)
 	}
-	s.poolRefs[ref] = p
+	s.poolCache[cacheKey] = p
 	return p
 }
 
-// PoolKey identifies a pool on every host: the permitted endpoints and the model.
+// PoolKey returns the key that identifies a pool on every host: a hash of the permitted endpoints
+// and the model.
 func PoolKey(endpoints []string, model string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(model)
@@ -72,19 +73,19 @@
 	return d.Sum64()
 }
 
-// fill sets the members of a pool.
-func (s *Scheduler) fill(p *pool) {
+// setMembers sets the members of a pool.
+func (s *Scheduler) setMembers(p *pool) {
 	p.members = p.members[:0]
 	for _, e := range s.endpoints {
-		if s.fits(p, e) {
+		if s.eligible(p, e) {
 			p.members = append(p.members, e)
 		}
 	}
 	p.dirty = true
 }
 
-// fits reports whether an endpoint belongs to a pool.
-func (s *Scheduler) fits(p *pool, e *endpointState) bool {
+// eligible reports whether an endpoint belongs to a pool.
+func (s *Scheduler) eligible(p *pool, e *endpointState) bool {
 	if !e.present || (len(p.names) > 0 && !slices.Contains(p.names, e.Name)) {
 		return false
 	}
@@ -94,9 +95,9 @@
 	return e.Engine && e.report.Model == p.model && e.report.AcceptsPrompts
 }
 
-// refill sets the members of all pools, after endpoints or what they hold changed.
-func (s *Scheduler) refill() {
+// refreshMembers sets the members of all pools after endpoints or their models have changed.
+func (s *Scheduler) refreshMembers() {
 	for _, p := range s.pools {
-		s.fill(p)
+		s.setMembers(p)
 	}
 }
--- a/sched/queue.go
+++ b/sched/queue.go
@@ -9,62 +9,62 @@
 	"container/list"
 )
 
-// flow is the waiting requests of one workspace in one tier of one pool. Inside
-// it, services take turns by their own virtual time, so that a workspace's long
-// contracts do not stand before its one-line lookups.
+// flow holds the waiting requests of one workspace in one tier of one pool. Within it, services
+// take turns by their own virtual time, so that long contracts of a workspace do not delay its
+// one-line lookups.
 type flow struct {
-	workspace string
-	weight    float64
-	virtual   float64
-	services  []*serviceQueue
-	waiting   int
-	cost      float64 // of what waits
-	heapAt    int
+	workspace   string
+	weight      float64
+	virtualTime float64
+	services    []*serviceQueue
+	waiting     int
+	cost        float64 // of the waiting requests
+	heapIndex   int
 }
 
-// serviceQueue is the waiting requests of one service, in order of arrival.
+// serviceQueue holds the waiting requests of one service, in order of arrival.
 type serviceQueue struct {
-	name    string
-	virtual float64
-	queue   list.List
+	name        string
+	virtualTime float64
+	queue       list.List
 }
 
-// tierQueue orders the flows of one tier by start-time fair queueing [Goyal,
-// Vin and Cheng, "Start-time fair queueing", 1996]: the flow with the least
-// virtual time goes first, and pays cost/weight.
+// tierQueue orders the flows of one tier by start-time fair queueing [Goyal, Vin and Cheng,
+// "Start-time fair queueing", 1996]: the flow with the least virtual time is served first, and its
+// virtual time advances by cost/weight.
 type tierQueue struct {
-	flows   map[string]*flow
-	active  flowHeap
-	virtual float64
-	waiting int
-	cost    float64 // of what waits
-	weight  float64 // of the flows with something waiting
+	flows       map[string]*flow
+	active      flowHeap
+	virtualTime float64
+	waiting     int
+	cost        float64 // of the waiting requests
+	weight      float64 // of the flows with waiting requests
 	// arrival holds all waiting requests in order of arrival.
-	arrival list.List
-	where   map[*Request]place
-	fifo    bool
+	arrival   list.List
+	positions map[*Request]position
+	fifo      bool
 }
 
-// place is where a request stands in its lists.
-type place struct {
+// position holds a request's elements in the lists.
+type position struct {
 	arrival, service *list.Element
-	in               *serviceQueue
+	queue            *serviceQueue
 }
 
-// flowHeap is a heap of flows that have waiting requests.
+// flowHeap is a heap of the flows that have waiting requests.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
-func (h flowHeap) Less(i, j int) bool { return h[i].virtual < h[j].virtual }
+func (h flowHeap) Less(i, j int) bool { return h[i].virtualTime < h[j].virtualTime }
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.heapAt = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -76,14 +76,14 @@
 	return f
 }
 
-// maxIdleFlows bounds the flows remembered while nothing of theirs waits.
+// maxIdleFlows is the number of flows at which those without waiting requests are dropped.
 const maxIdleFlows = 10000
 
 // push adds a waiting request.
 func (q *tierQueue) push(r *Request) {
 	if q.flows == nil {
 		q.flows = make(map[string]*flow)
-		q.where = make(map[*Request]place)
+		q.positions = make(map[*Request]position)
 	}
 	f := q.flows[r.Settings.Workspace]
 	if f == nil {
@@ -96,11 +96,11 @@
 	if f.waiting == 0 {
 		f.weight = r.Settings.Weight
 		q.weight += f.weight
-		f.virtual = max(f.virtual, q.virtual)
+		f.virtualTime = max(f.virtualTime, q.virtualTime)
 		heap.Push(&q.active, f)
 	}
 	sq := f.service(r.Settings.Service)
-	q.where[r] = place{q.arrival.PushBack(r), sq.queue.PushBack(r), sq}
+	q.positions[r] = position{q.arrival.PushBack(r), sq.queue.PushBack(r), sq}
 	f.waiting++
 	q.waiting++
 	f.cost += r.cost
@@ -108,7 +108,7 @@
 	r.flow = f
 }
 
-// dropIdle forgets flows with nothing waiting.
+// dropIdle removes the flows without waiting requests.
 func (q *tierQueue) dropIdle() {
 	for name, f := range q.flows {
 		if f.waiting == 0 {
@@ -117,41 +117,42 @@
 	}
 }
 
-// service returns the queue of a service, which starts level with the others.
+// service returns the queue of a service. A new or idle queue starts at the least virtual time of
+// the others.
 func (f *flow) service(name string) *serviceQueue {
-	least := 0.0
+	minVirtual := 0.0
 	for i, sq := range f.services {
 		if sq.name == name {
 			if sq.queue.Len() == 0 {
-				sq.virtual = max(sq.virtual, f.leastVirtual())
+				sq.virtualTime = max(sq.virtualTime, f.minVirtualTime())
 			}
 			return sq
 		}
-		if i == 0 || sq.virtual < least {
-			least = sq.virtual
+		if i == 0 || sq.virtualTime < minVirtual {
+			minVirtual = sq.virtualTime
 		}
 	}
-	sq := &serviceQueue{name: name, virtual: least}
+	sq := &serviceQueue{name: name, virtualTime: minVirtual}
 	f.services = append(f.services, sq)
 	return sq
 }
 
-// leastVirtual is the least virtual time among services with something waiting.
-func (f *flow) leastVirtual() float64 {
-	least, found := 0.0, false
+// minVirtualTime returns the least virtual time of the services with waiting requests.
+func (f *flow) minVirtualTime() float64 {
+	minVirtual, found := 0.0, false
 	for _, sq := range f.services {
-		if sq.queue.Len() > 0 && (!found || sq.virtual < least) {
-			least, found = sq.virtual, true
+		if sq.queue.Len() > 0 && (!found || sq.virtualTime < minVirtual) {
+			minVirtual, found = sq.virtualTime, true
 		}
 	}
-	return least
+	return minVirtual
 }
 
-// first returns the flow's next request.
-func (f *flow) first() *Request {
+// next returns the flow's next request.
+func (f *flow) next() *Request {
 	var best *serviceQueue
 	for _, sq := range f.services {
-		if sq.queue.Len() > 0 && (best == nil || sq.virtual < best.virtual) {
+		if sq.queue.Len() > 0 && (best == nil || sq.virtualTime < best.virtualTime) {
 			best = sq
 		}
 	}
@@ -166,7 +167,7 @@
 	case q.fifo:
 		return q.arrival.Front().Value.(*Request)
 	}
-	return q.active[0].first()
+	return q.active[0].next()
 }
 
 // newest returns the request that arrived last, or nil.
@@ -177,12 +178,12 @@
 	return q.arrival.Back().Value.(*Request)
 }
 
-// remove takes a request out without charging its flow.
+// remove removes a request without charging its flow.
 func (q *tierQueue) remove(r *Request) {
-	at := q.where[r]
-	delete(q.where, r)
+	at := q.positions[r]
+	delete(q.positions, r)
 	q.arrival.Remove(at.arrival)
-	at.in.queue.Remove(at.service)
+	at.queue.queue.Remove(at.service)
 	f := r.flow
 	f.waiting--
 	q.waiting--
@@ -191,16 +192,16 @@
 	if f.waiting == 0 {
 		f.cost = 0
 		q.weight -= f.weight
-		heap.Remove(&q.active, f.heapAt)
+		heap.Remove(&q.active, f.heapIndex)
 	}
 	if q.waiting == 0 {
-		q.cost, q.weight = 0, 0 // no rounding is left behind
+		q.cost, q.weight = 0, 0 // clears rounding errors
 	}
 }
 
-// costBefore estimates the cost that is served before a request of a workspace
-// that comes now: what waits of its own flow, with the other flows' share of the
-// time, and at most all that waits.
+// costBefore estimates the cost served before a request of a workspace that arrives now: the
+// waiting cost of its own flow, increased by the other flows' share of the time, and at most the
+// cost of all waiting requests.
 func (q *tierQueue) costBefore(workspace string, weight float64) float64 {
 	f := q.flows[workspace]
 	if q.waiting == 0 || q.fifo {
@@ -213,16 +214,16 @@
 	return min(q.cost, own*(1+others/weight))
 }
 
-// charge makes a flow and a service pay for a request that was dispatched.
+// charge charges a dispatched request to its flow and service.
 func (q *tierQueue) charge(r *Request) {
 	f := r.flow
 	if f == nil {
 		return
 	}
-	q.virtual = max(q.virtual, f.virtual)
-	f.virtual += r.cost / f.weight
-	f.service(r.Settings.Service).virtual += r.cost
+	q.virtualTime = max(q.virtualTime, f.virtualTime)
+	f.virtualTime += r.cost / f.weight
+	f.service(r.Settings.Service).virtualTime += r.cost
 	if f.waiting > 0 {
-		heap.Fix(&q.active, f.heapAt)
+		heap.Fix(&q.active, f.heapIndex)
 	}
 }
--- a/sched/scheduler.go
+++ b/sched/scheduler.go
@@ -13,63 +13,63 @@
 	"github.com/heathkeel/heathkeel/outlier"
 )
 
-// Scheduler holds the state of one host's decisions. Set the exported fields,
-// then call Init. It is not safe for concurrent use.
+// Scheduler decides the requests of one host. Set the exported fields, then call Init. It is not
+// safe for concurrent use.
 type Scheduler struct {
-	// Config holds the policy's figures.
+	// Config holds the parameters.
 	Config Config
-	// Rand is the source of chance.
+	// Rand is the source of random numbers.
 	Rand *rand.Rand
-	// SharingHosts is the number of hosts that share the endpoints, this one included.
+	// SharingHosts is the number of hosts that share the endpoints, including this one.
 	SharingHosts int
-	// Hosts gives the number of hosts that serve a workspace; nil means 1.
+	// Hosts returns the number of hosts that serve a workspace; nil means 1.
 	Hosts func(workspace string) int
 
 	cfg Config
-	// news is what is known of other hosts, and drawnAt when claims were drawn last.
-	news    PeerState
-	drawnAt time.Duration
-	// missing counts the hosts that may be serving and are not heard.
-	missing int
+	// peerState is the state of other hosts; claimsDrawnAt is the time of the last DrawClaims.
+	peerState     PeerState
+	claimsDrawnAt time.Duration
+	// silentPeers is the number of hosts that may be serving but send no heartbeats.
+	silentPeers int
 
-	endpoints []*endpointState
-	byName    map[string]*endpointState
-	pools     map[uint64]*pool
-	poolRefs  map[poolRef]*pool
-	prefixes  prefixIndex
-	limits    limits
-	lengths   lengths
-	guesses   map[string]*guesses // by service
-	deadlines deadlineHeap
-	waitingOf map[string]int
-	waiting   int
-	seq       uint64
-	pending   []Decision
+	endpoints          []*endpointState
+	byName             map[string]*endpointState
+	pools              map[uint64]*pool
+	poolCache          map[poolCacheKey]*pool
+	prefixes           prefixIndex
+	limits             limits
+	lengths            lengths
+	recentLengths      map[string]*recentLengths // by service
+	deadlines          deadlineHeap
+	waitingByWorkspace map[string]int
+	waiting            int
+	seq                uint64
+	pending            []Decision
 
 	cands   []candidate
 	matches [maxMatches]match
 	matched int
-	// ownerAt is when an owner of places answered last, or 0.
-	ownerAt time.Duration
-	// ejections counts those of this host.
+	// lastOwnerAnswer is the time of the last answer of any slot owner, or 0.
+	lastOwnerAnswer time.Duration
+	// ejections counts the ejections by this host.
 	ejections int
-	log       [logSize]entry
+	log       [logSize]logEntry
 	logNext   int
 }
 
-// Init makes the scheduler ready.
+// Init prepares the scheduler for use.
 func (s *Scheduler) Init() {
 	s.cfg = s.Config.withDefaults()
 	s.byName = make(map[string]*endpointState)
 	s.pools = make(map[uint64]*pool)
-	s.poolRefs = make(map[poolRef]*pool)
+	s.poolCache = make(map[poolCacheKey]*pool)
 	s.lengths = make(lengths)
-	s.guesses = make(map[string]*guesses)
+	s.recentLengths = make(map[string]*recentLengths)
 	s.limits = newLimits()
-	s.waitingOf = make(map[string]int)
+	s.waitingByWorkspace = make(map[string]int)
 }
 
-// SetEndpoints replaces the declared endpoints; those no longer named get no new work.
+// SetEndpoints replaces the declared endpoints; those no longer listed get no new requests.
 func (s *Scheduler) SetEndpoints(list []Endpoint) {
 	for _, e := range s.endpoints {
 		e.present = false
@@ -84,11 +84,11 @@
 		e.Endpoint = d
 		e.present = true
 	}
-	clear(s.poolRefs)
-	s.refill()
+	clear(s.poolCache)
+	s.refreshMembers()
 }
 
-// SetLeaving marks an endpoint as leaving or not.
+// SetLeaving sets whether an endpoint is leaving.
 func (s *Scheduler) SetLeaving(name string, leaving bool) {
 	if e := s.byName[name]; e != nil && e.Leaving != leaving {
 		e.Leaving = leaving
@@ -96,40 +96,40 @@
 	}
 }
 
-// ApplyReport takes an endpoint's account.
+// ApplyReport applies a load report of an endpoint.
 func (s *Scheduler) ApplyReport(now time.Duration, name string, rep Report) {
 	e := s.byName[name]
 	if e == nil {
 		return
 	}
 	before := e.report
-	e.take(now, rep)
+	e.applyReport(now, rep)
 	if before.Model != e.report.Model || before.AcceptsPrompts != e.report.AcceptsPrompts {
-		s.refill()
+		s.refreshMembers()
 	}
 	s.wake(e)
 }
 
-// ApplyCacheEvent notes that an endpoint holds a prompt block or evicted it.
-func (s *Scheduler) ApplyCacheEvent(name string, block uint64, gone bool) {
+// ApplyCacheEvent records that an endpoint holds a prompt block or evicted it.
+func (s *Scheduler) ApplyCacheEvent(name string, block uint64, evicted bool) {
 	e := s.byName[name]
 	switch {
 	case e == nil:
-	case gone:
+	case evicted:
 		s.prefixes.remove(block, e.index)
 	default:
 		s.prefixes.add(block, e.index)
 	}
 }
 
-// Wake makes the next Poll look at all that waits.
+// Wake makes the next Poll reconsider all waiting requests.
 func (s *Scheduler) Wake() {
 	for _, p := range s.pools {
 		p.dirty = p.dirty || p.waiting > 0
 	}
 }
 
-// wake marks the pools of an endpoint for a look at what waits.
+// wake makes the next Poll reconsider the pools of an endpoint.
 func (s *Scheduler) wake(e *endpointState) {
 	for _, p := range s.pools {
 		if p.waiting > 0 && !p.dirty && slices.Contains(p.members, e) {
@@ -138,58 +138,58 @@
 	}
 }
 
-// FirstToken notes that the first token came.
+// FirstToken records the arrival of the first token.
 func (s *Scheduler) FirstToken(now time.Duration, r *Request) {
-	if r.at == nil || r.firstAt != 0 {
+	if r.dispatchedTo == nil || r.progressAt != 0 {
 		return
 	}
 	s.Answered(r)
-	r.at.prefilled(now, r)
-	r.firstAt = max(now, 1)
+	r.dispatchedTo.finishPrefill(now, r)
+	r.progressAt = max(now, 1)
 	s.observeFirst(now, r)
-	s.observeDoubt(now, r)
+	s.observeSilentPeers(now, r)
 	for _, b := range r.Blocks {
-		s.prefixes.add(b, r.at.index)
+		s.prefixes.add(b, r.dispatchedTo.index)
 	}
 }
 
-// progressTokens is the number of tokens after which speed is looked at.
+// progressTokens is the least number of tokens between two observations of speed.
 const progressTokens = 8
 
-// Progress notes that n tokens came in all; it may be called for every token.
+// Progress records that n tokens have arrived in all; it may be called for every token.
 func (s *Scheduler) Progress(now time.Duration, r *Request, n int) {
-	if r.at == nil || r.firstAt == 0 || n-r.tokens < progressTokens {
+	if r.dispatchedTo == nil || r.progressAt == 0 || n-r.tokens < progressTokens {
 		return
 	}
 	if r.tokens > 0 {
-		s.observeTokens(now, r.at, n-r.tokens, now-r.firstAt)
+		s.observeTokens(now, r.dispatchedTo, n-r.tokens, now-r.progressAt)
 	}
 	r.tokens = n
-	r.firstAt = now
+	r.progressAt = now
 }
 
-// Result says how a dispatched request ended.
+// Result is the outcome of a dispatched request.
 type Result uint8
 
-// The results.
+// Results of a dispatched request.
 const (
-	// Completed means that the whole answer came.
+	// Completed means that the whole answer arrived.
 	Completed Result = iota
-	// Broken means that its answer broke off.
+	// Broken means that the answer ended early.
 	Broken
-	// Errored means that the endpoint answered with a failure of its own.
+	// Errored means that the endpoint answered with an error of its own.
 	Errored
 	// Canceled means that the caller went away.
 	Canceled
 )
 
-// Done notes the end of a dispatched request with the tokens that came.
-func (s *Scheduler) Done(now time.Duration, r *Request, res Result, tokens int) {
-	e := r.at
+// Done records the end of a dispatched request and the number of tokens that arrived.
+func (s *Scheduler) Done(now time.Duration, r *Request, result Result, tokens int) {
+	e := r.dispatchedTo
 	if e == nil {
 		return
 	}
-	switch res {
+	switch result {
 	case Completed:
 		e.health.Succeed(now)
 	case Broken:
@@ -197,55 +197,54 @@
 	case Errored:
 		s.Failed(now, r, outlier.Errored)
 	}
-	e.end(now, r)
-	s.limits.leave(r.Settings)
-	r.at = nil
-	if res == Completed {
-		s.lengths.learn(lengthKey{r.Settings.Workspace, r.Settings.Service}, tokens)
-		took := now - r.sentAt
-		if e.service == 0 {
-			e.service = took
+	e.removeRequest(now, r)
+	s.limits.release(r.Settings)
+	r.dispatchedTo = nil
+	if result == Completed {
+		s.lengths.observe(lengthKey{r.Settings.Workspace, r.Settings.Service}, tokens)
+		took := now - r.dispatchedAt
+		if e.meanService == 0 {
+			e.meanService = took
 		}
-		e.service += time.Duration(lengthGain * float64(took-e.service))
+		e.meanService += time.Duration(lengthGain * float64(took-e.meanService))
 	}
 	s.wake(e)
 }
 
-// RedispatchUnsent takes back a dispatch that the endpoint surely did not run, such as
-// one whose connection was refused, and decides again without that endpoint.
+// RedispatchUnsent undoes a dispatch that the endpoint certainly did not run, such as one whose
+// connection was refused, and decides again without that endpoint.
 func (s *Scheduler) RedispatchUnsent(now time.Duration, r *Request) Decision {
 	s.Failed(now, r, outlier.Unreachable)
 	return s.Redispatch(now, r)
 }
 
-// Redispatch ends a dispatch whose request is to go to another endpoint, and decides
-// again.
+// Redispatch ends a dispatch whose request is to go to another endpoint, and decides again.
 func (s *Scheduler) Redispatch(now time.Duration, r *Request) Decision {
-	e := r.at
-	e.end(now, r)
-	s.limits.leave(r.Settings)
-	r.at = nil
-	r.firstAt = 0
+	e := r.dispatchedTo
+	e.removeRequest(now, r)
+	s.limits.release(r.Settings)
+	r.dispatchedTo = nil
+	r.progressAt = 0
 	r.tokens = 0
-	r.taken = true // the caller has waited for it once
+	r.rationExempt = true // its caller has already waited for an answer
 	r.avoid = e
-	return s.place(now, r)
+	return s.admit(now, r)
 }
 
-// Tick looks at what time alone changes; call it every 50 ms or so.
+// Tick updates the state that changes with time alone; call it about every 50 ms.
 func (s *Scheduler) Tick(now time.Duration) {
 	for _, e := range s.endpoints {
 		s.checkStuck(now, e)
 	}
 	for _, p := range s.pools {
-		s.ease(now, p)
+		s.updateThrottling(now, p)
 	}
-	s.survey(now)
+	s.updatePanicMode(now)
 	s.Wake()
 }
 
-// Withdraw takes a waiting request out, because its caller went away; it
-// reports whether the request was waiting.
+// Withdraw removes a waiting request whose caller went away. It reports whether the request was
+// waiting.
 func (s *Scheduler) Withdraw(r *Request) bool {
 	if !r.waiting {
 		return false
@@ -254,10 +253,10 @@
 	return true
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (s *Scheduler) Waiting() int { return s.waiting }
 
-// enqueue adds a request to what waits.
+// enqueue adds a request to the queue.
 func (s *Scheduler) enqueue(r *Request) {
 	s.seq++
 	r.seq = s.seq
@@ -267,36 +266,36 @@
 	q.push(r)
 	r.pool.waiting++
 	s.waiting++
-	s.waitingOf[r.Settings.Workspace]++
+	s.waitingByWorkspace[r.Settings.Workspace]++
 	heap.Push(&s.deadlines, r)
 }
 
-// unqueue removes a request from what waits.
+// unqueue removes a request from the queue.
 func (s *Scheduler) unqueue(r *Request) {
 	r.waiting = false
 	r.pool.tiers[r.rank()].remove(r)
 	r.pool.waiting--
 	s.waiting--
-	if s.waitingOf[r.Settings.Workspace]--; s.waitingOf[r.Settings.Workspace] == 0 {
-		delete(s.waitingOf, r.Settings.Workspace)
+	if s.waitingByWorkspace[r.Settings.Workspace]--; s.waitingByWorkspace[r.Settings.Workspace] == 0 {
+		delete(s.waitingByWorkspace, r.Settings.Workspace)
 	}
-	heap.Remove(&s.deadlines, r.heapAt)
+	heap.Remove(&s.deadlines, r.heapIndex)
 }
 
-// deadlineHeap orders waiting requests by deadline.
+// deadlineHeap orders waiting requests by queue deadline.
 type deadlineHeap []*Request
 
 func (h deadlineHeap) Len() int           { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool { return h[i].latest() < h[j].latest() }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].queueDeadline() < h[j].queueDeadline() }
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *deadlineHeap) Push(x any) {
 	r := x.(*Request)
-	r.heapAt = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -15,8 +15,9 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// aimed makes a scheduler with endpoints of the given steps and prompt work.
-func aimed(steps []time.Duration, prefill, running []int) *Scheduler {
+// newObjectiveScheduler returns a scheduler with engines of the given step times, prompt tokens
+// and running requests.
+func newObjectiveScheduler(steps []time.Duration, prefill, running []int) *Scheduler {
 	s := &Scheduler{Rand: rand.New(rand.NewPCG(1, 2)), SharingHosts: 6}
 	s.Init()
 	var list []Endpoint
@@ -32,28 +33,28 @@
 	return s
 }
 
-func TestChoiceByWorth(t *testing.T) {
+func TestChooseByValue(t *testing.T) {
 	fast, slow := 3*time.Millisecond, 14*time.Millisecond
 	cases := []struct {
 		name             string
 		steps            []time.Duration
 		prefill, running []int
 		prompt, out      int
-		want             string // endpoint, or "" for waiting
+		want             string // endpoint, or "" to wait
 	}{
 		{"a long prompt goes to the fast engine", []time.Duration{slow, fast}, []int{0, 0}, []int{0, 4}, 30000, 100, "1"},
 		{"a long answer goes to the fast engine", []time.Duration{slow, fast}, []int{0, 0}, []int{0, 4}, 500, 1500, "1"},
-		{"a short one avoids prompts that are read", []time.Duration{fast, fast}, []int{60000, 0}, []int{1, 5}, 500, 50, "1"},
-		{"more room wins among equals", []time.Duration{fast, fast}, []int{0, 0}, []int{8, 1}, 500, 50, "1"},
-		{"all full", []time.Duration{fast, fast}, []int{0, 0}, []int{16, 16}, 500, 50, ""},
-		{"no answer by the deadline anywhere", []time.Duration{slow}, []int{0}, []int{0}, 500, 100000, ""},
+		{"a short prompt avoids an engine with prompts to compute", []time.Duration{fast, fast}, []int{60000, 0}, []int{1, 5}, 500, 50, "1"},
+		{"the less loaded of two equal engines", []time.Duration{fast, fast}, []int{0, 0}, []int{8, 1}, 500, 50, "1"},
+		{"all engines full", []time.Duration{fast, fast}, []int{0, 0}, []int{16, 16}, 500, 50, ""},
+		{"no engine meets the deadline", []time.Duration{slow}, []int{0}, []int{0}, 500, 100000, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := aimed(tc.steps, tc.prefill, tc.running)
+			s := newObjectiveScheduler(tc.steps, tc.prefill, tc.running)
 			s.cfg.Disabled.Share = true
 			s.Config.Disabled.Share = true
-			for range 20 { // the choice has chance in it
+			for range 20 { // the choice is random
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: tc.prompt,
 					MaxTokens: tc.out, ExpectedTokens: tc.out, Deadline: 15 * time.Second, DispatchBy: 200 * time.Millisecond,
@@ -72,23 +73,23 @@
 	}
 }
 
-// TestLastChanceOfWorthless has a request that is worth less than nothing wherever it goes,
-// as its prompt delays more than it earns: once it has waited as long as it may it is sent
-// all the same, since endpoints have room.
-func TestLastChanceOfWorthless(t *testing.T) {
-	s := aimed([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
+// TestLastChanceWithNegativeValue checks a request with a negative value at every endpoint,
+// because its prompt costs other streams more than it earns: at its queue deadline it is
+// dispatched anyway, since endpoints have room.
+func TestLastChanceWithNegativeValue(t *testing.T) {
+	s := newObjectiveScheduler([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
 		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 60000,
 		MaxTokens: 100, ExpectedTokens: 100, Deadline: 20 * time.Second, DispatchBy: 200 * time.Millisecond,
 		Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 250 * time.Millisecond, EventTokens: 6},
 	}
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
-	got := s.Poll(r.DispatchBy)
-	must.Len(t, 1, got)
-	must.EqOp(t, Run, got[0].Verdict)
+	decisions := s.Poll(r.DispatchBy)
+	must.Len(t, 1, decisions)
+	must.EqOp(t, Run, decisions[0].Verdict)
 }
 
-// TestStalls holds the pause that the reading of prompts makes against the one wanted.
+// TestStalls compares the gap caused by computing prompts with the wanted one.
 func TestStalls(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -98,50 +99,50 @@
 		prompt      int
 		want        bool
 	}{
-		{"a fast engine reads any prompt between two events", 3 * time.Millisecond, 400 * time.Millisecond, 5, 50000, false},
-		{"a slow one does not", 14 * time.Millisecond, 400 * time.Millisecond, 5, 50000, true},
-		{"but a short one", 14 * time.Millisecond, 400 * time.Millisecond, 5, 3000, false},
-		{"a middling one is too much where it is slow", 14 * time.Millisecond, 400 * time.Millisecond, 5, 5000, true},
-		{"longer events wait longer", 14 * time.Millisecond, 400 * time.Millisecond, 20, 3000, true},
-		{"no pause is wanted", 14 * time.Millisecond, 0, 5, 50000, false},
+		{"fast engine, long prompt", 3 * time.Millisecond, 400 * time.Millisecond, 5, 50000, false},
+		{"slow engine, long prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 50000, true},
+		{"slow engine, short prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 3000, false},
+		{"slow engine, medium prompt", 14 * time.Millisecond, 400 * time.Millisecond, 5, 5000, true},
+		{"slow engine, short prompt, longer events", 14 * time.Millisecond, 400 * time.Millisecond, 20, 3000, true},
+		{"no gap objective", 14 * time.Millisecond, 0, 5, 50000, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := aimed([]time.Duration{tc.step}, []int{0}, []int{0})
+			s := newObjectiveScheduler([]time.Duration{tc.step}, []int{0}, []int{0})
 			r := &Request{Objective: Objective{FirstToken: time.Second, EventGap: tc.gap, EventTokens: tc.eventTokens}}
 			must.EqOp(t, tc.want, s.stalls(r, s.byName["0"], tc.step, tc.prompt))
 		})
 	}
 }
 
-// TestLastChance checks that a request that fits nowhere well is sent at last, and
-// lets one behind it pass meanwhile.
+// TestLastChance checks that a request with too little value at every endpoint is dispatched at
+// its queue deadline.
 func TestLastChance(t *testing.T) {
-	s := aimed([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
-	ask := func(prompt int) *Request {
+	s := newObjectiveScheduler([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
+	request := func(prompt int) *Request {
 		return &Request{
 			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: prompt, MaxTokens: 900,
 			ExpectedTokens: 900, Deadline: 14 * time.Second, DispatchBy: 200 * time.Millisecond,
 			Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 		}
 	}
-	r := ask(20000)
+	r := request(20000)
 	must.EqOp(t, Wait, s.Submit(0, r).Verdict)
 	out := s.Poll(201 * time.Millisecond)
 	must.Len(t, 1, out)
 	must.EqOp(t, Run, out[0].Verdict)
 }
 
-// TestLastChancePlain checks that a request without an aim is sent, too, if an endpoint
-// has come back by the time at which it would be refused.
-func TestLastChancePlain(t *testing.T) {
+// TestLastChanceWithoutObjective checks that a request without an objective is dispatched as well
+// if an endpoint is available again at its queue deadline.
+func TestLastChanceWithoutObjective(t *testing.T) {
 	cases := []struct {
 		name string
 		poll time.Duration
 		want Verdict
 	}{
-		{"the endpoint is back", 100 * time.Millisecond, Run},
-		{"it is not", 59 * time.Millisecond, Refuse},
+		{"the endpoint is available again", 100 * time.Millisecond, Run},
+		{"it is still backed off", 59 * time.Millisecond, Refuse},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -149,16 +150,16 @@
 			s.Init()
 			s.SetEndpoints([]Endpoint{{Name: "a", Engine: true, Slots: 1}})
 			s.ApplyReport(0, "a", Report{Slots: 1, Step: 20 * time.Millisecond, Model: "m", AcceptsPrompts: true})
-			ask := func(start time.Duration) *Request {
+			request := func(start time.Duration) *Request {
 				e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
 				return &Request{Settings: e, Model: "m", MaxTokens: 1, Deadline: time.Second, DispatchBy: start}
 			}
-			first := ask(time.Second)
+			first := request(time.Second)
 			must.EqOp(t, Run, s.Submit(0, first).Verdict)
 			s.BackOff(0, first, 60*time.Millisecond)
-			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is left alone
+			must.EqOp(t, Wait, s.Redispatch(0, first).Verdict) // its endpoint is backed off
 			s.Withdraw(first)
-			must.EqOp(t, Wait, s.Submit(0, ask(min(66*time.Millisecond, tc.poll))).Verdict)
+			must.EqOp(t, Wait, s.Submit(0, request(min(66*time.Millisecond, tc.poll))).Verdict)
 			out := s.Poll(tc.poll)
 			must.Len(t, 1, out)
 			must.EqOp(t, tc.want, out[0].Verdict)
@@ -166,18 +167,18 @@
 	}
 }
 
-// TestNearFirst checks that an endpoint of the own zone is taken unless it has much
-// less room, however many far ones there are.
-func TestNearFirst(t *testing.T) {
-	const n = 12 // the first is near
+// TestSameZoneFirst checks that an endpoint in the same zone is chosen unless it has much less
+// room, however many endpoints other zones have.
+func TestSameZoneFirst(t *testing.T) {
+	const n = 12 // the first is in the same zone
 	cases := []struct {
-		name        string
-		nearRunning int
-		least, most int // of 100 requests that go to the near one
+		name            string
+		sameZoneRunning int
+		low, high       int // of 100 requests, those that go to the same zone
 	}{
-		{"as much room", 0, 100, 100},
-		{"a little less room", 3, 100, 100},
-		{"much less room", 8, 0, 0},
+		{"equal load", 0, 100, 100},
+		{"slightly higher load", 3, 100, 100},
+		{"much higher load", 8, 0, 0},
 		{"none", 10, 0, 0},
 	}
 	for _, tc := range cases {
@@ -192,11 +193,11 @@
 			for i := range n {
 				rep := Report{Slots: 10, Step: 3 * time.Millisecond, PrefillPerStep: 200, Model: "m", AcceptsPrompts: true}
 				if i == 0 {
-					rep.Running = tc.nearRunning
+					rep.Running = tc.sameZoneRunning
 				}
 				s.ApplyReport(0, fmt.Sprint(i), rep)
 			}
-			near := 0
+			sameZone := 0
 			for range 100 {
 				r := &Request{
 					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 500,
@@ -205,23 +206,23 @@
 				d := s.Submit(0, r)
 				must.EqOp(t, Run, d.Verdict)
 				if d.Endpoint == "0" {
-					near++
+					sameZone++
 				}
 				s.Done(0, r, Canceled, 0)
 			}
-			must.Between(t, tc.least, near, tc.most)
+			must.Between(t, tc.low, sameZone, tc.high)
 		})
 	}
 }
 
-func BenchmarkWorth(b *testing.B) {
+func BenchmarkChooseByValue(b *testing.B) {
 	for _, n := range []int{22, 100, 930} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			steps, prefill, running := make([]time.Duration, n), make([]int, n), make([]int, n)
 			for i := range n {
 				steps[i], running[i] = time.Duration(2+i%12)*time.Millisecond, i%5
 			}
-			s := aimed(steps, prefill, running)
+			s := newObjectiveScheduler(steps, prefill, running)
 			e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
 			b.ReportAllocs()
 			for b.Loop() {
