--- a/ingress/places.go
+++ b/ingress/places.go
@@ -42,8 +42,8 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	ranks := b.sched.SlotRequests(now)
-	all := now-b.slots.lastFullSend >= fullSendInterval
-	if all {
+	sendAll := now-b.slots.lastFullSend >= fullSendInterval
+	if sendAll {
 		b.slots.lastFullSend = now
 	}
 	out := make(map[string]places.Request)
@@ -54,7 +54,7 @@
 			request.Rank = rank
 		}
 		known, sent := b.slots.sentRequests[incarnation]
-		if wanted || request.Returned || (sent && known != request) || (!sent && request.Running > 0) || (all && request.Running > 0) {
+		if wanted || request.Returned || (sent && known != request) || (!sent && request.Running > 0) || (sendAll && request.Running > 0) {
 			out[incarnation] = request
 			request.Returned = false
 			b.slots.sentRequests[incarnation] = request
--- a/ingress/target.go
+++ b/ingress/target.go
@@ -42,10 +42,10 @@
 }
 
 // load returns what this host reports to other hosts about its own requests at the endpoint.
-func (t *target) load(ev outlier.Evidence) peers.Load {
+func (t *target) load(evidence outlier.Evidence) peers.Load {
 	l := t.ownLoad
 	l.Step = time.Duration(t.step.Value).Microseconds()
-	l.Good, l.Bad = int(math.Round(evidencePerRequest*ev.Good)), int(math.Round(evidencePerRequest*ev.Bad))
+	l.Good, l.Bad = int(math.Round(evidencePerRequest*evidence.Good)), int(math.Round(evidencePerRequest*evidence.Bad))
 	return l
 }
 
--- a/ingress/trial.go
+++ b/ingress/trial.go
@@ -19,7 +19,7 @@
 type Records interface {
 	// Swap writes a record if the stored one has the given revision, 0 for none. Otherwise it returns false, the stored record and
 	// its revision, which is 0 if none is stored.
-	Swap(ctx context.Context, r *quarantine.Record, revision uint64) (swapped bool, stands quarantine.Record, at uint64, err error)
+	Swap(ctx context.Context, r *quarantine.Record, revision uint64) (swapped bool, stored quarantine.Record, storedRevision uint64, err error)
 }
 
 // Limits of sends on trial.
