--- a/attempt/account.go
+++ b/attempt/account.go
@@ -6,74 +6,74 @@
 
 import "net/http"
 
-// State is what may have become of the newest send of a request.
+// State is the state of the newest send of a request.
 type State uint8
 
-// The states.
+// States of a send.
 const (
-	// Unsent means that no byte of it went to an endpoint that may run it.
+	// Unsent means that no endpoint that may run the request got a byte of it.
 	Unsent State = iota
-	// Sent means that an endpoint may run it, and has not answered.
+	// Sent means that an endpoint may run the request and has not answered.
 	Sent
-	// Answered means that an endpoint answered, which means that it ran it.
+	// Answered means that an endpoint began to answer, and so has run the request.
 	Answered
 )
 
-// Tracker is the account of one request; the zero value is a request that was not sent.
+// Tracker tracks the sends of one request; the zero value is a request that was not sent.
 type Tracker struct {
 	state State
 	ran   bool
 	sends int
 }
 
-// MarkSent notes that bytes of the request are about to go to an endpoint.
-func (a *Tracker) MarkSent() {
-	a.state = Sent
-	a.sends++
+// MarkSent records that bytes of the request are about to go to an endpoint.
+func (t *Tracker) MarkSent() {
+	t.state = Sent
+	t.sends++
 }
 
-// MarkUnsent takes a Send back: the connection failed before any byte was written.
-func (a *Tracker) MarkUnsent() {
-	if a.state == Sent {
-		a.state = Unsent
-		a.sends--
+// MarkUnsent takes a MarkSent back: the connection failed before any byte was written.
+func (t *Tracker) MarkUnsent() {
+	if t.state == Sent {
+		t.state = Unsent
+		t.sends--
 	}
 }
 
-// MarkNotRun notes that the endpoint said that it did not run the request.
-func (a *Tracker) MarkNotRun() {
-	if a.state == Sent {
-		a.state = Unsent
+// MarkNotRun records that the endpoint answered that it did not run the request.
+func (t *Tracker) MarkNotRun() {
+	if t.state == Sent {
+		t.state = Unsent
 	}
 }
 
-// MarkAnswered notes that the endpoint's answer began.
-func (a *Tracker) MarkAnswered() {
-	if a.state == Sent {
-		a.state = Answered
-		a.ran = true
+// MarkAnswered records that the endpoint's response began.
+func (t *Tracker) MarkAnswered() {
+	if t.state == Sent {
+		t.state = Answered
+		t.ran = true
 	}
 }
 
-// MarkLost notes that the endpoint's answer will not come.
-func (a *Tracker) MarkLost() {
-	if a.state != Unsent {
-		a.ran = true
+// MarkLost records that the endpoint's response will not come, or not completely.
+func (t *Tracker) MarkLost() {
+	if t.state != Unsent {
+		t.ran = true
 	}
-	a.state = Unsent
+	t.state = Unsent
 }
 
-// Sends is the number of endpoints that were sent the request.
-func (a *Tracker) Sends() int { return a.sends }
+// Sends returns the number of endpoints that were sent the request.
+func (t *Tracker) Sends() int { return t.sends }
 
-// MayHaveRun tells whether an endpoint may have run the request, or may yet.
-func (a *Tracker) MayHaveRun() bool { return a.ran || a.state != Unsent }
+// MayHaveRun reports whether an endpoint may have run the request, or may still run it.
+func (t *Tracker) MayHaveRun() bool { return t.ran || t.state != Unsent }
 
-// FailureStatus gives the true final status of a request that is given up. A request
-// that may have run gets no promise: 504 past its deadline, else 502.
-func (a *Tracker) FailureStatus(late bool) int {
+// FailureStatus returns the final HTTP status of a request that is given up: 503 only if no endpoint can have run it; otherwise 504
+// past its deadline, else 502, which do not claim that it did not run.
+func (t *Tracker) FailureStatus(late bool) int {
 	switch {
-	case !a.MayHaveRun():
+	case !t.MayHaveRun():
 		return http.StatusServiceUnavailable
 	case late:
 		return http.StatusGatewayTimeout
--- a/attempt/doc.go
+++ b/attempt/doc.go
@@ -2,7 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package attempt keeps account of what may have become of one request: whether
-// any endpoint may have run it, and so which final status would be true. Only
-// this account names the status of a failure.
+// Package attempt tracks whether any endpoint may have run a request, and so which final status is true of it. Statuses of failed
+// requests come only from this package.
 package attempt
