--- a/route/check.go
+++ b/route/check.go
@@ -9,33 +9,33 @@
 	"strings"
 )
 
-// Fault is something wrong with a configuration.
+// Fault is a fault in a configuration.
 type Fault struct {
-	// Where names the part, such as `route "ask"`.
+	// Where names the faulty part, such as `route "ask"`.
 	Where string `json:"where"`
-	// What is wrong, and Remedy what to write instead.
+	// What is wrong, and Remedy how to correct it.
 	What   string `json:"what"`
 	Remedy string `json:"remedy"`
 }
 
-// String gives the fault as a line.
+// String formats the fault as a line.
 func (f Fault) String() string { return f.Where + ": " + f.What + "; " + f.Remedy }
 
-// checker collects faults.
+// checker collects the faults of a document.
 type checker struct {
-	d      *Document
-	faults []Fault
+	document *Document
+	faults   []Fault
 }
 
-// add notes a fault.
+// add adds a fault.
 func (c *checker) add(where, what, remedy string) {
 	c.faults = append(c.faults, Fault{where, what, remedy})
 }
 
-// Check returns what is wrong with a configuration that could be read: what a host would take, and
-// then treat otherwise than its author meant.
+// Check returns the faults of a configuration that was parsed without error: what a host would accept, but treat otherwise than its
+// author meant.
 func Check(d *Document) []Fault {
-	c := &checker{d: d}
+	c := &checker{document: d}
 	c.services()
 	c.routes()
 	c.workspaces()
@@ -44,39 +44,39 @@
 
 func (c *checker) services() {
 	seen := make(map[string]bool)
-	for i := range c.d.Services {
-		s := &c.d.Services[i]
+	for i := range c.document.Services {
+		s := &c.document.Services[i]
 		where := fmt.Sprintf("service %q", s.Name)
 		c.name(where, s.Name, seen)
 		if s.MaxConnections < 0 || s.Slots < 0 || s.KVCapacity < 0 || s.EventTokens < 0 {
-			c.add(where, "a figure is below 0", "write 0 for unknown")
+			c.add(where, "a value is below 0", "write 0 for unknown")
 		}
 	}
 }
 
-// name checks that a name is given and stands once.
+// name checks that a name is set and unique.
 func (c *checker) name(where, name string, seen map[string]bool) {
 	switch {
 	case name == "":
 		c.add(where, "it has no name", "give it one")
 	case seen[name]:
-		c.add(where, "its name stands twice", "rename one or take it out")
+		c.add(where, "its name is used twice", "rename one or remove it")
 	}
 	seen[name] = true
 }
 
 func (c *checker) routes() {
-	names, places := make(map[string]bool), make(map[string]string)
-	for i := range c.d.Routes {
-		r := &c.d.Routes[i]
+	names, routeByPath := make(map[string]bool), make(map[string]string)
+	for i := range c.document.Routes {
+		r := &c.document.Routes[i]
 		where := fmt.Sprintf("route %q", r.Name)
 		c.name(where, r.Name, names)
 		c.route(where, r)
-		place := r.Host + r.Prefix
-		if other, ok := places[place]; ok {
+		path := r.Host + r.Prefix
+		if other, ok := routeByPath[path]; ok {
 			c.add(where, fmt.Sprintf("route %q has the same host and prefix", other), "keep one of them")
 		}
-		places[place] = r.Name
+		routeByPath[path] = r.Name
 	}
 }
 
@@ -89,18 +89,18 @@
 		c.add(where, fmt.Sprintf("prefix %q", r.Prefix), "begin and end it with a slash")
 	}
 	if r.Timeout < 0 || r.Objective < 0 || r.PauseObjective < 0 || r.Rank < 0 {
-		c.add(where, "a figure is below 0", "write 0 for no bound, and ranks from 0")
+		c.add(where, "a value is below 0", "write 0 for no limit, and ranks from 0")
 	}
 	if r.Timeout > 0 && r.Objective > r.Timeout {
-		c.add(where, "its objective is longer than its time-out", "raise the time-out; no answer in time could be late otherwise")
+		c.add(where, "its objective is longer than its timeout", "raise the timeout; otherwise no response within it could miss the objective")
 	}
 	if r.Resumable && r.Kind != Stream {
-		c.add(where, "it is resumable and no stream", "take that out, or make it a stream")
+		c.add(where, "it is resumable but not a stream", "remove resumable, or make it a stream")
 	}
 	c.targets(where, r)
 }
 
-// targets checks which services a route goes to.
+// targets checks the services of a route.
 func (c *checker) targets(where string, r *Route) {
 	sum := 0.0
 	for _, t := range r.Targets {
@@ -108,7 +108,7 @@
 		if t.Weight < 0 {
 			c.add(where, fmt.Sprintf("service %q has a weight below 0", t.Service), "write 0 or more")
 		}
-		if !c.known(t.Service) {
+		if !c.isDeclared(t.Service) {
 			c.add(where, fmt.Sprintf("service %q is not declared", t.Service), "declare it, or correct its name")
 		}
 	}
@@ -117,10 +117,10 @@
 	}
 }
 
-// known reports whether a service is declared.
-func (c *checker) known(name string) bool {
-	for i := range c.d.Services {
-		if c.d.Services[i].Name == name {
+// isDeclared reports whether a service is declared.
+func (c *checker) isDeclared(name string) bool {
+	for i := range c.document.Services {
+		if c.document.Services[i].Name == name {
 			return true
 		}
 	}
@@ -129,16 +129,16 @@
 
 func (c *checker) workspaces() {
 	names, keys := make(map[string]bool), make(map[string]string)
-	for i := range c.d.Workspaces {
-		w := &c.d.Workspaces[i]
+	for i := range c.document.Workspaces {
+		w := &c.document.Workspaces[i]
 		where := fmt.Sprintf("workspace %q", w.Name)
 		c.name(where, w.Name, names)
 		if w.Rate < 0 || w.Burst < 0 || w.DefaultTokens < 0 || w.Rank < 0 {
-			c.add(where, "a figure is below 0", "write 0 for no bound, and ranks from 0")
+			c.add(where, "a value is below 0", "write 0 for no limit, and ranks from 0")
 		}
 		for _, k := range w.Keys {
 			if other, ok := keys[k]; ok {
-				c.add(where, fmt.Sprintf("it shares a key with workspace %q", other), "give each a key of its own; hosts cannot tell them apart")
+				c.add(where, fmt.Sprintf("it shares a key with workspace %q", other), "give each its own key; hosts cannot tell them apart")
 			}
 			keys[k] = w.Name
 		}
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -14,30 +14,30 @@
 
 func TestCheck(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(d *Document)
-		// want stands in the only fault; empty wants none.
+		name   string
+		modify func(d *Document)
+		// want must occur in the only fault; empty means no fault.
 		want string
 	}{
-		{"sound", func(*Document) {}, ""},
-		{"no route at all", func(d *Document) { d.Routes = nil }, ""},
+		{"valid", func(*Document) {}, ""},
+		{"no routes", func(d *Document) { d.Routes = nil }, ""},
 		{"route without name", func(d *Document) { d.Routes[0].Name = "" }, "no name"},
-		{"two routes of a name", func(d *Document) { d.Routes[1].Name = "ask" }, "stands twice"},
+		{"two routes with the same name", func(d *Document) { d.Routes[1].Name = "ask" }, "name is used twice"},
 		{"no host", func(d *Document) { d.Routes[0].Host = "" }, "no host"},
 		{"prefix without slash", func(d *Document) { d.Routes[0].Prefix = "/ask" }, "begin and end it with a slash"},
-		{"two routes of a prefix", func(d *Document) { d.Routes[1].Prefix = "/ask/" }, "same host and prefix"},
+		{"two routes with the same prefix", func(d *Document) { d.Routes[1].Prefix = "/ask/" }, "same host and prefix"},
 		{"unknown service", func(d *Document) { d.Routes[0].Targets[0].Service = "gone" }, `service "gone" is not declared`},
 		{"no service", func(d *Document) { d.Routes[0].Targets = nil }, "no service gets"},
 		{"weight below 0", func(d *Document) {
 			d.Routes[0].Targets = append(d.Routes[0].Targets, Target{Service: "plain", Weight: -1})
 		}, "weight below 0"},
 		{"weights of 0", func(d *Document) { d.Routes[0].Targets[0].Weight = 0 }, "no service gets"},
-		{"negative time-out", func(d *Document) { d.Routes[0].Timeout = -1 }, "below 0"},
-		{"objective beyond the time-out", func(d *Document) { d.Routes[0].Objective = time.Minute }, "longer than its time-out"},
-		{"resumable and no stream", func(d *Document) { d.Routes[0].Resumable = true }, "no stream"},
-		{"two services of a name", func(d *Document) { d.Services = append(d.Services, d.Services[0]) }, "stands twice"},
+		{"negative timeout", func(d *Document) { d.Routes[0].Timeout = -1 }, "below 0"},
+		{"objective beyond the timeout", func(d *Document) { d.Routes[0].Objective = time.Minute }, "longer than its timeout"},
+		{"resumable but not a stream", func(d *Document) { d.Routes[0].Resumable = true }, "not a stream"},
+		{"two services with the same name", func(d *Document) { d.Services = append(d.Services, d.Services[0]) }, "name is used twice"},
 		{"negative slots", func(d *Document) { d.Services[0].Slots = -1 }, "below 0"},
-		{"a key of two workspaces", func(d *Document) { d.Workspaces[1].Keys = d.Workspaces[0].Keys }, "shares a key"},
+		{"two workspaces with the same key", func(d *Document) { d.Workspaces[1].Keys = d.Workspaces[0].Keys }, "shares a key"},
 		{"negative rate", func(d *Document) { d.Workspaces[0].Rate = -1 }, "below 0"},
 		{"workspace without name", func(d *Document) { d.Workspaces[0].Name = "" }, "no name"},
 	}
@@ -51,7 +51,7 @@
 				},
 				Workspaces: []Workspace{{Name: "a", Keys: []string{"k"}}, {Name: "b", Keys: []string{"l"}}},
 			}
-			tc.spoil(d)
+			tc.modify(d)
 			faults := Check(d)
 			if tc.want == "" {
 				must.Len(t, 0, faults)
--- a/route/doc.go
+++ b/route/doc.go
@@ -2,7 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package route decides to which service a request over plain HTTP belongs, for
-// whom it runs and what bounds hold for it. A Document is a whole configuration;
-// a Table is a Document made ready for look-ups. The package does no I/O.
+// Package route determines the service and the workspace of a request over plain HTTP, and the limits that apply to it. A Document
+// is a whole configuration; a Table indexes a Document for lookups. The package does no I/O.
 package route
--- a/route/document.go
+++ b/route/document.go
@@ -6,7 +6,7 @@
 
 import "time"
 
-// Kind says what may be done with a request a second time.
+// Kind says whether a request may run more than once, and how it is answered.
 type Kind uint8
 
 const (
@@ -14,33 +14,33 @@
 	AtMostOnce Kind = iota
 	// Repeatable marks requests that may run again.
 	Repeatable
-	// Stream marks requests that are answered by a series of events.
+	// Stream marks requests that are answered by an event stream.
 	Stream
 )
 
-// Route is a set of requests, by host and path, and what holds for them.
+// Route selects requests by host and path and sets how they are handled.
 type Route struct {
 	// Name identifies the route.
 	Name string
 	// Host and Prefix select the requests; the longest prefix wins.
 	Host, Prefix string
-	// Kind says what may be repeated.
+	// Kind is the kind of the requests.
 	Kind Kind
-	// Resumable says that a stream may go on at another endpoint.
+	// Resumable says that a stream may be resumed at another endpoint.
 	Resumable bool
 	// Public routes need no key.
 	Public bool
-	// Timeout bounds the time a request is held; 0 is no bound.
+	// Timeout limits the time from a request's arrival to its end; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or its first event, is wanted.
+	// Objective is the target time to the response, or to the first event of a stream.
 	Objective time.Duration
-	// PauseObjective is the longest pause between two events that is wanted.
+	// PauseObjective is the target for the longest pause between two events.
 	PauseObjective time.Duration
-	// Attempts is the number of endpoints that one request may go to.
+	// Attempts is the maximum number of endpoints to which one request is sent.
 	Attempts int
-	// Rank is the urgency, 0 the highest.
+	// Rank is the urgency; 0 is the highest.
 	Rank int
-	// Sticky says that endpoints which hold parts of the prompt are preferred.
+	// Sticky prefers endpoints that hold parts of the prompt.
 	Sticky bool
 	// Targets are the services that share the requests by weight.
 	Targets []Target
@@ -54,61 +54,61 @@
 	Weight float64
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Service is a kind of endpoint.
+// Service is a set of endpoints of one kind.
 type Service struct {
 	// Name identifies the service.
 	Name string
-	// MaxConnections is the number of connections an endpoint takes from all hosts; 0 is unknown.
+	// MaxConnections is the number of connections that an endpoint accepts from all hosts together; 0 means unknown.
 	MaxConnections int
-	// Engine says that its endpoints are model engines.
+	// Engine says that the endpoints are engines; else they are plain services.
 	Engine bool
-	// Slots is the number of requests an engine batches; 0 is unknown.
+	// Slots is the number of requests that an engine batches; 0 means unknown.
 	Slots int
-	// EventTokens is the number of tokens that an event of a stream holds; 0 is unknown.
+	// EventTokens is the number of tokens in an event of a stream; 0 means unknown.
 	EventTokens int
-	// KVCapacity is the number of tokens an engine holds; 0 is unknown.
+	// KVCapacity is the number of tokens that an engine can hold; 0 means unknown.
 	KVCapacity int
 }
 
-// Workspace is a customer with keys and a bound.
+// Workspace is a customer with its keys and quota.
 type Workspace struct {
 	// Name identifies the workspace.
 	Name string
 	// Keys are the keys in force.
 	Keys []string
-	// Rank goes before the route's rank, 0 the highest.
+	// Rank takes precedence over the route's rank; 0 is the highest.
 	Rank int
-	// Rate is the bound in units a second over all hosts; 0 is no bound.
+	// Rate is the limit in units per second over all hosts; 0 means no limit.
 	Rate float64
-	// Burst is what may come at once beyond Rate, in units.
+	// Burst is the number of units that may come at once beyond Rate.
 	Burst float64
 	// RateInTokens says that units are tokens; else they are requests.
 	RateInTokens bool
-	// DefaultTokens counts for a request that names no tokens.
+	// DefaultTokens is the number of units of a request that declares no tokens.
 	DefaultTokens float64
 }
 
-// Limits bound what a caller may send.
+// Limits limit what a caller may send.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound the sizes.
+	// HeaderBytes and BodyBytes limit the sizes.
 	HeaderBytes, BodyBytes int64
-	// HeaderTimeout bounds the time for the header, IdleTime the rest between requests.
+	// HeaderTimeout limits the time to receive the header, IdleTimeout the time between two requests of a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Document is a whole configuration.
 type Document struct {
-	// Version is the operators' number of it.
+	// Version is the number that operators gave it.
 	Version int64
 	// Routes, Services and Workspaces are its parts.
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Limits bound what a caller may send.
+	// Limits limit what a caller may send.
 	Limits Limits
 }
--- a/route/table.go
+++ b/route/table.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Table answers look-ups in one Document; it must not be changed.
+// Table indexes a Document for lookups. It is immutable.
 type Table struct {
-	// Document is what it was made of.
+	// Document is the indexed document; it must not be modified.
 	Document *Document
-	// Revision is the number of the write that brought it; it only rises.
+	// Revision is the revision of the write that set the document; it never decreases.
 	Revision uint64
 
 	byHost   map[string][]*Route
@@ -21,7 +21,7 @@
 	services map[string]*Service
 }
 
-// NewTable makes a document ready for look-ups.
+// NewTable indexes a document.
 func NewTable(d *Document, revision uint64) *Table {
 	t := &Table{
 		Document: d, Revision: revision,
@@ -48,7 +48,7 @@
 	return t
 }
 
-// hostName gives a host without its port, in lower case.
+// hostName returns a host without its port, in lower case.
 func hostName(s string) string {
 	if i := strings.LastIndexByte(s, ':'); i >= 0 && !strings.HasSuffix(s, "]") {
 		s = s[:i]
@@ -56,41 +56,40 @@
 	return strings.ToLower(s)
 }
 
-// Match returns the route of a host and an escaped path, or nil. Among the
-// routes of the host, the one with the longest prefix of the path wins. Routes
-// are sorted by prefix, so the look-up tries one prefix a slash of the path.
+// Match returns the route of a host and an escaped path, or nil. Among the routes of the host, the one with the longest prefix of the
+// path wins. Routes are sorted by prefix, so that the lookup tries one prefix for each slash of the path.
 func (t *Table) Match(host, path string) *Route {
-	rs := t.byHost[hostName(host)]
+	routes := t.byHost[hostName(host)]
 	for end := len(path); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
 			return nil
 		}
 		prefix := path[:slash+1]
-		i := sort.Search(len(rs), func(i int) bool { return rs[i].Prefix >= prefix })
-		if i < len(rs) && rs[i].Prefix == prefix {
-			return rs[i]
+		i := sort.Search(len(routes), func(i int) bool { return routes[i].Prefix >= prefix })
+		if i < len(routes) && routes[i].Prefix == prefix {
+			return routes[i]
 		}
 		end = slash
 	}
 	return nil
 }
 
-// Workspace returns the workspace that holds a key, or nil.
+// Workspace returns the workspace that has a key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.byKey[key] }
 
 // Service returns a service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// PickTarget picks one of a route's services by weight; at is from [0, 1).
-func (r *Route) PickTarget(at float64) string {
+// PickTarget picks one of a route's services by weight; point is in [0, 1).
+func (r *Route) PickTarget(point float64) string {
 	sum := 0.0
 	for _, t := range r.Targets {
 		sum += t.Weight
 	}
-	at *= sum
+	point *= sum
 	for _, t := range r.Targets {
-		if at -= t.Weight; at < 0 {
+		if point -= t.Weight; point < 0 {
 			return t.Service
 		}
 	}
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTarget(t *testing.T) {
+func TestPickTarget(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	n := make(map[string]int)
 	for i := range 1000 {
@@ -48,7 +48,7 @@
 	must.EqOp(t, "b", (&Route{Targets: []Target{{"a", 0}, {"b", 0}}}).PickTarget(0.5))
 }
 
-func TestKeys(t *testing.T) {
+func TestWorkspace(t *testing.T) {
 	table := NewTable(&Document{Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}}}, 1)
 	must.EqOp(t, "w", table.Workspace("k2").Name)
 	must.Nil(t, table.Workspace("k3"))
