--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -187,8 +187,8 @@
 // no host is assumed to have the mean step time of its service.
 func (b *balancer) reportLoads(now time.Duration) {
 	mean := b.meanStepTime()
-	for name, t := range b.targets {
-		b.sched.ApplyReport(now, name, sched.Report{
+	for incarnation, t := range b.targets {
+		b.sched.ApplyReport(now, incarnation, sched.Report{
 			At: now, Running: t.ownLoad.Running + t.peerLoad.Running, PrefillTokens: t.ownLoad.Prefill + t.peerLoad.Prefill,
 			Estimated: true, Slots: t.Slots, Step: cmp.Or(t.stepTime(), mean[t.Service]), PrefillPerStep: b.prefillRate(t.Service), Model: t.Service, AcceptsPrompts: true,
 		})
@@ -203,18 +203,18 @@
 }
 
 // setPeerLoads applies the running and waiting requests of all other hosts together.
-func (b *balancer) setPeerLoads(now time.Duration, o peers.PeerLoads) {
+func (b *balancer) setPeerLoads(now time.Duration, loads peers.PeerLoads) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for name, t := range b.targets {
-		l := o.Load[name]
+	for incarnation, t := range b.targets {
+		l := loads.Load[incarnation]
 		l.Step = cmp.Or(l.Step, t.peerLoad.Step) // the last known value is kept
 		t.peerLoad = l
-		b.sched.ApplyPeerEvidence(now, name, t.peerEvidence())
+		b.sched.ApplyPeerEvidence(now, incarnation, t.peerEvidence())
 	}
 	b.reportLoads(now)
-	b.sched.SetSilentPeers(o.Unreported)
-	b.sched.SetPeerState(sched.PeerState{Waiting: o.Waiting, Age: o.Age})
+	b.sched.SetSilentPeers(loads.Unreported)
+	b.sched.SetPeerState(sched.PeerState{Waiting: loads.Waiting, Age: loads.Age})
 	b.poll(now)
 }
 
@@ -224,9 +224,9 @@
 	defer b.mu.Unlock()
 	out := make(map[string]peers.Load)
 	now := b.now()
-	for name, t := range b.targets {
-		if l := t.load(b.sched.Evidence(now, name)); l.Running > 0 || l.Bad > 0 {
-			out[name] = l
+	for incarnation, t := range b.targets {
+		if l := t.load(b.sched.Evidence(now, incarnation)); l.Running > 0 || l.Bad > 0 {
+			out[incarnation] = l
 		}
 	}
 	return out, b.sched.OwnWaiting()
@@ -242,10 +242,10 @@
 	}
 	b.hadWaiting = len(waiting) > 0
 	out := make(map[string]peers.Load, len(b.changedLoads))
-	for name := range b.changedLoads {
-		out[name] = peers.Load{}
-		if t := b.targets[name]; t != nil {
-			out[name] = t.load(b.sched.Evidence(b.now(), name))
+	for incarnation := range b.changedLoads {
+		out[incarnation] = peers.Load{}
+		if t := b.targets[incarnation]; t != nil {
+			out[incarnation] = t.load(b.sched.Evidence(b.now(), incarnation))
 		}
 	}
 	clear(b.changedLoads)
@@ -424,10 +424,10 @@
 }
 
 // endpoint returns a copy of an endpoint, or the zero value if it is unknown.
-func (b *balancer) endpoint(name string) feed.Endpoint {
+func (b *balancer) endpoint(incarnation string) feed.Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t := b.targets[name]; t != nil {
+	if t := b.targets[incarnation]; t != nil {
 		return t.Endpoint
 	}
 	return feed.Endpoint{}
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -71,22 +71,22 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	q := k.probes[incarnation]
-	if q != nil && (q.crashed || now-q.startedAt < probeTTL) {
+	probe := k.probes[incarnation]
+	if probe != nil && (probe.crashed || now-probe.startedAt < probeTTL) {
 		select {
-		case <-q.done:
-			if q.crashed {
-				k.noteCrash(&l, incarnation, q.startedAt)
+		case <-probe.done:
+			if probe.crashed {
+				k.noteCrash(&l, incarnation, probe.startedAt)
 			}
 		default:
-			q.losses = append(q.losses, l)
+			probe.losses = append(probe.losses, l)
 		}
-		return q.done
+		return probe.done
 	}
-	q = &crashProbe{startedAt: now, done: make(chan struct{}), losses: []loss{l}}
-	k.probes[incarnation] = q
-	go k.runProbe(q, incarnation, c.endpoint.Address)
-	return q.done
+	probe = &crashProbe{startedAt: now, done: make(chan struct{}), losses: []loss{l}}
+	k.probes[incarnation] = probe
+	go k.runProbe(probe, incarnation, c.endpoint.Address)
+	return probe.done
 }
 
 // noteRestarted records that an incarnation of an endpoint has ended, since a later one is listed. The endpoint crashed under the
@@ -94,13 +94,13 @@
 func (k *crashes) noteRestarted(incarnation string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	q := k.probes[incarnation]
-	if q == nil || q.crashed || k.now()-q.startedAt > restartWindow {
+	probe := k.probes[incarnation]
+	if probe == nil || probe.crashed || k.now()-probe.startedAt > restartWindow {
 		return
 	}
-	q.crashed = true
-	for i := range q.losses {
-		k.noteCrash(&q.losses[i], incarnation, q.startedAt)
+	probe.crashed = true
+	for i := range probe.losses {
+		k.noteCrash(&probe.losses[i], incarnation, probe.startedAt)
 	}
 }
 
@@ -109,19 +109,19 @@
 const restartWindow = 3 * time.Second
 
 // runProbe dials an endpoint; it has crashed if the connection is refused.
-func (k *crashes) runProbe(q *crashProbe, incarnation, address string) {
+func (k *crashes) runProbe(probe *crashProbe, incarnation, address string) {
 	err := k.dial(context.Background(), address)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	defer close(q.done)
+	defer close(probe.done)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
-	k.log.Info("endpoint asked whether it is still there", "endpoint", incarnation, "refused", refused, "requests", len(q.losses))
-	if q.crashed || !refused {
+	k.log.Info("endpoint asked whether it is still there", "endpoint", incarnation, "refused", refused, "requests", len(probe.losses))
+	if probe.crashed || !refused {
 		return
 	}
-	q.crashed = true
-	for i := range q.losses {
-		k.noteCrash(&q.losses[i], incarnation, q.startedAt)
+	probe.crashed = true
+	for i := range probe.losses {
+		k.noteCrash(&probe.losses[i], incarnation, probe.startedAt)
 	}
 }
 
@@ -181,8 +181,8 @@
 	defer k.mu.Unlock()
 	k.registry.Endpoints = endpoints
 	k.registry.Sweep(k.now())
-	for incarnation, q := range k.probes {
-		if k.now()-q.startedAt > crashedProbeTTL {
+	for incarnation, probe := range k.probes {
+		if k.now()-probe.startedAt > crashedProbeTTL {
 			delete(k.probes, incarnation)
 		}
 	}
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -41,12 +41,12 @@
 	if err != nil {
 		return sendLost, backoffLost
 	}
-	a := &response{status: resp.StatusCode, header: resp.Header, body: body}
+	buffered := &response{status: resp.StatusCode, header: resp.Header, body: body}
 	if len(body) > maxBuffered {
-		return c.forwardLarge(a, resp.Body, sent)
+		return c.forwardLarge(buffered, resp.Body, sent)
 	}
-	if a.status >= http.StatusInternalServerError && c.route.MayRepeat() && c.tracker.Sends() < c.route.Attempts {
-		c.savedResponse = a
+	if buffered.status >= http.StatusInternalServerError && c.route.MayRepeat() && c.tracker.Sends() < c.route.Attempts {
+		c.savedResponse = buffered
 		return sendFailed, 0
 	}
 	elapsed := c.elapsed(sent, c.s.Now())
@@ -56,22 +56,22 @@
 	} else {
 		c.s.balance.endSend(c, sched.Completed, 1, elapsed)
 	}
-	c.writeResponse(a)
+	c.writeResponse(buffered)
 	return sendCompleted, 0
 }
 
 // writeResponse writes a complete response to the caller.
-func (c *call) writeResponse(a *response) {
-	if a.status >= http.StatusInternalServerError {
-		c.logOutcome(outcome.EndpointFailed, a.status, "the endpoint's own answer", 0)
+func (c *call) writeResponse(buffered *response) {
+	if buffered.status >= http.StatusInternalServerError {
+		c.logOutcome(outcome.EndpointFailed, buffered.status, "the endpoint's own answer", 0)
 	}
 	c.timings.firstWritten = c.s.Now()
-	c.copyHeader(a.header)
-	if bodyAllowed(c.r.Method, a.status) {
-		c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+	c.copyHeader(buffered.header)
+	if bodyAllowed(c.r.Method, buffered.status) {
+		c.w.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	}
-	c.w.WriteHeader(a.status)
-	_, _ = c.w.Write(a.body)
+	c.w.WriteHeader(buffered.status)
+	_, _ = c.w.Write(buffered.body)
 }
 
 // bodyAllowed reports whether a response has a body.
@@ -80,12 +80,12 @@
 }
 
 // forwardLarge forwards a large response as it arrives.
-func (c *call) forwardLarge(a *response, rest io.Reader, sent time.Duration) (sendOutcome, time.Duration) {
+func (c *call) forwardLarge(buffered *response, rest io.Reader, sent time.Duration) (sendOutcome, time.Duration) {
 	c.timings.firstWritten = c.s.Now()
-	c.copyHeader(a.header)
+	c.copyHeader(buffered.header)
 	c.stream.started = true
-	c.w.WriteHeader(a.status)
-	if _, err := c.w.Write(a.body); err != nil {
+	c.w.WriteHeader(buffered.status)
+	if _, err := c.w.Write(buffered.body); err != nil {
 		return sendAbandoned, 0
 	}
 	buf := make([]byte, 32<<10)
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -164,11 +164,11 @@
 			c.timings.firstSent = c.s.Now()
 		}
 		c.endpoint, c.timings.chosen = c.s.balance.endpoint(d.Endpoint), c.s.Now()
-		end, backoff := c.send(ctx)
+		result, backoff := c.send(ctx)
 		retry := false
-		switch end {
+		switch result {
 		case sendCompleted, sendAbandoned:
-			c.finish(ctx, end)
+			c.finish(ctx, result)
 			return
 		case sendForbidden:
 			c.s.balance.endSend(c, sched.Canceled, 0, 0)
@@ -189,7 +189,7 @@
 			c.giveUp(ctx, sched.Decision{Verdict: sched.Refuse, RetryAfter: backoff})
 			return
 		}
-		if end != sendUnsent {
+		if result != sendUnsent {
 			c.s.Count.Repeated.Add(1)
 		}
 		d = c.s.balance.redispatch(c)
@@ -235,8 +235,8 @@
 }
 
 // finish counts a call whose last send has ended, and answers the caller if it has no response yet.
-func (c *call) finish(ctx context.Context, e sendOutcome) {
-	if e == sendCompleted {
+func (c *call) finish(ctx context.Context, result sendOutcome) {
+	if result == sendCompleted {
 		c.s.Count.Served.Add(1)
 		if !c.serverError {
 			c.s.crashes.noteAnswer(c)
@@ -302,8 +302,8 @@
 		conn.Release()
 		return sendForbidden, 0
 	}
-	left := c.deadline - c.s.Now()
-	if left <= 0 || ctx.Err() != nil {
+	remaining := c.deadline - c.s.Now()
+	if remaining <= 0 || ctx.Err() != nil {
 		conn.Release()
 		return sendAbandoned, 0
 	}
@@ -316,7 +316,7 @@
 		conn.Release()
 		return sendUnsent, 0
 	}
-	c.header.Set(c.s.Headers.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	c.header.Set(c.s.Headers.Deadline, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	c.header.Set(c.s.Headers.ExpectInstance, c.endpoint.Instance)
 	stopCancel := context.AfterFunc(ctx, func() { conn.Close() })
 	c.tracker.MarkSent()
@@ -324,22 +324,22 @@
 	sentAt := c.s.Now()
 	c.noteSend(sentAt)
 	idle := newIdleTimer(c.idleTimeout(), conn.Close)
-	end, backoff := c.roundTrip(ctx, conn, idle)
+	result, backoff := c.roundTrip(ctx, conn, idle)
 	timedOut := idle.stop()
-	if timedOut && end == sendLost {
+	if timedOut && result == sendLost {
 		backoff = backoffUnreachable
 	}
 	uncanceled := stopCancel()
 	if timedOut || (!uncanceled && c.responsePending && c.s.Now()-sentAt >= closeStaleAfter) {
 		c.s.pool.CloseStale(conn)
 	}
-	if end != sendCompleted && (timedOut || !uncanceled) {
+	if result != sendCompleted && (timedOut || !uncanceled) {
 		c.countCanceledWork(timedOut, c.s.Now()-sentAt)
 	}
 	switch {
-	case !uncanceled && end != sendCompleted:
-		end = sendAbandoned
-	case uncanceled && (end == sendLost || end == sendAbandoned):
+	case !uncanceled && result != sendCompleted:
+		result = sendAbandoned
+	case uncanceled && (result == sendLost || result == sendAbandoned):
 		conn.Close()
 	case uncanceled:
 		conn.Release()
@@ -347,9 +347,9 @@
 	// A send during which this process did not run for a while says nothing about the endpoint.
 	gapSeen := c.s.Watch.GapSince(sentAt)
 	if !gapSeen {
-		c.reportFailure(end, backoff)
+		c.reportFailure(result, backoff)
 	}
-	if end == sendLost {
+	if result == sendLost {
 		c.tracker.MarkLost()
 		c.s.Count.Lost.Add(1)
 		c.logOutcome(outcome.SendLost, 0, "the endpoint did not send a complete response", 0)
@@ -357,7 +357,7 @@
 			c.probeCrash(ctx, gapSeen)
 		}
 	}
-	return end, backoff
+	return result, backoff
 }
 
 // noteSend records the age of the endpoint list by which the request is sent. If it exceeds half of DrainTime, the send is logged.
@@ -365,7 +365,7 @@
 	c.timings.lastSent, c.timings.listAge = now, c.s.listAge(now)
 	c.recordDuration(metrics.ListAge, c.timings.listAge)
 	c.recordDuration(metrics.ChoiceToSend, now-c.timings.chosen)
-	if bound := c.s.DrainTime; bound > 0 && c.timings.listAge > bound/2 {
+	if drainTime := c.s.DrainTime; drainTime > 0 && c.timings.listAge > drainTime/2 {
 		c.logOutcome(outcome.SentByOldList, 0, "the endpoint list may contain endpoints that have left", 0)
 	}
 }
@@ -386,15 +386,15 @@
 }
 
 // reportFailure reports a failed send to the scheduler. Completed and abandoned sends were reported when they ended.
-func (c *call) reportFailure(end sendOutcome, backoff time.Duration) {
+func (c *call) reportFailure(result sendOutcome, backoff time.Duration) {
 	switch {
-	case end == sendLost && c.responsePending:
+	case result == sendLost && c.responsePending:
 		c.s.balance.noteFailure(c, outlier.Unanswered)
-	case end == sendLost:
+	case result == sendLost:
 		c.s.balance.noteFailure(c, outlier.Broken)
-	case end == sendFailed:
+	case result == sendFailed:
 		c.s.balance.noteFailure(c, outlier.Errored)
-	case end == sendNotExecuted:
+	case result == sendNotExecuted:
 		c.s.balance.backOff(c, backoff)
 		if backoff == backoffFull {
 			c.s.balance.noteFailure(c, outlier.Rejected)
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -38,29 +38,29 @@
 
 // newIdleTimer starts a timer; a limit of 0 never fires.
 func newIdleTimer(limit time.Duration, cancel func()) *idleTimer {
-	s := &idleTimer{limit: limit}
+	t := &idleTimer{limit: limit}
 	if limit > 0 {
-		s.timer = time.AfterFunc(limit, func() {
-			s.fired.Store(true)
+		t.timer = time.AfterFunc(limit, func() {
+			t.fired.Store(true)
 			cancel()
 		})
 	}
-	return s
+	return t
 }
 
 // reset restarts the timer.
-func (s *idleTimer) reset() {
-	if s.timer != nil && s.timer.Stop() {
-		s.timer.Reset(s.limit)
+func (t *idleTimer) reset() {
+	if t.timer != nil && t.timer.Stop() {
+		t.timer.Reset(t.limit)
 	}
 }
 
 // stop stops the timer and reports whether it had canceled the send.
-func (s *idleTimer) stop() bool {
-	if s.timer != nil {
-		s.timer.Stop()
+func (t *idleTimer) stop() bool {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	return s.fired.Load()
+	return t.fired.Load()
 }
 
 // idleTimeout returns the silence after which the request is better sent to another endpoint, or 0 where that is not allowed. A
--- a/ingress/state.go
+++ b/ingress/state.go
@@ -23,4 +23,4 @@
 }
 
 // SetOthers applies the running and waiting requests of all other hosts together.
-func (s *Server) SetOthers(o peers.PeerLoads) { s.balance.setPeerLoads(s.Now(), o) }
+func (s *Server) SetOthers(loads peers.PeerLoads) { s.balance.setPeerLoads(s.Now(), loads) }
--- a/route/document.go
+++ b/route/document.go
@@ -93,7 +93,7 @@
 	DefaultTokens float64
 }
 
-// Limits limit what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
 	// HeaderBytes and BodyBytes limit the sizes.
 	HeaderBytes, BodyBytes int64
@@ -109,6 +109,6 @@
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Limits limit what a caller may send.
+	// Limits are the limits on what a caller may send.
 	Limits Limits
 }
