--- a/ingress/server.go
+++ b/ingress/server.go
@@ -25,59 +25,58 @@
 
 // Server is the ingress of one host. The exported fields must be set before Init.
 type Server struct {
-	// Headers are the names that are spoken.
+	// Headers are the header names in use.
 	Headers Headers
-	// Dial opens connections to endpoints, or nil for those of the machine.
+	// Dial opens connections to endpoints; nil dials over the machine's network.
 	Dial upstream.Dial
 	// Settings is the configuration in force and its age.
 	Settings *feed.Settings
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it includes time in which the host is suspended.
 	Now func() time.Duration
-	// Watch tells of times in which the process did not run, on the same clock.
+	// Watch detects times in which the process did not run, on the same clock.
 	Watch *clock.GapDetector
-	// Unconfirmed reports whether the host has heard nothing of settings and endpoints since it did not run for a while; nil
-	// means that it never is.
+	// Unconfirmed reports whether the host has received no confirmation of its settings and endpoints since the process last did not
+	// run for a while; nil means that they are always confirmed.
 	Unconfirmed func() bool
-	// ListConfirmedAt tells when the list of endpoints was surely the newest, and false if there is none; nil means that it always is.
+	// ListConfirmedAt returns when the endpoint list was last known to be the newest, and false if there is none; nil means that it always is.
 	ListConfirmedAt func() (time.Duration, bool)
-	// ListUsable reports whether the list of endpoints is young enough to send requests by it; nil means that it always is.
+	// ListUsable reports whether the endpoint list is young enough to send requests by it; nil means that it always is.
 	ListUsable func() bool
-	// DrainTime is the time after its leaving in which an endpoint may still get requests.
+	// DrainTime is the time after it starts to leave during which an endpoint may still get requests.
 	DrainTime time.Duration
-	// Host names this host.
+	// Host is this host's name.
 	Host string
 	// Zone is the host's availability zone.
 	Zone string
-	// Policy holds the figures of the decisions on endpoints.
+	// Policy configures the scheduler.
 	Policy sched.Config
-	// Retries bound repeated sends: the ratio to first ones and the credit kept, of
-	// all hosts together.
+	// Retries is the retry budget of each service over all hosts: the ratio of retries to first sends, and the maximum credit.
 	Retries quota.RetryBudget
-	// Tolerance is what all hosts together may get wrong about a workspace's amount.
+	// Tolerance is by how much all hosts together may miss a workspace's quota.
 	Tolerance quota.Tolerance
 	// FirstStart says that no host ran before this start.
 	FirstStart bool
-	// BodyMemory bounds the bytes of requests held at once.
+	// BodyMemory limits the bytes of request bodies held at once.
 	BodyMemory int64
-	// Trace logs a line for every request, without a bound on their number.
+	// Trace logs a line for every request, without a limit on their number.
 	Trace bool
-	// Log takes changes of state and failures.
+	// Log receives state changes and failures.
 	Log logr.Logger
 
-	pool      upstream.Pool
-	balance   *balancer
-	crashes   crashes
-	deadlines deadlines
-	active    atomic.Int64
-	bodies    atomic.Int64
-	ages      atomic.Pointer[AgeLimits]
-	stopAt    atomic.Int64 // when the stop began, in nanoseconds of Now, or 0
-
-	mu      sync.Mutex
-	book    *quota.Book
-	retries map[string]*quota.RetryBudget
-	hosts   int
-	lines   map[outcome.Kind]*outcome.Budget
+	pool        upstream.Pool
+	balance     *balancer
+	crashes     crashes
+	deadlines   deadlines
+	active      atomic.Int64
+	bodyBytes   atomic.Int64
+	ageLimits   atomic.Pointer[AgeLimits]
+	stopStarted atomic.Int64 // when the stop began, in nanoseconds of Now, or 0
+
+	mu           sync.Mutex
+	quotas       *quota.Book
+	retryBudgets map[string]*quota.RetryBudget
+	hostCount    int
+	logBudgets   map[outcome.Kind]*outcome.Budget
 
 	// Count counts outcomes.
 	Count Counters
@@ -85,125 +84,123 @@
 	Metrics metrics.Set
 }
 
-// Init makes the server ready.
+// Init prepares the server for use.
 func (s *Server) Init() {
 	s.pool.Now = s.Now
 	s.pool.DialTimeout, s.pool.Dial = dialTimeout, s.Dial
-	s.crashes = crashes{now: s.Now, dial: s.pool.Warm, log: s.Log, tell: func() {}, inquiries: make(map[string]*inquiry)}
-	s.crashes.book.Host = s.Host
+	s.crashes = crashes{now: s.Now, dial: s.pool.Warm, log: s.Log, notifyPeers: func() {}, probes: make(map[string]*crashProbe)}
+	s.crashes.registry.Host = s.Host
 	s.deadlines = deadlines{now: s.Now, calls: make(map[*call]*time.Timer)}
-	s.book = quota.NewBook(s.Now())
-	s.book.Tolerance, s.book.StartFull = s.Tolerance, s.FirstStart
-	s.retries = make(map[string]*quota.RetryBudget)
-	s.lines = make(map[outcome.Kind]*outcome.Budget)
-	s.hosts = 1
+	s.quotas = quota.NewBook(s.Now())
+	s.quotas.Tolerance, s.quotas.StartFull = s.Tolerance, s.FirstStart
+	s.retryBudgets = make(map[string]*quota.RetryBudget)
+	s.logBudgets = make(map[outcome.Kind]*outcome.Budget)
+	s.hostCount = 1
 	s.SetAgeLimits(AgeLimits{Strict: true})
 	s.balance = newBalancer(s.Zone, s.Policy, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), s.Now)
 }
 
-// AgeLimits bound what a host does with settings that may be old.
+// AgeLimits limit how the host uses settings that may be stale.
 type AgeLimits struct {
-	// MaxKeyAge is the age up to which they are taken to know which keys were withdrawn.
+	// MaxKeyAge is the age up to which the settings are trusted to show which keys were withdrawn.
 	MaxKeyAge time.Duration
-	// Strict says that requests with keys are refused beyond Trust; else they are taken
-	// with the keys that are known, and only callers are sent to other hosts.
+	// Strict refuses requests with keys beyond MaxKeyAge; otherwise they are accepted by the keys known, and callers are merely
+	// directed to other hosts.
 	Strict bool
-	// MaxUnknownAge is the age up to which an unknown route or key is said to be unknown.
+	// MaxUnknownAge is the age up to which an unknown route or key is answered as unknown.
 	MaxUnknownAge time.Duration
 }
 
-// SetAgeLimits puts bounds in force.
-func (s *Server) SetAgeLimits(a AgeLimits) { s.ages.Store(&a) }
+// SetAgeLimits puts limits in force.
+func (s *Server) SetAgeLimits(a AgeLimits) { s.ageLimits.Store(&a) }
 
-// dialTimeout bounds the opening of a connection to an endpoint.
+// dialTimeout limits the time to open a connection to an endpoint.
 const dialTimeout = 700 * time.Millisecond
 
-// SetTable is called with each new configuration.
+// SetTable must be called with each new configuration.
 func (s *Server) SetTable(t *route.Table) {
 	s.balance.setTable(t)
-	s.boundIdle(t)
-	s.openAccounts(t)
+	s.limitIdle(t)
+	s.openQuotas(t)
 }
 
-// openAccounts begins the accounts of all workspaces.
-func (s *Server) openAccounts(t *route.Table) {
+// openQuotas opens the quotas of all workspaces.
+func (s *Server) openQuotas(t *route.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range t.Document.Workspaces {
 		w := &t.Document.Workspaces[i]
-		s.book.Open(s.Now(), w.Name, quota.Limit{Rate: w.Rate, Burst: w.Burst})
+		s.quotas.Open(s.Now(), w.Name, quota.Limit{Rate: w.Rate, Burst: w.Burst})
 	}
 }
 
-// idlePart is the part of the connections that an endpoint takes which hosts keep
-// open without use.
-const idlePart = 0.5
+// idleShare is the share of an endpoint's connection limit that all hosts together may keep idle.
+const idleShare = 0.5
 
-// boundIdle keeps the idle connections of all hosts within what endpoints take.
-func (s *Server) boundIdle(t *route.Table) {
+// limitIdle sets this host's part of the idle connections that endpoints accept.
+func (s *Server) limitIdle(t *route.Table) {
 	s.mu.Lock()
-	hosts := s.hosts
+	hosts := s.hostCount
 	s.mu.Unlock()
-	least := 0
+	minConnections := 0
 	for i := range t.Document.Services {
-		if n := t.Document.Services[i].MaxConnections; n > 0 && (least == 0 || n < least) {
-			least = n
+		if n := t.Document.Services[i].MaxConnections; n > 0 && (minConnections == 0 || n < minConnections) {
+			minConnections = n
 		}
 	}
-	if least > 0 {
-		s.pool.SetMaxIdle(int(idlePart * float64(least) / float64(hosts)))
+	if minConnections > 0 {
+		s.pool.SetMaxIdle(int(idleShare * float64(minConnections) / float64(hosts)))
 	}
 }
 
-// SetRequestSlots gives what makes the host ask for places soon; call it before the first request.
-func (s *Server) SetRequestSlots(kick func()) { s.balance.kick = kick }
+// SetRequestSlots sets the callback that makes the host ask slot owners for slots soon; call it before the first request.
+func (s *Server) SetRequestSlots(requestSlots func()) { s.balance.requestSlots = requestSlots }
 
-// SetEndpoints is called with each new list of endpoints.
+// SetEndpoints must be called with each new endpoint list.
 func (s *Server) SetEndpoints(list []feed.Endpoint) {
-	for _, life := range s.balance.setEndpoints(s.Now(), list) {
-		s.crashes.reborn(life)
+	for _, incarnation := range s.balance.setEndpoints(s.Now(), list) {
+		s.crashes.noteRestarted(incarnation)
 	}
 }
 
-// SetHosts tells how many hosts share the amounts and the endpoints, and the time
-// between two words of one of them.
-func (s *Server) SetHosts(n int, every time.Duration) {
+// SetHosts sets how many hosts share the quotas and the endpoints, and the time between two reports of one of them.
+func (s *Server) SetHosts(n int, interval time.Duration) {
 	s.mu.Lock()
-	changed := s.hosts != max(1, n)
-	s.hosts = max(1, n)
-	s.book.SetHosts(n, every)
+	changed := s.hostCount != max(1, n)
+	s.hostCount = max(1, n)
+	s.quotas.SetHosts(n, interval)
 	s.mu.Unlock()
-	s.balance.setHosts(n)
+	s.balance.setHostCount(n)
 	if src := s.Settings.Current(); changed && src != nil {
-		s.boundIdle(src.Table)
+		s.limitIdle(src.Table)
 	}
 }
 
-// MergeUsage takes what another host used.
-func (s *Server) MergeUsage(host string, life uint64, told quota.Report) {
+// MergeUsage merges the quota usage that another host reports.
+func (s *Server) MergeUsage(host string, incarnation uint64, usage quota.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.ApplyReport(s.Now(), host, life, told)
+	s.quotas.ApplyReport(s.Now(), host, incarnation, usage)
 }
 
-// Usage tells what this host used and which amounts are nearly used up.
+// Usage returns this host's quota usage and the quotas that are nearly used up.
 func (s *Server) Usage() quota.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Report(s.Now())
+	return s.quotas.Report(s.Now())
 }
 
-// RetainHosts drops what other hosts used but those named: the rest are surely gone.
+// RetainHosts drops the usage of all other hosts except the named ones: the rest are known to be gone.
 func (s *Server) RetainHosts(names map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.RetainPeers(names)
+	s.quotas.RetainPeers(names)
 }
 
-// Active tells how many requests are held.
+// Active returns the number of requests in progress.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// listAge is the age of the list of endpoints, 0 if it is always the newest or there is none.
+// listAge returns the age of the endpoint list, or 0 if it is always the newest or there is none.
 func (s *Server) listAge(now time.Duration) time.Duration {
 	if s.ListConfirmedAt == nil {
 		return 0
@@ -215,67 +212,66 @@
 	return max(0, now-at)
 }
 
-// SettingsFresh tells whether the settings are young enough to know which keys were withdrawn.
+// SettingsFresh reports whether the settings are young enough to show which keys were withdrawn.
 func (s *Server) SettingsFresh() bool {
 	age, ok := s.Settings.Age.At(s.Now())
-	return ok && age < s.ages.Load().MaxKeyAge
+	return ok && age < s.ageLimits.Load().MaxKeyAge
 }
 
-// takesKeys tells whether requests with keys are taken.
-func (s *Server) takesKeys() bool { return !s.ages.Load().Strict || s.SettingsFresh() }
+// acceptsKeys reports whether requests with keys are accepted.
+func (s *Server) acceptsKeys() bool { return !s.ageLimits.Load().Strict || s.SettingsFresh() }
 
-// Stop begins a planned stop: answers close their connections, and after a while
-// new requests are refused.
-func (s *Server) Stop() { s.stopAt.CompareAndSwap(0, int64(s.Now())) }
+// Stop begins a planned stop: responses close their connections, and after stopGrace new requests are refused.
+func (s *Server) Stop() { s.stopStarted.CompareAndSwap(0, int64(s.Now())) }
 
-// stopping tells for how long the stop has gone on.
+// stopping returns how long ago the stop began, and false if none has.
 func (s *Server) stopping() (time.Duration, bool) {
-	at := s.stopAt.Load()
+	at := s.stopStarted.Load()
 	if at == 0 {
 		return 0, false
 	}
 	return s.Now() - time.Duration(at), true
 }
 
-// retryBook returns the credit of a service; mu must be held.
-func (s *Server) retryBook(service string) *quota.RetryBudget {
-	r := s.retries[service]
+// retryBudget returns the retry budget of a service; mu must be held.
+func (s *Server) retryBudget(service string) *quota.RetryBudget {
+	r := s.retryBudgets[service]
 	if r == nil {
 		c := s.Retries
 		r = &c
-		s.retries[service] = r
+		s.retryBudgets[service] = r
 	}
-	r.MaxCredit = max(1, s.Retries.MaxCredit/float64(s.hosts))
+	r.MaxCredit = max(1, s.Retries.MaxCredit/float64(s.hostCount))
 	return r
 }
 
-// firstSend notes that a request of a service arrived.
-func (s *Server) firstSend(service string) {
+// noteFirstAttempt credits the retry budget of a service with a new request.
+func (s *Server) noteFirstAttempt(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retryBook(service).NoteFirstAttempt()
+	s.retryBudget(service).NoteFirstAttempt()
 }
 
-// mayRepeat takes the credit for one repeated send.
-func (s *Server) mayRepeat(service string) bool {
+// takeRetry takes one retry from the budget of a service; it returns false if none is left.
+func (s *Server) takeRetry(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retryBook(service).Take()
+	return s.retryBudget(service).Take()
 }
 
-// OpenedConnections counts the connections opened to endpoints.
+// OpenedConnections returns the number of connections opened to endpoints since the start.
 func (s *Server) OpenedConnections() int64 { return s.pool.TotalOpened() }
 
-// ClaimSlots lets the host take its part of the free places; call it every 25 ms or so.
-func (s *Server) ClaimSlots() { s.balance.draw(s.Now()) }
+// ClaimSlots lets the host claim its part of the free slots; call it about every 25 ms.
+func (s *Server) ClaimSlots() { s.balance.claimSlots(s.Now()) }
 
-// Tick does what is due now and then; call it about ten times a second.
+// Tick runs periodic work; call it about ten times a second.
 func (s *Server) Tick() { s.balance.tick(s.Now()) }
 
-// Sweep closes connections that rested too long and forgets what is over; call it about once a second.
+// Sweep closes connections that were idle too long and drops expired state; call it about once a second.
 func (s *Server) Sweep() {
 	s.pool.Sweep()
-	s.crashes.sweep(s.balance.count())
+	s.crashes.sweep(s.balance.endpointCount())
 }
 
 var _ http.Handler = (*Server)(nil)
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -11,74 +11,71 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// Figures of the patience with a silent endpoint.
+// Timeouts for silent endpoints.
 const (
-	// leaveAfter, leaveObjectives and leaveGaps give the silence after which a caller
-	// leaves a stream: the longest of the three.
-	leaveAfter      = 2 * time.Second
-	leaveObjectives = 4
-	leaveGaps       = 8
-	// patienceShare is the part of that silence after which a stream goes on elsewhere.
-	patienceShare = 0.5
-	// plainObjectives is the silence, in objectives, after which a plain request that
-	// may be repeated is sent elsewhere.
-	plainObjectives = 2.5
-	// silentFor is the time without any answer to a send, ended by its deadline or its caller, from which
-	// the other connections to that endpoint are not trusted: many times a plain service's
-	// usual 15 to 30 ms.
-	silentFor = 500 * time.Millisecond
-	// longRead is the prompt from which the first event may take longer.
-	longRead = 8000
+	// minCallerTimeout, callerTimeoutObjectives and callerTimeoutPauses give the silence after which a caller abandons a stream: the
+	// longest of the fixed time, that many first-event objectives and that many pause objectives.
+	minCallerTimeout        = 2 * time.Second
+	callerTimeoutObjectives = 4
+	callerTimeoutPauses     = 8
+	// idleTimeoutShare is the share of that silence after which a stream is continued at another endpoint.
+	idleTimeoutShare = 0.5
+	// plainTimeoutObjectives is the silence, in objectives, after which a repeatable plain request is sent to another endpoint.
+	plainTimeoutObjectives = 2.5
+	// closeStaleAfter applies to sends without any response that end by their deadline or their caller: after this time the other
+	// connections to the endpoint are no longer trusted. It is many times the usual 15 to 30 ms of a plain service.
+	closeStaleAfter = 500 * time.Millisecond
+	// slowPrefillTokens is the prompt size, in tokens, above which the first event may take longer.
+	slowPrefillTokens = 8000
 )
 
-// silence ends a send whose endpoint says nothing for too long.
-type silence struct {
+// idleTimer cancels a send whose endpoint is silent for too long.
+type idleTimer struct {
 	limit time.Duration
 	timer *time.Timer
 	fired atomic.Bool
 }
 
-// newSilence begins to watch; a limit of 0 watches nothing.
-func newSilence(limit time.Duration, end func()) *silence {
-	s := &silence{limit: limit}
+// newIdleTimer starts a timer; a limit of 0 never fires.
+func newIdleTimer(limit time.Duration, cancel func()) *idleTimer {
+	t := &idleTimer{limit: limit}
 	if limit > 0 {
-		s.timer = time.AfterFunc(limit, func() {
-			s.fired.Store(true)
-			end()
+		t.timer = time.AfterFunc(limit, func() {
+			t.fired.Store(true)
+			cancel()
 		})
 	}
-	return s
+	return t
 }
 
-// heard begins the silence anew.
-func (s *silence) heard() {
-	if s.timer != nil && s.timer.Stop() {
-		s.timer.Reset(s.limit)
+// reset restarts the timer.
+func (t *idleTimer) reset() {
+	if t.timer != nil && t.timer.Stop() {
+		t.timer.Reset(t.limit)
 	}
 }
 
-// stop ends the watch and tells whether the send was ended.
-func (s *silence) stop() bool {
-	if s.timer != nil {
-		s.timer.Stop()
+// stop stops the timer and reports whether it had canceled the send.
+func (t *idleTimer) stop() bool {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	return s.fired.Load()
+	return t.fired.Load()
 }
 
-// patience is the silence after which the request is better sent elsewhere, or 0
-// where it may not be. The silence of an endpoint is never a reason to end an
-// answer that cannot go on elsewhere.
-func (c *call) patience() time.Duration {
+// idleTimeout returns the silence after which the request is better sent to another endpoint, or 0 where that is not allowed. A
+// response that cannot be continued elsewhere is never canceled because its endpoint is silent.
+func (c *call) idleTimeout() time.Duration {
 	r := c.route
-	if !r.MayRepeat() || c.account.Sends() >= r.Attempts || r.Objective <= 0 {
+	if !r.MayRepeat() || c.tracker.Sends() >= r.Attempts || r.Objective <= 0 {
 		return 0
 	}
 	if r.Kind != route.Stream {
-		return time.Duration(plainObjectives * float64(r.Objective))
+		return time.Duration(plainTimeoutObjectives * float64(r.Objective))
 	}
-	if c.tokensIn > longRead && !c.stream.begun {
+	if c.tokensIn > slowPrefillTokens && !c.stream.started {
 		return 0
 	}
-	leave := max(leaveAfter, leaveObjectives*r.Objective, leaveGaps*r.PauseObjective)
-	return time.Duration(patienceShare * float64(leave))
+	callerTimeout := max(minCallerTimeout, callerTimeoutObjectives*r.Objective, callerTimeoutPauses*r.PauseObjective)
+	return time.Duration(idleTimeoutShare * float64(callerTimeout))
 }
