--- a/feed/age.go
+++ b/feed/age.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Age knows the moment up to which a revision was proven to be the newest. All
-// times are of the host's clock, which counts the time in which the host is suspended.
+// Age holds the moment up to which a revision was proven to be the newest. All times are of the host's
+// clock, which also counts the time in which the host is suspended.
 type Age struct {
 	mu       sync.Mutex
 	revision uint64
@@ -18,8 +18,8 @@
 	known    bool
 }
 
-// Prove notes that revision was the newest at a moment. A proof of an older
-// revision says nothing; a newer revision takes the place of the older one.
+// Prove records that revision was the newest at a moment. A proof of an older revision is ignored; a
+// newer revision replaces the older one.
 func (a *Age) Prove(revision uint64, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/feed/asker.go
+++ b/feed/asker.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// tryPace is the time after which a call without an answer is followed by another one: many times that of an answer of a sound
-	// store.
-	tryPace = 100 * time.Millisecond
-	// patience is the time after which this host gives up a call to a store that is not known to fail: a process short of processor
-	// may come to read the answer late.
-	patience = 3 * time.Second
-	// storeTimeout bounds a call that does not wait for changes while the store is known to fail, and one that is not repeated.
-	storeTimeout = time.Second
+	// fastRetryDelay is the time after which a call without an answer is followed by another one: many
+	// times the time that a healthy store takes to answer.
+	fastRetryDelay = 100 * time.Millisecond
+	// callTimeout is the time after which this host gives up a call to a store that is not known to
+	// fail. It is long because a process short of CPU time may read an answer late.
+	callTimeout = 3 * time.Second
+	// shortCallTimeout bounds a call that does not wait for changes while the store is known to fail,
+	// and a call that is not repeated.
+	shortCallTimeout = time.Second
 )
 
-// errSilent means that the store gave no answer.
-var errSilent = eris.New("store gives no answer; it is asked again")
+// errNoAnswer means that the store did not answer.
+var errNoAnswer = eris.New("store does not answer; retrying")
 
-// asker asks the store for one of those who follow it.
-type asker struct {
-	reach *StoreHealth
-	// turn is this host's turn, or nil.
-	turn func() int
-	// pause is the time between tries while the store fails.
-	pause time.Duration
-	// wait is how long the next call may wait for changes.
-	wait func() time.Duration
-	// call does one call, which was sent at a moment and waits for changes for a time.
+// poller calls the store for one of its followers, and retries calls that fail.
+type poller struct {
+	health *StoreHealth
+	// rank returns this host's rank among the readers; it may be nil.
+	rank func() int
+	// retryInterval is the time between attempts while the store fails.
+	retryInterval time.Duration
+	// waitTime returns how long the next call may wait for changes.
+	waitTime func() time.Duration
+	// call does one call. sent is when it is sent, wait how long it waits for changes.
 	call func(ctx context.Context, sent, wait time.Duration) error
 }
 
-// try asks the store until a call succeeds or it is known to fail; then it asks once. Each call may be the only one that fails. One that is
-// late goes on beside those that follow it, which wait for nothing.
-func (a *asker) try(ctx context.Context) error {
+// poll calls the store until a call succeeds or the store is known to fail; while it is known to fail,
+// poll calls it only once. A single call may fail for reasons of its own. A call that is late stays in
+// flight while further calls are sent; those do not wait for changes.
+func (p *poller) poll(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if a.reach.isOut() {
-		if err := a.ask(ctx, 0); !errors.Is(err, ErrCompacted) {
+	if p.health.isFailing() {
+		if err := p.callOnce(ctx, 0); !errors.Is(err, ErrCompacted) {
 			return err
 		}
 	}
 	answers := make(chan error)
-	err := errSilent
+	err := errNoAnswer
 	for n := 1; ctx.Err() == nil; n++ {
 		wait := time.Duration(0)
 		if n == 1 {
-			wait = a.wait()
+			wait = p.waitTime()
 		}
-		pace, over := context.WithTimeout(ctx, a.pace(n)+wait)
-		if n == 1 || a.reach.underWay() < mostUnder(n) {
+		delay, stopDelay := context.WithTimeout(ctx, p.retryDelay(n)+wait)
+		if n == 1 || p.health.inFlight() < maxInFlight(n) {
 			go func() {
 				select {
-				case answers <- a.ask(ctx, wait):
+				case answers <- p.callOnce(ctx, wait):
 				case <-ctx.Done():
 				}
 			}()
@@ -68,74 +70,78 @@
 		select {
 		case err = <-answers:
 			if err == nil {
-				over()
+				stopDelay()
 				return nil
 			}
 			if !errors.Is(err, ErrCompacted) || n > 1 {
-				sleep(ctx, a.pace(n))
-			} // else at once: what the store forgot is to be read anew
-		case <-pace.Done():
+				sleep(ctx, p.retryDelay(n))
+			} // otherwise retry at once: the compacted range has to be read again
+		case <-delay.Done():
 		}
-		over()
-		if a.reach.isOut() {
+		stopDelay()
+		if p.health.isFailing() {
 			break
 		}
 	}
 	return err
 }
 
-// mostUnder bounds the calls of a host that are under way at once. In a quick row those of another asker that are silent tell as much as
-// more of this one's would; later those that are silent may never be answered although the store is back.
-func mostUnder(n int) int {
-	if n < outageTries {
-		return outageTries
+// maxInFlight bounds the calls that a host has in flight at attempt n. During the fast retries,
+// unanswered calls of the host's other poller say as much about the store as more calls of this one
+// would. Later the bound is higher, since calls that are unanswered may never be answered although the
+// store is back.
+func maxInFlight(n int) int {
+	if n < outageCalls {
+		return outageCalls
 	}
-	return 6 * outageTries
+	return 6 * outageCalls
 }
 
-// pace is the time between a call and the next one, of a row: short for as many as tell an outage, then the usual pause.
-func (a *asker) pace(n int) time.Duration {
-	if n < outageTries {
-		return tryPace
+// retryDelay is the time between attempt n and the next one: short for the first outageCalls attempts,
+// which suffice to detect an outage, then the usual retry interval.
+func (p *poller) retryDelay(n int) time.Duration {
+	if n < outageCalls {
+		return fastRetryDelay
 	}
-	return max(tryPace, a.pause)
+	return max(fastRetryDelay, p.retryInterval)
 }
 
-// ask does one call and notes what it tells of the store.
-func (a *asker) ask(ctx context.Context, wait time.Duration) error {
-	timeout := wait + patience
-	if a.reach.isOut() {
-		timeout = wait + storeTimeout
+// callOnce does one call and records what its result says about the store.
+func (p *poller) callOnce(ctx context.Context, wait time.Duration) error {
+	timeout := wait + callTimeout
+	if p.health.isFailing() {
+		timeout = wait + shortCallTimeout
 	}
-	call := a.reach.begin(wait)
-	cctx, cancel := context.WithTimeout(withHeard(ctx, func() { a.reach.end(call) }), timeout)
+	call := p.health.begin(wait)
+	callCtx, cancel := context.WithTimeout(withAnswerStarted(ctx, func() { p.health.end(call) }), timeout)
 	defer cancel()
-	err := a.call(cctx, call.sent, wait)
+	err := p.call(callCtx, call.sent, wait)
 	switch {
 	case err == nil || ctx.Err() != nil || errors.Is(err, ErrCompacted):
-		a.reach.end(call)
-	case cctx.Err() != nil:
-		a.reach.giveUp(call)
+		p.health.end(call)
+	case callCtx.Err() != nil:
+		p.health.giveUp(call)
 	default:
-		a.reach.fail(call)
+		p.health.fail(call)
 	}
 	return err
 }
 
-// rest waits after a failure until the store is asked again, for a pause at least. It grows with the turn only in an outage; then the askers of
-// a host ask by turns, and one does before the last call that failed excuses nothing any more.
-func (a *asker) rest(ctx context.Context) {
-	pause := a.pause
-	if a.reach.isOut() {
-		pause = pauseAfterFailure(a.pause, a.turn)
+// backOff waits after a failure until the store may be called again, for one retry interval at least.
+// The interval grows with the rank only in an outage. Then the pollers of a host take turns, and one
+// of them calls before the last failed call is too old to excuse an old list.
+func (p *poller) backOff(ctx context.Context) {
+	interval := p.retryInterval
+	if p.health.isFailing() {
+		interval = outageRetryInterval(p.retryInterval, p.rank)
 	}
-	end := a.reach.Now() + pause
-	sleep(ctx, a.pause)
-	for pause > a.pause && ctx.Err() == nil && !a.reach.mayAsk(end, pause/2) {
-		left := end - a.reach.Now()
-		if left <= 0 {
-			left = a.pause
+	end := p.health.Now() + interval
+	sleep(ctx, p.retryInterval)
+	for interval > p.retryInterval && ctx.Err() == nil && !p.health.mayRetry(end, interval/2) {
+		remaining := end - p.health.Now()
+		if remaining <= 0 {
+			remaining = p.retryInterval
 		}
-		sleep(ctx, min(left, a.pause))
+		sleep(ctx, min(remaining, p.retryInterval))
 	}
 }
--- a/feed/belief_test.go
+++ b/feed/belief_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTurnovers(t *testing.T) {
+func TestTransitions(t *testing.T) {
 	ready := func(name string) Endpoint { return Endpoint{Instance: name} }
 	leaving := func(name string) Endpoint { return Endpoint{Instance: name, Leaving: true} }
 	lapsed := func(name string) Endpoint { return Endpoint{Instance: name, Lapsed: true} }
@@ -30,6 +30,6 @@
 		},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, turnovers(tc.old, tc.now)) })
+		t.Run(tc.name, func(t *testing.T) { must.Eq(t, tc.want, transitions(tc.old, tc.now)) })
 	}
 }
--- a/feed/bound_test.go
+++ b/feed/bound_test.go
@@ -17,85 +17,85 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestListsKeepTheirBound plays random histories in which endpoints leave, with and without a word, while hosts hear nothing of the others for any time
+// TestNoRequestAfterDrainTime plays random histories in which endpoints leave, with and without a word, while hosts hear nothing of the others for any time
 // up to three of a host's next calls to the store are refused, or get no answer, or its process hardly runs and reads answers seconds late. The store is sound, so nothing excuses an old list: no host may send a request to an
 // endpoint later than the drain time after it left, and one in no trouble may always send.
 //
 // Before lists had a bound on their age, one refused call of one host of a large fleet that heard no other kept a leaver in its list for 6.7 s.
-func TestListsKeepTheirBound(t *testing.T) {
-	plays, first := 3, 1
+func TestNoRequestAfterDrainTime(t *testing.T) {
+	runs, first := 3, 1
 	if n, err := strconv.Atoi(os.Getenv("HEATHKEEL_SEEDS")); err == nil {
-		plays, first = n, rand.IntN(1e9)
+		runs, first = n, rand.IntN(1e9)
 	}
 	for _, hosts := range []int{6, 40, 78} {
-		for seed := first; seed < first+plays; seed++ {
+		for seed := first; seed < first+runs; seed++ {
 			t.Run(fmt.Sprintf("%d hosts, seed %d", hosts, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playBound(t, hosts, uint64(seed)) })
+				synctest.Test(t, func(t *testing.T) { runListBound(t, hosts, uint64(seed)) })
 			})
 		}
 	}
 }
 
-// trouble draws calls that fail, or a time in which the process hardly runs.
-func trouble(r *rand.Rand, now time.Duration) next {
+// randomFaults draws calls that fail, or a time in which the process hardly runs.
+func randomFaults(r *rand.Rand, now time.Duration) callFaults {
 	if r.IntN(3) == 0 {
-		d := time.Duration(r.Int64N(int64(8 * time.Second)))
-		return next{late: time.Duration(r.Int64N(int64(5 * time.Second))), until: now + d, slept: d}
+		span := time.Duration(r.Int64N(int64(8 * time.Second)))
+		return callFaults{late: time.Duration(r.Int64N(int64(5 * time.Second))), until: now + span, stalled: span}
 	}
-	refused := r.IntN(outageTries)
-	return next{refused: refused, hung: r.IntN(outageTries - refused)}
+	refused := r.IntN(outageCalls)
+	return callFaults{refused: refused, unanswered: r.IntN(outageCalls - refused)}
 }
 
-// playBound plays one history.
-func playBound(t *testing.T, hosts int, seed uint64) {
+// runListBound plays one history.
+func runListBound(t *testing.T, hosts int, seed uint64) {
 	const (
 		drain = 3 * time.Second
-		look  = 50 * time.Millisecond
-		looks = 280
+		step  = 50 * time.Millisecond
+		steps = 280
 	)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	r := rand.New(rand.NewPCG(seed, uint64(hosts)))
-	s := share(ctx, hosts)
+	f := startFleet(ctx, hosts)
 	staying := 0
 	for ; staying < 8; staying++ {
-		s.store.put(fmt.Sprint("servers/l", staying), "ready")
+		f.store.put(fmt.Sprint("servers/l", staying), "ready")
 	}
 	time.Sleep(3 * time.Second)
-	left := make(map[string]time.Duration)
-	heard := make([]time.Duration, hosts) // until when hosts hear no other
+	leftAt := make(map[string]time.Duration)
+	isolatedUntil := make([]time.Duration, hosts) // until when hosts hear no other
 	troubled := make([]bool, hosts)
-	for n := range looks {
-		time.Sleep(look)
-		now := s.now()
+	for n := range steps {
+		time.Sleep(step)
+		now := f.now()
 		if n%30 == 0 && staying > 0 {
 			staying--
 			name := fmt.Sprint("l", staying)
 			if r.IntN(2) == 0 {
-				s.store.put("servers/"+name, "leaving")
+				f.store.put("servers/"+name, "leaving")
 			} else {
-				s.store.remove("servers/" + name)
+				f.store.remove("servers/" + name)
 			}
-			left[name] = now
+			leftAt[name] = now
 		}
 		// Troubles of a host come once, so that its calls that fail are never as many as tell an outage.
 		if i := r.IntN(hosts); r.IntN(4) == 0 && !troubled[i] {
-			troubled[i], heard[i] = true, now+time.Duration(r.Int64N(int64(8*time.Second)))
-			s.store.set(func() { s.next[i] = trouble(r, now) })
+			troubled[i], isolatedUntil[i] = true, now+time.Duration(r.Int64N(int64(8*time.Second)))
+			f.store.locked(func() { f.faults[i] = randomFaults(r, now) })
 		}
-		s.store.set(func() {
-			for i := range heard {
-				s.silent[i] = heard[i] > now
+		f.store.locked(func() {
+			for i := range isolatedUntil {
+				f.isolated[i] = isolatedUntil[i] > now
 			}
 		})
-		for i, e := range s.ends {
+		for i, e := range f.endpoints {
 			if !e.Usable() {
 				must.True(t, troubled[i], must.Sprintf("host %d in no trouble does not send at %s", i, now))
 				continue
 			}
 			l, _ := e.List()
 			for _, end := range l.Endpoints {
-				if at, gone := left[end.Instance]; gone && !end.Leaving && now-at > drain {
+				if at, hasLeft := leftAt[end.Instance]; hasLeft && !end.Leaving && now-at > drain {
 					t.Fatalf("host %d sends to %s %s after it left", i, end.Instance, now-at)
 				}
 			}
--- a/feed/calls.go
+++ b/feed/calls.go
@@ -10,80 +10,86 @@
 	"time"
 )
 
-// outageTries is the number of own calls in a row without an answer by which a host tells an outage of the store from its own
-// trouble with single calls: one may be refused for the calls of all hosts together, or meet a connection that fell silent.
-const outageTries = 4
+// outageCalls is the number of this host's calls that must go unanswered in a row before the host
+// takes it for an outage of the store. A single call may fail for other reasons: the store may refuse
+// it because of the calls of all hosts together, or its connection may be dead.
+const outageCalls = 4
 
-// storeCall is a call of this host to the store: when it was sent by the host's clock, and in time in which this process ran.
-type storeCall struct{ sent, awake time.Duration }
+// storeCall is a call of this host to the store: when it was sent, by the host's clock and by the time
+// in which this process ran.
+type storeCall struct{ sent, runTime time.Duration }
 
-// callLog judges from calls to the store, of this host and of others as far as they are told, whether the store fails for this host. One
-// answer ends an outage. A call that is refused counts as failed; one that gets no answer does once the row of calls without an answer has lasted for
-// silent, in time in which this process ran: an answer that lies in the socket while the process waits for the
-// processor is none of the store's silence.
+// callLog decides from calls to the store whether the store fails for this host. It knows this host's
+// calls, and those of other hosts as far as peers report them. One answer ends an outage. A refused
+// call counts as failed at once. An unanswered call counts as failed once the calls since the last
+// answer have gone unanswered for outageAfter, counted in time in which this process ran: an answer
+// that lies in the socket while the process waits for the CPU is not the store's silence.
 type callLog struct {
-	// silent is the time without any answer that tells of an outage.
-	silent time.Duration
+	// outageAfter is the time without any answer that counts as an outage.
+	outageAfter time.Duration
 
-	answered time.Duration          // the newest moment at which the store is known to have answered a host
-	failed   [outageTries]storeCall // the last own calls that failed, the newest first
-	took     time.Duration          // how long the newest of them took to fail, or would have
-	under    []storeCall            // calls under way
-	out      time.Duration          // when the newest call was sent of which it is known that the store failed for this host, or 0
+	lastAnswered   time.Duration          // the newest moment at which the store is known to have answered any host
+	lastFailed     [outageCalls]storeCall // the last calls of this host that failed, the newest first
+	failTime       time.Duration          // how long the newest of them took to fail, or would have taken
+	inFlight       []storeCall            // calls in flight
+	lastOutageCall time.Duration          // when the newest call was sent for which the store is known to have failed for this host, or 0
 }
 
-// begin notes that a call is sent.
-func (l *callLog) begin(now, awake time.Duration) storeCall {
-	c := storeCall{now, awake}
-	l.under = append(l.under, c)
+// begin records that a call is sent.
+func (l *callLog) begin(now, runTime time.Duration) storeCall {
+	c := storeCall{now, runTime}
+	l.inFlight = append(l.inFlight, c)
 	return c
 }
 
-// end notes that a call is over, or given up.
+// end records that a call is over, or given up.
 func (l *callLog) end(c storeCall) {
-	if i := slices.Index(l.under, c); i >= 0 {
-		l.under = slices.Delete(l.under, i, i+1)
+	if i := slices.Index(l.inFlight, c); i >= 0 {
+		l.inFlight = slices.Delete(l.inFlight, i, i+1)
 	}
 }
 
-// fail notes that a call failed. It counts once.
+// fail records that a call failed. Each call counts once.
 func (l *callLog) fail(c storeCall, now time.Duration) {
 	l.end(c)
-	if c.sent >= l.failed[0].sent {
-		l.took = now - c.sent
+	if c.sent >= l.lastFailed[0].sent {
+		l.failTime = now - c.sent
 	}
-	if slices.Contains(l.failed[:], c) {
+	if slices.Contains(l.lastFailed[:], c) {
 		return
 	}
-	all := append(l.failed[:], c)
-	slices.SortFunc(all, func(a, b storeCall) int { return cmp.Compare(b.sent, a.sent) })
-	copy(l.failed[:], all)
-	if l.isOut() {
-		l.out = l.failed[0].sent
+	calls := append(l.lastFailed[:], c)
+	slices.SortFunc(calls, func(a, b storeCall) int { return cmp.Compare(b.sent, a.sent) })
+	copy(l.lastFailed[:], calls)
+	if l.isFailing() {
+		l.lastOutageCall = l.lastFailed[0].sent
 	}
 }
 
-// settle counts calls that are silent as failed, if the row of calls without an answer has lasted for long enough.
-func (l *callLog) settle(now, awake time.Duration) {
-	row := awake
-	for _, c := range append(l.failed[:], l.under...) {
-		if c.sent > l.answered {
-			row = min(row, c.awake)
+// failSilent counts unanswered calls as failed if the calls since the last answer have gone unanswered
+// for long enough.
+func (l *callLog) failSilent(now, runTime time.Duration) {
+	silentSince := runTime
+	for _, c := range append(l.lastFailed[:], l.inFlight...) {
+		if c.sent > l.lastAnswered {
+			silentSince = min(silentSince, c.runTime)
 		}
 	}
-	if awake-row < l.silent {
+	if runTime-silentSince < l.outageAfter {
 		return
 	}
-	for _, c := range slices.Clone(l.under) {
-		if awake-c.awake >= tryPace {
-			l.fail(c, max(now, c.sent+storeTimeout)) // hosts that know of the outage give a silent call up then
+	for _, c := range slices.Clone(l.inFlight) {
+		if runTime-c.runTime >= fastRetryDelay {
+			l.fail(c, max(now, c.sent+shortCallTimeout)) // a host that knows of the outage gives up an unanswered call after that time
 		}
 	}
 }
 
-// isOut reports whether the store fails for this host: its last calls got no answer, and nobody is known to have had one since the first of
-// them was sent.
-func (l *callLog) isOut() bool { return l.failed[outageTries-1].sent > l.answered }
+// isFailing reports whether the store fails for this host: this host's last outageCalls calls failed,
+// and no host is known to have got an answer since the first of them was sent.
+func (l *callLog) isFailing() bool { return l.lastFailed[outageCalls-1].sent > l.lastAnswered }
 
-// restart forgets the store's state: this host did not run until now.
-func (l *callLog) restart(now time.Duration) { *l = callLog{silent: l.silent, answered: now} }
+// reset forgets the store's state after this host did not run for a while.
+func (l *callLog) reset(now time.Duration) {
+	*l = callLog{outageAfter: l.outageAfter, lastAnswered: now}
+}
--- a/feed/endpoints.go
+++ b/feed/endpoints.go
@@ -16,168 +16,171 @@
 	"github.com/go-logr/logr"
 )
 
-// Endpoints follows the entries of the endpoints. The fields must be set before Run.
+// Endpoints follows the entries of the endpoints in the store. The fields must be set before Run.
 type Endpoints struct {
-	// Store is where they lie, below Prefix.
+	// Store holds the entries, below Prefix.
 	Store  Store
 	Prefix string
-	// Parse reads an entry; it fails for one that no endpoint of ours can have written.
+	// Parse reads an entry; it fails for one that no endpoint of this deployment can have written.
 	Parse func(key string, value []byte) (Endpoint, error)
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it also counts the time in which the host is suspended.
 	Now func() time.Duration
-	// StoreHealth judges whether the store fails for this host.
+	// StoreHealth decides whether the store fails for this host.
 	StoreHealth *StoreHealth
-	// Interval is the time between readings, Wait how long one may be idle.
+	// Interval is the time between reads; WatchTimeout is how long a read may wait for changes.
 	Interval, WatchTimeout time.Duration
-	// RetryInterval is the time between tries while the store fails.
+	// RetryInterval is the time between attempts while the store fails.
 	RetryInterval time.Duration
-	// Rank is this host's turn to read, see Turns; nil means that it always reads.
+	// Rank returns this host's rank among the readers, see ReadAge; nil means that this host always
+	// reads.
 	Rank func() int
-	// ViaRelay tells whether proofs of peers reach this host by way of relays; nil means not.
+	// ViaRelay tells whether proofs of peers reach this host through relays; nil means no.
 	ViaRelay func() bool
-	// MaxAge is the age up to which work may be sent by the list while the store does not fail for this host; 0 means any.
+	// MaxAge is the age up to which requests may be sent by the list while the store does not fail for
+	// this host; 0 means any age.
 	MaxAge time.Duration
-	// OnChange is called with the list when it changes, sorted by instance.
+	// OnChange is called with the list, sorted by instance, when it changes.
 	OnChange func([]Endpoint)
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	mu      sync.Mutex
-	known   map[string]Endpoint
-	told    []Endpoint
-	read    bool          // known is what the store, or a peer, told
-	forgot  bool          // the store does not know the changes since at any more
-	at      uint64        // the store's revision of known
-	proven  time.Duration // when known was surely the newest
-	before  time.Duration // the same until the last change
-	asker   asker
-	left    leavers
-	lives   lives
-	foreign foreign
-	expiry  *time.Timer // of entries that lapsed
-	bad     bool
-	nudge   nudge
+	mu           sync.Mutex
+	known        map[string]Endpoint
+	published    []Endpoint
+	loaded       bool          // known comes from the store or from a peer
+	compacted    bool          // the store no longer has the changes since revision
+	revision     uint64        // the store's revision of known
+	provenAt     time.Duration // when known was surely the newest
+	provenBefore time.Duration // provenAt before the last change
+	poller       poller
+	leavers      leavers
+	incarnations incarnations
+	foreign      foreign
+	expiryTimer  *time.Timer // drops lapsed entries
+	failing      bool
+	interrupter  interrupter
 }
 
-// Init makes it ready; call it before all else.
+// Init prepares the Endpoints; call it before any other method.
 func (e *Endpoints) Init() {
 	e.known = make(map[string]Endpoint)
-	e.left = make(leavers)
-	e.lives = make(lives)
+	e.leavers = make(leavers)
+	e.incarnations = make(incarnations)
 	e.foreign = make(foreign)
-	e.asker = asker{reach: e.StoreHealth, turn: e.Rank, pause: e.RetryInterval, wait: e.wait, call: e.ask}
-	e.expiry = time.AfterFunc(time.Hour, e.expire)
-	e.expiry.Stop() // until entries lapse
-	// What has lapsed is dropped at its time, whether or not anything is read until then.
-	e.StoreHealth.ended = func(lapsed time.Duration) { e.expiry.Reset(lapsed) }
+	e.poller = poller{health: e.StoreHealth, rank: e.Rank, retryInterval: e.RetryInterval, waitTime: e.waitTime, call: e.callStore}
+	e.expiryTimer = time.AfterFunc(time.Hour, e.dropExpired)
+	e.expiryTimer.Stop() // until entries lapse
+	// Lapsed entries are dropped at their time, even if nothing is read until then.
+	e.StoreHealth.onOutageEnd = func(lapsed time.Duration) { e.expiryTimer.Reset(lapsed) }
 }
 
 // Run follows the store until ctx ends.
 func (e *Endpoints) Run(ctx context.Context) {
-	defer e.expiry.Stop()
+	defer e.expiryTimer.Stop()
 	for ctx.Err() == nil {
-		turn, end := e.nudge.turn(ctx)
-		e.step(turn)
+		loopCtx, end := e.interrupter.next(ctx)
+		e.step(loopCtx)
 		end()
 	}
 }
 
-// NoteGap makes this host ask the store at once: it did not run for a while. What it knew of the store's state says nothing
-// of now, and an entry that went meanwhile is taken for one whose endpoint left, as at a start.
+// NoteGap makes this host call the store at once after the process did not run for a while. What the
+// host knew of the store's state no longer holds, and an entry that disappeared in the meantime is
+// taken for one whose endpoint left, as at a start.
 func (e *Endpoints) NoteGap() {
 	e.mu.Lock()
-	e.StoreHealth.restart()
-	if e.read {
-		e.tell()
+	e.StoreHealth.reset()
+	if e.loaded {
+		e.publish()
 	}
 	e.mu.Unlock()
-	e.nudge.now()
+	e.interrupter.interrupt()
 }
 
-// step waits for this host's turn, or asks the store once and waits.
+// step waits until this host has to read, or polls the store once and waits.
 func (e *Endpoints) step(ctx context.Context) {
-	if pause := e.untilTurn(); pause > 0 {
-		sleep(ctx, pause)
+	if wait := e.untilRead(); wait > 0 {
+		sleep(ctx, wait)
 		return
 	}
-	began := e.Now()
-	if !e.follow(ctx) {
-		e.asker.rest(ctx)
+	startedAt := e.Now()
+	if !e.refresh(ctx) {
+		e.poller.backOff(ctx)
 		return
 	}
-	// What a reading took beyond the usual has made the list older.
-	late := max(0, e.Now()-began-e.WatchTimeout-tryPace)
-	sleep(ctx, e.Interval-late)
+	// A read that took longer than usual has made the list older by as much.
+	overrun := max(0, e.Now()-startedAt-e.WatchTimeout-fastRetryDelay)
+	sleep(ctx, e.Interval-overrun)
 }
 
-// untilTurn is the time until this host has to read: while peers prove the list it waits
-// longer, the later its turn is.
-func (e *Endpoints) untilTurn() time.Duration {
+// untilRead is the time until this host has to read. While peers prove the list, a host of a higher
+// rank waits longer.
+func (e *Endpoints) untilRead() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.lives.holds(e.Now())) > 0 {
-		e.tell() // one may have stood for long enough
+	if len(e.incarnations.heldEntries(e.Now())) > 0 {
+		e.publish() // a held entry may have stood for long enough
 	}
-	if e.Rank == nil || !e.read {
+	if e.Rank == nil || !e.loaded {
 		return 0
 	}
-	turn := e.Rank()
-	if turn == 0 {
+	rank := e.Rank()
+	if rank == 0 {
 		return 0
 	}
-	return e.proven + ReadAge(e.Interval, turn, e.ViaRelay != nil && e.ViaRelay()) - e.Now()
+	return e.provenAt + ReadAge(e.Interval, rank, e.ViaRelay != nil && e.ViaRelay()) - e.Now()
 }
 
-// follow reads and reports whether that succeeded.
-func (e *Endpoints) follow(ctx context.Context) bool {
-	err := e.asker.try(ctx)
+// refresh polls the store and reports whether that succeeded.
+func (e *Endpoints) refresh(ctx context.Context) bool {
+	err := e.poller.poll(ctx)
 	if err != nil && ctx.Err() != nil {
-		return false // ended by this host
+		return false // cancelled by this host
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.note(err)
+	e.logStoreState(err)
 	return err == nil
 }
 
-// wait is how long a call waits for changes: only the host that reads for all does.
-func (e *Endpoints) wait() time.Duration {
+// waitTime is how long a call waits for changes: only on the host that reads for all.
+func (e *Endpoints) waitTime() time.Duration {
 	if e.Rank != nil && e.Rank() > 0 {
 		return 0
 	}
 	return e.WatchTimeout
 }
 
-// ask does one call, which is sent at a moment and waits for changes for a time.
-func (e *Endpoints) ask(ctx context.Context, sent, wait time.Duration) error {
+// callStore does one call. sent is when it is sent, wait how long it waits for changes.
+func (e *Endpoints) callStore(ctx context.Context, sent, wait time.Duration) error {
 	e.mu.Lock()
-	changes, at := e.read && !e.forgot, e.at
+	watch, revision := e.loaded && !e.compacted, e.revision
 	e.mu.Unlock()
 	var err error
-	if changes {
-		err = e.watch(ctx, at, sent, wait)
+	if watch {
+		err = e.watch(ctx, revision, sent, wait)
 	} else {
 		err = e.readAll(ctx, sent)
 	}
 	if errors.Is(err, ErrCompacted) {
-		e.noteForgotten(sent)
+		e.noteCompacted(sent)
 	}
 	return err
 }
 
-// noteForgotten notes that the store answered a call but has forgotten its history.
-func (e *Endpoints) noteForgotten(sent time.Duration) {
+// noteCompacted records that the store answered a call but no longer has the changes asked for.
+func (e *Endpoints) noteCompacted(sent time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forgot = true
-	e.StoreHealth.answer(sent)
-	e.Log.Info("store forgot its history; all entries are read", "for", e.Prefix, "revision", e.at)
+	e.compacted = true
+	e.StoreHealth.noteAnswer(sent)
+	e.Log.Info("store compacted its history; reading all entries", "for", e.Prefix, "revision", e.revision)
 }
 
-// note logs changes of state; mu must be held.
-func (e *Endpoints) note(err error) {
-	if bad := err != nil; bad != e.bad {
-		e.bad = bad
+// logStoreState logs when the store is lost or regained; mu must be held.
+func (e *Endpoints) logStoreState(err error) {
+	if bad := err != nil; bad != e.failing {
+		e.failing = bad
 		if bad {
 			e.Log.Info("store lost", "for", e.Prefix, "cause", err.Error())
 			return
@@ -186,7 +189,7 @@
 	}
 }
 
-// readAll reads all entries anew, with a call that is sent at a moment.
+// readAll reads all entries again, with a call sent at the given moment.
 func (e *Endpoints) readAll(ctx context.Context, sent time.Duration) error {
 	p, err := e.Store.Range(ctx, e.Prefix, false)
 	if err != nil {
@@ -194,117 +197,117 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.StoreHealth.answer(sent)
-	if e.read && p.Revision < e.at {
-		e.forgot = false
-		return nil // a peer has told of newer entries meanwhile
+	e.StoreHealth.noteAnswer(sent)
+	if e.loaded && p.Revision < e.revision {
+		e.compacted = false
+		return nil // a peer has reported newer entries in the meantime
 	}
-	here := make(map[string]bool, len(p.Items))
+	present := make(map[string]bool, len(p.Items))
 	for _, it := range p.Items {
-		here[e.instance(it)] = true
-		e.take(it)
+		present[e.instanceOf(it)] = true
+		e.applyEntry(it)
 	}
 	for name := range e.known {
-		if !here[name] {
-			e.gone(name)
+		if !present[name] {
+			e.noteDeleted(name)
 		}
 	}
-	e.foreign.keep(here)
-	e.lives.keep(here)
-	e.read, e.forgot, e.at = true, false, max(e.at, p.Revision)
+	e.foreign.retain(present)
+	e.incarnations.retain(present)
+	e.loaded, e.compacted, e.revision = true, false, max(e.revision, p.Revision)
 	e.prove(sent)
-	e.tell()
+	e.publish()
 	return nil
 }
 
-// watch takes the changes since a revision, with a call that is sent at a moment. A watch that was idle to its end proves
-// that there were none in all of that time.
+// watch reads the changes since a revision, with a call sent at the given moment. A watch without
+// changes until its end proves that there were none in all of that time.
 func (e *Endpoints) watch(ctx context.Context, since uint64, sent, wait time.Duration) error {
 	p, err := e.Store.Watch(ctx, e.Prefix, since, wait)
 	if err != nil {
 		return err
 	}
-	proven := sent
+	provenAt := sent
 	if len(p.Items) == 0 && e.Now()-sent >= wait {
-		proven += wait
+		provenAt += wait
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.StoreHealth.answer(sent)
+	e.StoreHealth.noteAnswer(sent)
 	for _, it := range p.Items {
-		if it.Revision <= e.at && e.at > since {
-			continue // a peer has told of it meanwhile
+		if it.Revision <= e.revision && e.revision > since {
+			continue // a peer has reported it in the meantime
 		}
 		if it.Deleted {
-			e.gone(e.instance(it))
-			e.foreign.forget(e.instance(it))
+			e.noteDeleted(e.instanceOf(it))
+			e.foreign.remove(e.instanceOf(it))
 			continue
 		}
-		e.take(it)
+		e.applyEntry(it)
 	}
-	e.at = max(e.at, p.Revision)
-	e.prove(proven)
-	e.tell() // under the same lock: a peer must never get the old list with the new revision
+	e.revision = max(e.revision, p.Revision)
+	e.prove(provenAt)
+	e.publish() // under the same lock: a peer must never get the old list with the new revision
 	return nil
 }
 
-// prove notes that what is known was surely the newest at a moment; mu must be held.
+// prove records that known was surely the newest at a moment; mu must be held.
 func (e *Endpoints) prove(at time.Duration) {
-	e.before, e.proven = e.proven, max(e.proven, at)
+	e.provenBefore, e.provenAt = e.provenAt, max(e.provenAt, at)
 }
 
-// Usable reports whether work may be sent by the list now. A list that is older than it may be is used only while the store
-// fails for this host: what no host can know, none is held to.
+// Usable reports whether requests may be sent by the list now. A list older than MaxAge is used only
+// while the store fails for this host: a host need not know what no host can know.
 func (e *Endpoints) Usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	if !e.read || e.MaxAge == 0 || now-e.proven <= e.MaxAge {
-		return e.read
+	if !e.loaded || e.MaxAge == 0 || now-e.provenAt <= e.MaxAge {
+		return e.loaded
 	}
 	return e.StoreHealth.FailedRecently()
 }
 
-// ProvenAt tells when the list was surely the newest, and false if there is none.
+// ProvenAt returns when the list was surely the newest, and false if there is no list.
 func (e *Endpoints) ProvenAt() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.proven, e.read
+	return e.provenAt, e.loaded
 }
 
-// instance names the endpoint that an item speaks of.
-func (e *Endpoints) instance(it Item) string { return strings.TrimPrefix(it.Key, e.Prefix) }
+// instanceOf returns the name of the endpoint that an item describes.
+func (e *Endpoints) instanceOf(it Item) string { return strings.TrimPrefix(it.Key, e.Prefix) }
 
-// take notes an entry; mu must be held. One that no endpoint of ours wrote names none to use: an
-// endpoint that was known under its key is taken for one whose entry went.
-func (e *Endpoints) take(it Item) {
+// applyEntry applies an entry; mu must be held. An entry that no endpoint of this deployment wrote
+// names no usable endpoint: an endpoint known under its key is treated as one whose entry was removed.
+func (e *Endpoints) applyEntry(it Item) {
 	n, err := e.Parse(it.Key, it.Value)
 	if err != nil {
-		if e.foreign.note(e.instance(it), err) {
+		if e.foreign.add(e.instanceOf(it), err) {
 			e.Log.Error(err, "endpoint entry refused", "key", it.Key, "bytes", len(it.Value), "revision", it.Revision)
 		}
-		e.gone(e.instance(it))
+		e.noteDeleted(e.instanceOf(it))
 		return
 	}
-	e.foreign.forget(n.Instance)
+	e.foreign.remove(n.Instance)
 	now := e.Now()
-	n, ok := e.lives.admit(n, now)
+	n, ok := e.incarnations.admit(n, now)
 	if !ok {
-		e.Log.Info("endpoint entry of an older life held back", "instance", n.Instance, "born", n.StartedMS, "revision", it.Revision)
+		e.Log.Info("endpoint entry of an older incarnation held back", "instance", n.Instance, "born", n.StartedMS, "revision", it.Revision)
 		e.drop(n.Instance)
 		return
 	}
-	e.known[n.Instance] = e.left.mark(n, now)
+	e.known[n.Instance] = e.leavers.mark(n, now)
 }
 
-// gone notes that an entry went; mu must be held. In an outage of the store, and a while
-// after, entries go although their endpoints serve.
-func (e *Endpoints) gone(name string) {
-	e.lives.gone(name)
+// noteDeleted records that an entry was removed; mu must be held. In an outage of the store, and for a
+// while after it, entries disappear although their endpoints serve.
+func (e *Endpoints) noteDeleted(name string) {
+	e.incarnations.noteDeleted(name)
 	e.drop(name)
 }
 
-// drop takes an endpoint whose entry is not there out of what is known, or for one that lapsed; mu must be held.
+// drop removes an endpoint without an entry from known, or marks it as lapsed; mu must be held.
 func (e *Endpoints) drop(name string) {
 	n, ok := e.known[name]
 	if !ok {
@@ -318,21 +321,22 @@
 	e.known[name] = n
 }
 
-// expire drops the entries that lapsed and did not come back in time.
-func (e *Endpoints) expire() {
+// dropExpired drops lapsed entries that were not renewed in time.
+func (e *Endpoints) dropExpired() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tell()
+	e.publish()
 }
 
-// tell drops what lapsed for good and passes the list on if it changed; mu must be held.
-func (e *Endpoints) tell() {
+// publish drops the entries whose time as lapsed is over, and passes the list on if it changed; mu
+// must be held.
+func (e *Endpoints) publish() {
 	now := e.Now()
-	for _, n := range e.lives.due(now, e.proven, e.known) {
+	for _, n := range e.incarnations.promoteHeld(now, e.provenAt, e.known) {
 		e.Log.Info("endpoint's clock was set back before its last start", "instance", n.Instance, "born", n.StartedMS)
-		e.known[n.Instance] = e.left.mark(n, now)
+		e.known[n.Instance] = e.leavers.mark(n, now)
 	}
-	e.left.prune(now, e.known)
+	e.leavers.prune(now, e.known)
 	if !e.StoreHealth.mayLapse() {
 		maps.DeleteFunc(e.known, func(_ string, n Endpoint) bool { return n.Lapsed })
 	}
@@ -341,22 +345,22 @@
 		list = append(list, n)
 	}
 	slices.SortFunc(list, func(a, b Endpoint) int { return strings.Compare(a.Instance, b.Instance) })
-	if slices.Equal(list, e.told) {
+	if slices.Equal(list, e.published) {
 		return
 	}
-	e.logBeliefs(list)
-	e.told = list
+	e.logTransitions(list)
+	e.published = list
 	e.OnChange(list)
 }
 
-// logBeliefs writes a line for each kind of change between the list in force and the next
-// one; mu must be held. Lines are few: entries change when endpoints come, leave or lapse.
-func (e *Endpoints) logBeliefs(next []Endpoint) {
+// logTransitions writes a line for each kind of change between the list in force and the next one; mu
+// must be held. There are few lines, since entries change only when endpoints come, leave or lapse.
+func (e *Endpoints) logTransitions(next []Endpoint) {
 	now := e.Now()
-	answered, failed := e.StoreHealth.last()
-	for _, t := range turnovers(e.told, next) {
-		e.Log.Info("endpoints changed", "was", t.From, "now", t.To, "instances", t.Instances, "revision", e.at,
-			"proven_ms", (now - e.proven).Milliseconds(), "proven_before_ms", (now - e.before).Milliseconds(), "answered_ms", (now - answered).Milliseconds(),
-			"failed_ms", (now - failed).Milliseconds(), "failing", e.bad)
+	answered, failed := e.StoreHealth.lastCalls()
+	for _, t := range transitions(e.published, next) {
+		e.Log.Info("endpoints changed", "was", t.From, "now", t.To, "instances", t.Instances, "revision", e.revision,
+			"proven_ms", (now - e.provenAt).Milliseconds(), "proven_before_ms", (now - e.provenBefore).Milliseconds(), "answered_ms", (now - answered).Milliseconds(),
+			"failed_ms", (now - failed).Milliseconds(), "failing", e.failing)
 	}
 }
--- a/feed/entry.go
+++ b/feed/entry.go
@@ -14,15 +14,16 @@
 	"github.com/go-logr/logr"
 )
 
-// HostEntry is what a host tells of itself in the store.
+// HostEntry is what a host writes about itself to the store.
 type HostEntry struct {
-	// Address is where it hears heartbeats.
+	// Address is where it receives heartbeats.
 	Address string `json:"address"`
-	// HostCount is about the number of hosts that it knows, itself included.
+	// HostCount is the approximate number of hosts that it knows, itself included.
 	HostCount int `json:"hosts"`
 }
 
-// ParseHostEntry reads an entry. One that holds nothing but an address is taken too, with one host.
+// ParseHostEntry reads an entry. An entry that holds only an address is accepted too, and counts one
+// host.
 func ParseHostEntry(value []byte) HostEntry {
 	var e HostEntry
 	if json.Unmarshal(value, &e) != nil || e.Address == "" {
@@ -32,123 +33,127 @@
 	return e
 }
 
-// Encode writes an entry.
+// Encode returns the entry as it is stored.
 func (e HostEntry) Encode() []byte {
-	b, _ := json.Marshal(e) // a string and a number are always written
+	b, _ := json.Marshal(e) // a string and a number can always be encoded
 	return b
 }
 
-// HostRegistry reads the hosts' entries in the store now and then, and keeps this host's if it is one of
-// those that do, so that hosts find each other when no address that they were given answers.
+// HostRegistry reads the hosts' entries in the store from time to time, and keeps this host's own
+// entry if this host is one of those that do. Hosts find each other by these entries when none of
+// their configured addresses answers.
 type HostRegistry struct {
-	// Store is where the entries lie, below Prefix.
+	// Store holds the entries, below Prefix.
 	Store  Store
 	Prefix string
-	// Key is where this host's entry is and Value gives what it is to hold.
+	// Key is the key of this host's entry; Value returns its content.
 	Key   string
 	Value func() []byte
 	// ShouldRegister tells whether this host keeps an entry; nil means that it does.
 	ShouldRegister func() bool
-	// HostCount is about the number of hosts, of which all read the entries; nil means 1.
+	// HostCount returns the approximate number of hosts, all of which read the entries; nil means 1.
 	HostCount func() int
 	// TTL is the time to live of the entry.
 	TTL time.Duration
 	// OnEntries is called with the entries of all hosts.
 	OnEntries func([]Item)
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	lease   uint64
-	written []byte
-	nudge   nudge
+	lease       uint64
+	written     []byte
+	interrupter interrupter
 }
 
-// settleTime is the time after a start after which a host knows of others, if any can be heard, so
-// that it can tell whether it is one of those that keep entries: a few heartbeats.
-const settleTime = time.Second
+// discoveryTime is the time after a start within which a host learns of the other hosts, if it can
+// reach any, so that it can decide whether to keep an entry: a few heartbeats.
+const discoveryTime = time.Second
 
-// Run keeps the entry until ctx ends. Nothing depends on any single call. The others' entries
-// are read first: a host that starts is to know how many there are before it serves.
-func (e *HostRegistry) Run(ctx context.Context) {
-	e.List(ctx)
-	sleep(ctx, settleTime)
+// Run keeps the entry until ctx ends. No single call is essential. The others' entries are read first:
+// a host that starts must know how many hosts there are before it serves.
+func (r *HostRegistry) Run(ctx context.Context) {
+	r.List(ctx)
+	sleep(ctx, discoveryTime)
 	for n := 1; ctx.Err() == nil; n++ {
-		turn, end := e.nudge.turn(ctx)
-		e.step(turn, n)
+		loopCtx, end := r.interrupter.next(ctx)
+		r.step(loopCtx, n)
 		end()
 	}
 }
 
-// NoteGap makes this host renew its entry at once: it did not run for a while, and the lease may be over.
-func (e *HostRegistry) NoteGap() { e.nudge.now() }
+// NoteGap makes this host renew its entry at once after the process did not run for a while, since the
+// lease may have expired.
+func (r *HostRegistry) NoteGap() { r.interrupter.interrupt() }
 
-// step reads the entries if they are due, keeps the own one, and waits.
-func (e *HostRegistry) step(ctx context.Context, n int) {
-	if n%e.listEvery() == 0 {
-		e.List(ctx)
+// step reads the entries if it is time to, renews this host's entry, and waits.
+func (r *HostRegistry) step(ctx context.Context, n int) {
+	if n%r.renewalsPerList() == 0 {
+		r.List(ctx)
 	}
-	if e.ShouldRegister == nil || e.ShouldRegister() {
-		if err := e.keep(ctx); err != nil {
-			e.Log.V(1).Info("entry not kept", "cause", err.Error())
+	if r.ShouldRegister == nil || r.ShouldRegister() {
+		if err := r.renew(ctx); err != nil {
+			r.Log.V(1).Info("host entry not renewed", "cause", err.Error())
 		}
 	} else {
-		e.lease = 0 // what was written goes with its lease
+		r.lease = 0 // the entry disappears when its lease expires
 	}
-	sleep(ctx, e.TTL/3)
+	sleep(ctx, r.TTL/3)
 }
 
-// listed is the number of hosts that read the entries with each fourth renewal; of more hosts each
-// reads more seldom, so that the calls of all do not grow with them.
+// minRenewalsPerList is the number of renewals between two reads of the entries in fleets of up to
+// fullRateHosts hosts. In larger fleets each host reads less often, so that the calls of all hosts
+// together do not grow with their number.
 const (
-	listEvery = 4
-	listed    = 8
+	minRenewalsPerList = 4
+	fullRateHosts      = 8
 )
 
-// listEvery is the number of renewals between two readings of all entries. A host that hears no
-// other reads them each time.
-func (e *HostRegistry) listEvery() int {
-	if e.HostCount == nil || e.HostCount() <= 1 {
+// renewalsPerList is the number of renewals between two reads of all entries. A host that hears from
+// no other host reads them at each renewal.
+func (r *HostRegistry) renewalsPerList() int {
+	if r.HostCount == nil || r.HostCount() <= 1 {
 		return 1
 	}
-	return listEvery * max(1, e.HostCount()/listed)
+	return minRenewalsPerList * max(1, r.HostCount()/fullRateHosts)
 }
 
 // List reads the entries of all hosts.
-func (e *HostRegistry) List(ctx context.Context) {
-	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
+func (r *HostRegistry) List(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
-	p, err := e.Store.Range(cctx, e.Prefix, true)
+	p, err := r.Store.Range(callCtx, r.Prefix, true)
 	if err != nil {
-		e.Log.V(1).Info("entries not read", "cause", err.Error())
+		r.Log.V(1).Info("host entries not read", "cause", err.Error())
 		return
 	}
-	e.OnEntries(p.Items)
+	r.OnEntries(p.Items)
 }
 
-// keep renews the lease, or writes the entry under a new one, or anew if its value changed.
-func (e *HostRegistry) keep(ctx context.Context) error {
-	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
+// renew renews the lease. It writes the entry under a new lease if the old one expired, and again if
+// its value changed.
+func (r *HostRegistry) renew(ctx context.Context) error {
+	callCtx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
-	value := e.Value()
-	lease := e.lease
+	value := r.Value()
+	lease := r.lease
 	if lease != 0 {
-		err := e.Store.Renew(cctx, lease)
+		err := r.Store.Renew(callCtx, lease)
 		switch {
 		case errors.Is(err, ErrLeaseExpired):
 			lease = 0
-		case err != nil || bytes.Equal(value, e.written):
+		case err != nil || bytes.Equal(value, r.written):
 			return err
 		}
 	}
 	if lease == 0 {
 		var err error
-		if lease, err = e.Store.Grant(cctx, e.TTL); err != nil {
+		if lease, err = r.Store.Grant(callCtx, r.TTL); err != nil {
 			return err
 		}
 	}
-	if err := e.Store.Put(cctx, e.Key, value, lease); err != nil {
+	if err := r.Store.Put(callCtx, r.Key, value, lease); err != nil {
 		return err
 	}
-	e.lease, e.written = lease, value
+	r.lease, r.written = lease, value
 	return nil
 }
--- a/feed/entry_test.go
+++ b/feed/entry_test.go
@@ -15,50 +15,50 @@
 	"github.com/shoenig/test/must"
 )
 
-// entryStore counts the calls that a host makes for its entry.
-type entryStore struct {
+// countingStore counts the calls that a host makes for its entry.
+type countingStore struct {
 	Store
 	lists, grants, puts, renewals int
-	known                         int // lists read before the own entry was written
-	over                          bool
+	listsBeforeGrant              int // lists read before the own entry was written
+	expired                       bool
 	value                         string
 }
 
-func (s *entryStore) Range(context.Context, string, bool) (Page, error) {
+func (s *countingStore) Range(context.Context, string, bool) (Page, error) {
 	s.lists++
 	return Page{}, nil
 }
 
-func (s *entryStore) Grant(context.Context, time.Duration) (uint64, error) {
+func (s *countingStore) Grant(context.Context, time.Duration) (uint64, error) {
 	if s.grants == 0 {
-		s.known = s.lists
+		s.listsBeforeGrant = s.lists
 	}
 	s.grants++
-	s.over = false
+	s.expired = false
 	return 1, nil
 }
 
-func (s *entryStore) Put(_ context.Context, _ string, value []byte, _ uint64) error {
+func (s *countingStore) Put(_ context.Context, _ string, value []byte, _ uint64) error {
 	s.puts++
 	s.value = string(value)
 	return nil
 }
 
-func (s *entryStore) Renew(context.Context, uint64) error {
+func (s *countingStore) Renew(context.Context, uint64) error {
 	s.renewals++
-	if s.over {
+	if s.expired {
 		return ErrLeaseExpired
 	}
 	return nil
 }
 
-// TestEntryCalls counts the calls of one host in half a minute: what all hosts make must not grow with
+// TestHostRegistryCalls counts the calls of one host in half a minute: what all hosts make must not grow with
 // their number, and a host that knows no other must look for them all the time.
-func TestEntryCalls(t *testing.T) {
+func TestHostRegistryCalls(t *testing.T) {
 	cases := []struct {
 		name                          string
 		hosts                         int
-		kept                          func(at time.Duration) bool
+		registers                     func(at time.Duration) bool
 		lists, grants, puts, renewals int
 	}{
 		{"alone", 1, nil, 16, 1, 1, 14},
@@ -74,18 +74,18 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				start := time.Now()
-				s := &entryStore{}
+				s := &countingStore{}
 				e := &HostRegistry{
 					Store: s, Prefix: "hosts/", Key: "hosts/a", TTL: 6 * time.Second, OnEntries: func([]Item) {}, Log: logr.Discard(),
 					Value: func() []byte { return []byte("a") }, HostCount: func() int { return tc.hosts },
 				}
-				if tc.kept != nil {
-					e.ShouldRegister = func() bool { return tc.kept(time.Since(start)) }
+				if tc.registers != nil {
+					e.ShouldRegister = func() bool { return tc.registers(time.Since(start)) }
 				}
 				go e.Run(ctx)
 				time.Sleep(30 * time.Second)
 				if s.grants > 0 {
-					must.GreaterEq(t, 1, s.known)
+					must.GreaterEq(t, 1, s.listsBeforeGrant)
 				}
 				must.Eq(t, fmt.Sprint(tc.lists, tc.grants, tc.puts, tc.renewals), fmt.Sprint(s.lists, s.grants, s.puts, s.renewals))
 				cancel()
@@ -95,12 +95,12 @@
 	}
 }
 
-// TestEntryChanges holds that a value that changed, and an entry whose lease is over, are written anew.
-func TestEntryChanges(t *testing.T) {
+// TestHostRegistryRewrites holds that a value that changed, and an entry whose lease is over, are written anew.
+func TestHostRegistryRewrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s, value := &entryStore{}, "one"
+		s, value := &countingStore{}, "one"
 		e := &HostRegistry{
 			Store: s, Prefix: "hosts/", Key: "hosts/a", TTL: 6 * time.Second, OnEntries: func([]Item) {}, Log: logr.Discard(),
 			Value: func() []byte { return []byte(value) }, HostCount: func() int { return 300 },
@@ -111,7 +111,7 @@
 		time.Sleep(3 * time.Second)
 		must.EqOp(t, "two", s.value)
 		must.EqOp(t, 1, s.grants)
-		s.over = true
+		s.expired = true
 		time.Sleep(3 * time.Second)
 		must.EqOp(t, 2, s.grants)
 		must.EqOp(t, 3, s.puts)
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -20,23 +20,23 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// errDark is what a dark store gives.
-var errDark = errors.New("dark")
+// errDown is what a dark store gives.
+var errDown = errors.New("dark")
 
 // memoryStore is a store on injected time; its fields may be changed under mu.
 type memoryStore struct {
-	mu     sync.Mutex
-	items  map[string]Item
-	log    []Item
-	at     uint64
-	dark   bool          // calls fail after hang
-	hang   time.Duration // how long they take to fail
-	slow   time.Duration // each answer takes so long more
-	forgot bool          // the next watch finds its history gone
-	// forgotten is the revision up to which all history is gone.
-	forgotten uint64
-	cutWatch  bool // watches are cut at once
-	calls     int
+	mu          sync.Mutex
+	items       map[string]Item
+	log         []Item
+	revision    uint64
+	down        bool          // calls fail after hang
+	failDelay   time.Duration // how long they take to fail
+	answerDelay time.Duration // each answer takes so long more
+	compactNext bool          // the next watch finds its history gone
+	// compactedTo is the revision up to which all history is gone.
+	compactedTo uint64
+	cutWatches  bool // watches are cut at once
+	calls       int
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{items: make(map[string]Item)} }
@@ -44,8 +44,8 @@
 func (m *memoryStore) put(key, value string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at++
-	it := Item{Key: key, Value: []byte(value), Revision: m.at}
+	m.revision++
+	it := Item{Key: key, Value: []byte(value), Revision: m.revision}
 	m.items[key] = it
 	m.log = append(m.log, it)
 }
@@ -53,41 +53,41 @@
 func (m *memoryStore) remove(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.at++
+	m.revision++
 	delete(m.items, key)
-	m.log = append(m.log, Item{Key: key, Revision: m.at, Deleted: true})
+	m.log = append(m.log, Item{Key: key, Revision: m.revision, Deleted: true})
 }
 
-func (m *memoryStore) set(f func()) {
+func (m *memoryStore) locked(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// enter counts a call and fails it while the store is dark.
-func (m *memoryStore) enter(ctx context.Context) error {
+// beginCall counts a call and fails it while the store is dark.
+func (m *memoryStore) beginCall(ctx context.Context) error {
 	m.mu.Lock()
 	m.calls++
-	dark, hang, slow := m.dark, m.hang, m.slow
+	down, failDelay, answerDelay := m.down, m.failDelay, m.answerDelay
 	m.mu.Unlock()
-	if !dark {
-		sleep(ctx, slow)
+	if !down {
+		sleep(ctx, answerDelay)
 		return ctx.Err()
 	}
-	sleep(ctx, hang)
+	sleep(ctx, failDelay)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return errDark
+	return errDown
 }
 
 func (m *memoryStore) Range(ctx context.Context, prefix string, _ bool) (Page, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return Page{}, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := Page{Revision: m.at}
+	p := Page{Revision: m.revision}
 	for k, it := range m.items {
 		if strings.HasPrefix(k, prefix) {
 			p.Items = append(p.Items, it)
@@ -97,23 +97,23 @@
 }
 
 func (m *memoryStore) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (Page, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return Page{}, err
 	}
 	for end := time.Now().Add(wait); ; {
 		m.mu.Lock()
-		if m.forgot || since < m.forgotten {
-			m.forgot = false
+		if m.compactNext || since < m.compactedTo {
+			m.compactNext = false
 			m.mu.Unlock()
 			return Page{}, ErrCompacted
 		}
-		p := Page{Revision: m.at}
+		p := Page{Revision: m.revision}
 		for _, it := range m.log {
 			if it.Revision > since && strings.HasPrefix(it.Key, prefix) {
 				p.Items = append(p.Items, it)
 			}
 		}
-		cut := m.cutWatch
+		cut := m.cutWatches
 		m.mu.Unlock()
 		if len(p.Items) > 0 || cut || !time.Now().Before(end) {
 			return p, nil
@@ -137,17 +137,17 @@
 	return &route.Document{Routes: []route.Route{{Name: string(b)}}}, nil
 }
 
-// follow starts a Settings on a store and returns it with its clock.
-func follow(ctx context.Context, m *memoryStore) *Settings {
+// startSettings starts a Settings on a store and returns it with its clock.
+func startSettings(ctx context.Context, m *memoryStore) *Settings {
 	start := time.Now()
-	return followBy(ctx, m, func() time.Duration { return time.Since(start) })
+	return startSettingsBy(ctx, m, func() time.Duration { return time.Since(start) })
 }
 
-// followBy starts a Settings on a store by a clock.
-func followBy(ctx context.Context, m *memoryStore, now func() time.Duration) *Settings {
+// startSettingsBy starts a Settings on a store by a clock.
+func startSettingsBy(ctx context.Context, m *memoryStore, now func() time.Duration) *Settings {
 	s := &Settings{
 		Store: m, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: 1200 * time.Millisecond, RetryInterval: 300 * time.Millisecond,
-		Now: now, StoreHealth: testReach(now), OnChange: func(*route.Table) {}, Log: logr.Discard(),
+		Now: now, StoreHealth: testHealth(now), OnChange: func(*route.Table) {}, Log: logr.Discard(),
 	}
 	go s.Run(ctx)
 	return s
@@ -158,14 +158,14 @@
 		name  string
 		fault func(m *memoryStore)
 		// least and most bound the age 4 s after the fault began.
-		least, most time.Duration
+		min, max time.Duration
 	}{
 		{"calm", func(*memoryStore) {}, 0, 1300 * time.Millisecond},
-		{"dark at once", func(m *memoryStore) { m.dark = true }, 2500 * time.Millisecond, 5300 * time.Millisecond},
-		{"dark and silent", func(m *memoryStore) { m.dark, m.hang = true, time.Minute }, 2500 * time.Millisecond, 5300 * time.Millisecond},
-		{"slow", func(m *memoryStore) { m.slow = 300 * time.Millisecond }, 0, 1900 * time.Millisecond},
-		{"watches cut", func(m *memoryStore) { m.cutWatch = true }, 0, 700 * time.Millisecond},
-		{"history forgotten", func(m *memoryStore) { m.forgot = true }, 0, 1300 * time.Millisecond},
+		{"dark at once", func(m *memoryStore) { m.down = true }, 2500 * time.Millisecond, 5300 * time.Millisecond},
+		{"dark and silent", func(m *memoryStore) { m.down, m.failDelay = true, time.Minute }, 2500 * time.Millisecond, 5300 * time.Millisecond},
+		{"slow", func(m *memoryStore) { m.answerDelay = 300 * time.Millisecond }, 0, 1900 * time.Millisecond},
+		{"watches cut", func(m *memoryStore) { m.cutWatches = true }, 0, 700 * time.Millisecond},
+		{"history forgotten", func(m *memoryStore) { m.compactNext = true }, 0, 1300 * time.Millisecond},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -174,14 +174,14 @@
 				defer cancel()
 				m := newMemoryStore()
 				m.put("op/config", "one")
-				s := follow(ctx, m)
+				s := startSettings(ctx, m)
 				time.Sleep(3 * time.Second)
-				m.set(func() { tc.fault(m) })
+				m.locked(func() { tc.fault(m) })
 				time.Sleep(4 * time.Second)
 				age, ok := s.Age.At(s.Now())
 				must.True(t, ok)
-				must.GreaterEq(t, tc.least, age)
-				must.LessEq(t, tc.most, age)
+				must.GreaterEq(t, tc.min, age)
+				must.LessEq(t, tc.max, age)
 				cancel()
 				synctest.Wait()
 			})
@@ -189,23 +189,23 @@
 	}
 }
 
-// TestSettingsNeverClaimTooMuch holds the age against the truth: at no time may a
+// TestSettingsAgeIsNoUnderestimate holds the age against the truth: at no time may a
 // host believe that what it has was newest at a moment when a newer one stood.
-func TestSettingsNeverClaimTooMuch(t *testing.T) {
+func TestSettingsAgeIsNoUnderestimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		m := newMemoryStore()
 		m.put("op/config", "one")
-		s := follow(ctx, m)
+		s := startSettings(ctx, m)
 		faults := []func(){
-			func() { m.slow = 700 * time.Millisecond }, func() { m.dark, m.hang = true, 2*time.Second }, func() { m.dark = false },
-			func() { m.slow = 0 }, func() { m.cutWatch = true }, func() { m.cutWatch = false }, func() { m.forgot = true },
+			func() { m.answerDelay = 700 * time.Millisecond }, func() { m.down, m.failDelay = true, 2*time.Second }, func() { m.down = false },
+			func() { m.answerDelay = 0 }, func() { m.cutWatches = true }, func() { m.cutWatches = false }, func() { m.compactNext = true },
 		}
 		for i := range 200 {
-			m.set(faults[i%len(faults)])
+			m.locked(faults[i%len(faults)])
 			m.put("op/config", strings.Repeat("x", i+1))
-			wrote, newest := s.Now(), m.at
+			wrote, newest := s.Now(), m.revision
 			for range 13 {
 				time.Sleep(97 * time.Millisecond)
 				age, ok := s.Age.At(s.Now())
@@ -219,7 +219,7 @@
 	})
 }
 
-func TestSettingsOnlyForward(t *testing.T) {
+func TestSettingsRevisionsOnlyRise(t *testing.T) {
 	s := &Settings{Parse: parseVersion, OnChange: func(*route.Table) {}, Log: logr.Discard()}
 	offers := []struct {
 		value    string
@@ -259,17 +259,17 @@
 	}
 	n := Endpoint{Instance: strings.TrimPrefix(key, "servers/"), Leaving: state == "leaving"}
 	if start != "" {
-		born, err := strconv.ParseInt(start, 10, 64)
+		startedMS, err := strconv.ParseInt(start, 10, 64)
 		if err != nil {
 			return Endpoint{}, err
 		}
-		n.StartedMS = born
+		n.StartedMS = startedMS
 	}
 	return n, nil
 }
 
-// listen starts an Endpoints on a store; the newest list is read with the returned function.
-func listen(ctx context.Context, m *memoryStore) func() []Endpoint {
+// startEndpoints starts an Endpoints on a store; the newest list is read with the returned function.
+func startEndpoints(ctx context.Context, m *memoryStore) func() []Endpoint {
 	start := time.Now()
 	var mu sync.Mutex
 	var list []Endpoint
@@ -283,7 +283,7 @@
 			list = l
 		},
 	}
-	e.StoreHealth = testReach(e.Now)
+	e.StoreHealth = testHealth(e.Now)
 	e.Init()
 	go e.Run(ctx)
 	return func() []Endpoint {
@@ -293,8 +293,8 @@
 	}
 }
 
-// usable counts the endpoints that may get new work.
-func usable(list []Endpoint) int {
+// usableCount counts the endpoints that may get new work.
+func usableCount(list []Endpoint) int {
 	n := 0
 	for _, e := range list {
 		if !e.Leaving {
@@ -309,12 +309,12 @@
 		after time.Duration
 		do    func(m *memoryStore)
 	}
-	dark := func(m *memoryStore) { m.set(func() { m.dark = true }) }
-	silent := func(m *memoryStore) { m.set(func() { m.dark, m.hang = true, time.Minute }) }
-	light := func(m *memoryStore) { m.set(func() { m.dark = false }) }
+	down := func(m *memoryStore) { m.locked(func() { m.down = true }) }
+	hang := func(m *memoryStore) { m.locked(func() { m.down, m.failDelay = true, time.Minute }) }
+	up := func(m *memoryStore) { m.locked(func() { m.down = false }) }
 	leave := func(m *memoryStore) { m.put("servers/a", "leaving") }
-	stale := func(m *memoryStore) { m.put("servers/a", "ready") }
-	vanish := func(m *memoryStore) { m.remove("servers/a") }
+	staleEntry := func(m *memoryStore) { m.put("servers/a", "ready") }
+	remove := func(m *memoryStore) { m.remove("servers/a") }
 	cases := []struct {
 		name  string
 		steps []step
@@ -323,14 +323,14 @@
 		want   int
 	}{
 		{"it says that it leaves", []step{{time.Second, leave}}, 700 * time.Millisecond, 1},
-		{"an old entry comes very late", []step{{time.Second, leave}, {time.Minute, stale}}, 2 * time.Second, 1},
-		{"its entry goes very late, and an old one comes", []step{{time.Second, leave}, {time.Minute, vanish}, {time.Second, stale}}, 2 * time.Second, 1},
-		{"its entry goes without a word", []step{{time.Second, vanish}}, 700 * time.Millisecond, 1},
-		{"an old entry comes late", []step{{time.Second, leave}, {time.Second, stale}}, 2 * time.Second, 1},
-		{"the store is dark and entries lapse", []step{{time.Second, dark}, {time.Second, vanish}}, 2 * time.Second, 2},
-		{"it leaves while this host is turned away", []step{{time.Second, dark}, {5 * time.Second, vanish}, {200 * time.Millisecond, light}}, 3 * time.Second, 1},
-		{"it leaves while this host hears nothing", []step{{time.Second, silent}, {5 * time.Second, vanish}, {200 * time.Millisecond, light}}, 3800 * time.Millisecond, 1},
-		{"it lapses and comes back", []step{{time.Second, dark}, {time.Second, vanish}, {time.Second, light}, {time.Second, stale}}, 3 * time.Second, 2},
+		{"an old entry comes very late", []step{{time.Second, leave}, {time.Minute, staleEntry}}, 2 * time.Second, 1},
+		{"its entry goes very late, and an old one comes", []step{{time.Second, leave}, {time.Minute, remove}, {time.Second, staleEntry}}, 2 * time.Second, 1},
+		{"its entry goes without a word", []step{{time.Second, remove}}, 700 * time.Millisecond, 1},
+		{"an old entry comes late", []step{{time.Second, leave}, {time.Second, staleEntry}}, 2 * time.Second, 1},
+		{"the store is dark and entries lapse", []step{{time.Second, down}, {time.Second, remove}}, 2 * time.Second, 2},
+		{"it leaves while this host is turned away", []step{{time.Second, down}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3 * time.Second, 1},
+		{"it leaves while this host hears nothing", []step{{time.Second, hang}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3800 * time.Millisecond, 1},
+		{"it lapses and comes back", []step{{time.Second, down}, {time.Second, remove}, {time.Second, up}, {time.Second, staleEntry}}, 3 * time.Second, 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -340,13 +340,13 @@
 				m := newMemoryStore()
 				m.put("servers/a", "ready")
 				m.put("servers/b", "ready")
-				list := listen(ctx, m)
+				list := startEndpoints(ctx, m)
 				for _, s := range tc.steps {
 					time.Sleep(s.after)
 					s.do(m)
 				}
 				time.Sleep(tc.within)
-				must.EqOp(t, tc.want, usable(list()))
+				must.EqOp(t, tc.want, usableCount(list()))
 				cancel()
 				synctest.Wait()
 			})
@@ -362,13 +362,13 @@
 			defer cancel()
 			m := newMemoryStore()
 			m.put("op/config", "one")
-			follow(ctx, m)
-			listen(ctx, m)
+			startSettings(ctx, m)
+			startEndpoints(ctx, m)
 			time.Sleep(2 * time.Second)
-			m.set(func() { m.dark, m.hang = true, hang })
+			m.locked(func() { m.down, m.failDelay = true, hang })
 			before := m.calls
 			time.Sleep(10 * time.Second)
-			m.set(func() { must.LessEq(t, 70, m.calls-before) })
+			m.locked(func() { must.LessEq(t, 70, m.calls-before) })
 			cancel()
 			synctest.Wait()
 		})
--- a/feed/foreign.go
+++ b/feed/foreign.go
@@ -6,34 +6,35 @@
 
 import "maps"
 
-// foreign are the entries that name no endpoint to use, since another program wrote them, by their
-// keys, with the reason. Each is told once, and again only when the reason changes.
+// foreign holds the entries that name no usable endpoint because another program wrote them: the
+// reason by key. Each is logged once, and again only when the reason changes.
 type foreign map[string]string
 
-// mostForeign bounds the entries that are remembered; of more, each reading tells again.
-const mostForeign = 1000
+// maxForeign bounds the entries that are remembered; entries beyond it are logged at each read.
+const maxForeign = 1000
 
-// note takes an entry that was refused and reports whether that is new.
-func (f foreign) note(key string, err error) bool {
-	why := err.Error()
-	if f[key] == why {
+// add records an entry that was refused and reports whether that is new.
+func (f foreign) add(key string, err error) bool {
+	reason := err.Error()
+	if f[key] == reason {
 		return false
 	}
-	if len(f) < mostForeign {
-		f[key] = why
+	if len(f) < maxForeign {
+		f[key] = reason
 	}
 	return true
 }
 
-// forget notes that an entry went, or can be read.
-func (f foreign) forget(key string) { delete(f, key) }
+// remove forgets an entry that was removed or can now be read.
+func (f foreign) remove(key string) { delete(f, key) }
 
-// keep forgets all entries that are not there any more.
-func (f foreign) keep(here map[string]bool) {
-	maps.DeleteFunc(f, func(key, _ string) bool { return !here[key] })
+// retain forgets all entries that are no longer present.
+func (f foreign) retain(present map[string]bool) {
+	maps.DeleteFunc(f, func(key, _ string) bool { return !present[key] })
 }
 
-// ForeignCount is the number of entries that name no endpoint to use, 0 while this host takes the list from a peer.
+// ForeignCount is the number of entries that name no usable endpoint, or 0 while this host takes the
+// list from a peer.
 func (e *Endpoints) ForeignCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/feed/lapse.go
+++ b/feed/lapse.go
@@ -6,18 +6,18 @@
 
 import "time"
 
-// LapseTimes are the times that decide for how long an endpoint whose entry went is still taken
-// for one that serves. Entries go when endpoints leave, and also when the store fails
-// for so long that endpoints cannot renew them.
+// LapseTimes decide for how long an endpoint whose entry disappeared is still treated as serving.
+// Entries disappear when endpoints leave, and also when the store fails for so long that endpoints
+// cannot renew them.
 type LapseTimes struct {
-	// MinOutage is the shortest failure of the store in which entries can lapse: two
-	// heartbeats of the endpoints, since an entry goes with the third that is missing.
+	// MinOutage is the shortest outage of the store in which entries can lapse: two heartbeats of the
+	// endpoints, since an entry expires at the third missed heartbeat.
 	MinOutage time.Duration
-	// RenewTime is the time after the store's return in which the entries of endpoints that live
-	// are back.
+	// RenewTime is the time after the store's return within which live endpoints have written their
+	// entries again.
 	RenewTime time.Duration
-	// MaxKeep is the time after the earliest moment at which the store may have returned for which
-	// entries are taken for lapsed. It must be shorter than the time after which a
-	// host is held to the drain time again.
+	// MaxKeep is the time for which entries are kept as lapsed, counted from the earliest moment at
+	// which the store may have returned. It must be shorter than the contact time, after which a host
+	// must observe the drain time again.
 	MaxKeep time.Duration
 }
--- a/feed/lives.go
+++ b/feed/lives.go
@@ -11,126 +11,130 @@
 	"time"
 )
 
-// lives remembers the newest life of each instance. Lives are ordered by the time of their start,
-// and the entries of one life by the store's revision: a write that an older life sent may be done after the
-// newer life has written its entry, and says nothing of it.
+// incarnations holds the newest incarnation of each instance. Incarnations are ordered by their start
+// time, and the entries of one incarnation by the store's revision. A write that an older incarnation
+// sent may be done after the newer one has written its entry; it says nothing about the newer one.
 //
-// While such an entry stands, the newer life's is not there: the endpoint counts as one whose entry went until its
-// next heartbeat. The time of the start is the endpoint's own, and its clock may have been set back between two
-// lives. An entry of an older life that still stands after heldFor is therefore taken for the newest: a
-// living endpoint would have written over it, and that of a dead one would have gone.
-type lives map[string]*life
+// While such a late entry stands, the newer incarnation's entry is missing, and the endpoint counts as
+// one whose entry disappeared until its next heartbeat. The start time is by the endpoint's own clock,
+// which may have been set back between two incarnations. Therefore an entry of an older incarnation
+// that still stands after holdTime is taken for the newest: a live endpoint would have overwritten it,
+// and that of a dead endpoint would have expired.
+type incarnations map[string]*incarnation
 
-// life is the newest life of an instance.
-type life struct {
-	born int64
-	seen time.Duration // when its entry was last read
-	// held is an entry that names an older life, and since when it stands; nil for none.
-	held  *Endpoint
-	since time.Duration
+// incarnation is the newest incarnation of an instance.
+type incarnation struct {
+	startedMS int64
+	lastSeen  time.Duration // when its entry was last read
+	// held is an entry that names an older incarnation, or nil; heldSince is since when it stands.
+	held      *Endpoint
+	heldSince time.Duration
 }
 
-// heldFor is the time for which an entry of an older life is held back: an entry goes after three heartbeats of
-// 1.2 s without a write, and 1.4 s for the readings of it.
-const heldFor = 5 * time.Second
+// holdTime is the time for which an entry of an older incarnation is held back: an entry expires after
+// three heartbeats of 1.2 s without a write, and reading that may take another 1.4 s.
+const holdTime = 5 * time.Second
 
-// admit returns an entry with the life that it speaks of, and false if it is held back as that of an
-// older life. An entry that names no life speaks of the one that is known.
-func (l lives) admit(n Endpoint, now time.Duration) (Endpoint, bool) {
-	known := l[n.Instance]
+// admit returns an entry with the incarnation that it describes, and false if the entry is held back
+// because that incarnation is an older one. An entry without a start time describes the known
+// incarnation.
+func (i incarnations) admit(n Endpoint, now time.Duration) (Endpoint, bool) {
+	known := i[n.Instance]
 	if known == nil {
-		known = &life{born: n.StartedMS}
-		l[n.Instance] = known
+		known = &incarnation{startedMS: n.StartedMS}
+		i[n.Instance] = known
 	}
 	if n.StartedMS == 0 {
-		n.StartedMS = known.born
+		n.StartedMS = known.startedMS
 	}
-	if n.StartedMS < known.born {
+	if n.StartedMS < known.startedMS {
 		if known.held == nil || known.held.StartedMS != n.StartedMS {
-			known.since = now
+			known.heldSince = now
 		}
 		known.held = &n
 		return n, false
 	}
-	*known = life{born: n.StartedMS, seen: now}
+	*known = incarnation{startedMS: n.StartedMS, lastSeen: now}
 	return n, true
 }
 
-// adopt takes the life that a peer takes for the newest: all hosts follow the one that read the store last. A
-// peer that has just started may take a late write of an older life for the newest, until
-// the next heartbeat of the endpoint.
-func (l lives) adopt(n Endpoint, now time.Duration) {
-	l[n.Instance] = &life{born: n.StartedMS, seen: now}
+// adopt takes over the incarnation that a peer considers the newest: all hosts follow the host that
+// read the store last. A peer that has just started may take a late write of an older incarnation for
+// the newest, until the next heartbeat of the endpoint.
+func (i incarnations) adopt(n Endpoint, now time.Duration) {
+	i[n.Instance] = &incarnation{startedMS: n.StartedMS, lastSeen: now}
 }
 
-// gone notes that the entry of an instance went, and with it one that was held back.
-func (l lives) gone(instance string) {
-	if known := l[instance]; known != nil {
+// noteDeleted records that the entry of an instance was removed, and with it any held entry.
+func (i incarnations) noteDeleted(instance string) {
+	if known := i[instance]; known != nil {
 		known.held = nil
 	}
 }
 
-// keep notes that no entries are there but those of some instances.
-func (l lives) keep(here map[string]bool) {
-	for instance, known := range l {
-		if !here[instance] {
+// retain records that only the given instances have entries.
+func (i incarnations) retain(present map[string]bool) {
+	for instance, known := range i {
+		if !present[instance] {
 			known.held = nil
 		}
 	}
 }
 
-// HeldEntry is an entry that is held back, since it names an older life than another one did before.
+// HeldEntry is an entry that is held back because it names an older incarnation than an earlier entry
+// did.
 type HeldEntry struct {
-	// Endpoint is what it says, and Age for how long it has stood, in nanoseconds.
+	// Endpoint is its content; Age is for how long it has stood, in nanoseconds.
 	Endpoint Endpoint      `json:"endpoint"`
 	Age      time.Duration `json:"age"`
-	// NewestStartedMS is the time of the start of the life that is taken for the newest. A host that is told of the entry alone
-	// would take a late write of a life it knew before, older than both, for the newest.
+	// NewestStartedMS is the start time of the incarnation that is considered the newest. Without it,
+	// a host that gets the held entry could take a late write of an incarnation that it knew before,
+	// older than both, for the newest.
 	NewestStartedMS int64 `json:"newest"`
 }
 
-// holds gives the entries that are held back.
-func (l lives) holds(now time.Duration) []HeldEntry {
+// heldEntries returns the entries that are held back.
+func (i incarnations) heldEntries(now time.Duration) []HeldEntry {
 	var out []HeldEntry
-	for _, known := range l {
+	for _, known := range i {
 		if known.held != nil {
-			out = append(out, HeldEntry{*known.held, now - known.since, known.born})
+			out = append(out, HeldEntry{*known.held, now - known.heldSince, known.startedMS})
 		}
 	}
 	slices.SortFunc(out, func(a, b HeldEntry) int { return strings.Compare(a.Endpoint.Instance, b.Endpoint.Instance) })
 	return out
 }
 
-// adoptHeld takes the entries that a peer holds back.
-func (l lives) adoptHeld(list []HeldEntry, now time.Duration) {
-	for _, known := range l {
+// adoptHeld takes over the entries that a peer holds back.
+func (i incarnations) adoptHeld(list []HeldEntry, now time.Duration) {
+	for _, known := range i {
 		known.held = nil
 	}
 	for _, h := range list {
-		known := l[h.Endpoint.Instance]
+		known := i[h.Endpoint.Instance]
 		if known == nil {
-			known = &life{seen: now}
-			l[h.Endpoint.Instance] = known
+			known = &incarnation{lastSeen: now}
+			i[h.Endpoint.Instance] = known
 		}
-		known.held, known.since, known.born = &h.Endpoint, now-h.Age, cmp.Or(h.NewestStartedMS, known.born)
+		known.held, known.heldSince, known.startedMS = &h.Endpoint, now-h.Age, cmp.Or(h.NewestStartedMS, known.startedMS)
 	}
 }
 
-// due returns the entries that surely stood for long enough, which are the newest from now on, and forgets
-// the lives of instances that have had no entry for as long as leavers are remembered. What is known was proven
-// at a moment.
-func (l lives) due(now, proven time.Duration, here map[string]Endpoint) []Endpoint {
+// promoteHeld returns the held entries that surely stood for holdTime; they are the newest from now
+// on. It also forgets instances that have had no entry for leaverTTL. provenAt is when the known
+// entries were surely the newest.
+func (i incarnations) promoteHeld(now, provenAt time.Duration, present map[string]Endpoint) []Endpoint {
 	var out []Endpoint
-	for instance, known := range l {
+	for instance, known := range i {
 		switch {
-		case known.held != nil && proven-known.since >= heldFor:
+		case known.held != nil && provenAt-known.heldSince >= holdTime:
 			n := *known.held
-			*known = life{born: n.StartedMS, seen: now}
+			*known = incarnation{startedMS: n.StartedMS, lastSeen: now}
 			out = append(out, n)
-		case known.held != nil || has(here, instance):
-			known.seen = now
-		case now-known.seen > leftFor:
-			delete(l, instance)
+		case known.held != nil || has(present, instance):
+			known.lastSeen = now
+		case now-known.lastSeen > leaverTTL:
+			delete(i, instance)
 		}
 	}
 	return out
--- a/feed/lives_test.go
+++ b/feed/lives_test.go
@@ -15,58 +15,58 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestLives plays writes of one instance's lives to a host that reads the store, and tells what it
+// TestIncarnations plays writes of one instance's lives to a host that reads the store, and tells what it
 // takes the instance for some time after the last.
-func TestLives(t *testing.T) {
-	const soon, surely = 1500 * time.Millisecond, heldFor + 1500*time.Millisecond
-	dark := func(m *memoryStore) { m.set(func() { m.dark = true }) }
-	light := func(m *memoryStore) { m.set(func() { m.dark = false }) }
-	forget := func(m *memoryStore) { m.set(func() { m.forgotten = m.at }) }
+func TestIncarnations(t *testing.T) {
+	const short, long = 1500 * time.Millisecond, holdTime + 1500*time.Millisecond
+	down := func(m *memoryStore) { m.locked(func() { m.down = true }) }
+	up := func(m *memoryStore) { m.locked(func() { m.down = false }) }
+	compact := func(m *memoryStore) { m.locked(func() { m.compactedTo = m.revision }) }
 	cases := []struct {
 		name string
 		// writes are done one second apart; an empty one removes the entry.
 		writes []string
 		// last is done after them.
-		last  []func(*memoryStore)
+		then  []func(*memoryStore)
 		after time.Duration
 		want  string // "life state", or empty for an instance that is not in the list
 	}{
-		{"without a time of its start", []string{"ready", "ready"}, nil, soon, "a ready"},
-		{"starts again", []string{"ready@5", "ready@9"}, nil, soon, "a@9 ready"},
-		{"starts again after it said that it leaves", []string{"ready@5", "leaving@5", "ready@9"}, nil, soon, "a@9 ready"},
-		{"starts again after its entry went", []string{"ready@5", "", "ready@9"}, nil, soon, "a@9 ready"},
-		{"starts again after it left", []string{"ready@5", "leaving@5", "", "ready@9"}, nil, soon, "a@9 ready"},
-		{"an older life's write is late", []string{"ready@5", "ready@9", "ready@5"}, nil, soon, ""},
-		{"an older life's leaving is late", []string{"ready@5", "ready@9", "leaving@5"}, nil, soon, ""},
-		{"an older life's write is late, after the newer one's entry went", []string{"ready@5", "ready@9", "", "ready@5"}, nil, soon, ""},
-		{"a late write, and the next heartbeat", []string{"ready@9", "ready@5", "ready@9"}, nil, surely, "a@9 ready"},
-		{"a late write comes again and again", []string{"ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9"}, nil, soon, "a@9 ready"},
-		{"a late write that goes", []string{"ready@9", "ready@5", ""}, nil, surely, ""},
-		{"a clock that was set back", []string{"ready@9", "ready@5"}, nil, surely, "a@5 ready"},
-		{"a clock that was set back, and the older one's write is late", []string{"ready@9", "ready@5", "ready@9"}, nil, soon, "a@9 ready"},
-		{"the newer life leaves", []string{"ready@5", "ready@9", "leaving@9"}, nil, soon, "a@9 leaving"},
-		{"the newer life leaves, and its word is written late", []string{"ready@9", "leaving@9", "ready@9"}, nil, soon, "a@9 leaving"},
-		{"an entry that does not name its life", []string{"leaving@9", "ready"}, nil, soon, "a@9 leaving"},
-		{"lives begin to be told", []string{"ready", "ready@9"}, nil, soon, "a@9 ready"},
-		{"lives begin to be told by one that had left", []string{"ready", "leaving", "ready@9"}, nil, soon, "a@9 ready"},
+		{"without a time of its start", []string{"ready", "ready"}, nil, short, "a ready"},
+		{"starts again", []string{"ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"starts again after it said that it leaves", []string{"ready@5", "leaving@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"starts again after its entry went", []string{"ready@5", "", "ready@9"}, nil, short, "a@9 ready"},
+		{"starts again after it left", []string{"ready@5", "leaving@5", "", "ready@9"}, nil, short, "a@9 ready"},
+		{"an older life's write is late", []string{"ready@5", "ready@9", "ready@5"}, nil, short, ""},
+		{"an older life's leaving is late", []string{"ready@5", "ready@9", "leaving@5"}, nil, short, ""},
+		{"an older life's write is late, after the newer one's entry went", []string{"ready@5", "ready@9", "", "ready@5"}, nil, short, ""},
+		{"a late write, and the next heartbeat", []string{"ready@9", "ready@5", "ready@9"}, nil, long, "a@9 ready"},
+		{"a late write comes again and again", []string{"ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"a late write that goes", []string{"ready@9", "ready@5", ""}, nil, long, ""},
+		{"a clock that was set back", []string{"ready@9", "ready@5"}, nil, long, "a@5 ready"},
+		{"a clock that was set back, and the older one's write is late", []string{"ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"the newer life leaves", []string{"ready@5", "ready@9", "leaving@9"}, nil, short, "a@9 leaving"},
+		{"the newer life leaves, and its word is written late", []string{"ready@9", "leaving@9", "ready@9"}, nil, short, "a@9 leaving"},
+		{"an entry that does not name its life", []string{"leaving@9", "ready"}, nil, short, "a@9 leaving"},
+		{"lives begin to be told", []string{"ready", "ready@9"}, nil, short, "a@9 ready"},
+		{"lives begin to be told by one that had left", []string{"ready", "leaving", "ready@9"}, nil, short, "a@9 ready"},
 		{"an older life's write, and the history is gone", []string{"ready@5", "ready@9"}, []func(*memoryStore){
-			func(m *memoryStore) { m.put("servers/a", "ready@5") }, forget, func(m *memoryStore) { m.put("servers/a", "ready@9") },
-		}, soon, "a@9 ready"},
+			func(m *memoryStore) { m.put("servers/a", "ready@5") }, compact, func(m *memoryStore) { m.put("servers/a", "ready@9") },
+		}, short, "a@9 ready"},
 		{"an older life's write that stands, and the history is gone", []string{"ready@5", "ready@9"}, []func(*memoryStore){
-			func(m *memoryStore) { m.put("servers/a", "ready@5") }, forget,
-		}, soon, ""},
+			func(m *memoryStore) { m.put("servers/a", "ready@5") }, compact,
+		}, short, ""},
 		{"starts again in an outage", []string{"ready@5"}, []func(*memoryStore){
-			dark, func(m *memoryStore) { m.put("servers/a", "ready@9") }, light,
-		}, soon, "a@9 ready"},
+			down, func(m *memoryStore) { m.put("servers/a", "ready@9") }, up,
+		}, short, "a@9 ready"},
 		{"starts several times between two readings", []string{"ready@5"}, []func(*memoryStore){
-			dark, func(m *memoryStore) {
+			down, func(m *memoryStore) {
 				for born := 6; born < 20; born++ {
 					m.put("servers/a", fmt.Sprint("ready@", born))
 				}
 				m.put("servers/a", "ready@12") // one of them, late
 				m.put("servers/a", "ready@19")
-			}, light,
-		}, soon, "a@19 ready"},
+			}, up,
+		}, short, "a@19 ready"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				m := newMemoryStore()
-				list := listen(ctx, m)
+				list := startEndpoints(ctx, m)
 				for _, w := range tc.writes {
 					if w == "" {
 						m.remove("servers/a")
@@ -83,7 +83,7 @@
 					}
 					time.Sleep(time.Second)
 				}
-				for _, do := range tc.last {
+				for _, do := range tc.then {
 					do(m)
 					time.Sleep(time.Second)
 				}
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestHeldLifeIsLearned tells a host by a peer's list that an entry is held back, since a newer life is known: a late write of the
+// TestHeldEntryFromPeer tells a host by a peer's list that an entry is held back, since a newer life is known: a late write of the
 // life that the host itself knew last is then no news either.
-func TestHeldLifeIsLearned(t *testing.T) {
+func TestHeldEntryFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -111,16 +111,16 @@
 				Store: m, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
 				Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 			}
-			e.StoreHealth = testReach(e.Now)
+			e.StoreHealth = testHealth(e.Now)
 			e.Init()
 			return e
 		}
-		reads, hears := newEndpoints(), newEndpoints()
+		reader, receiver := newEndpoints(), newEndpoints()
 		pass := func() {
-			must.NoError(t, reads.ask(ctx, reads.Now(), reads.WatchTimeout))
-			l, ok := reads.List()
+			must.NoError(t, reader.callStore(ctx, reader.Now(), reader.WatchTimeout))
+			l, ok := reader.List()
 			must.True(t, ok)
-			hears.Offer(l)
+			receiver.Offer(l)
 		}
 		m.put("servers/a", "ready@5")
 		pass()
@@ -128,8 +128,8 @@
 		m.put("servers/a", "ready@7")
 		pass()
 		m.put("servers/a", "ready@5")
-		must.NoError(t, hears.ask(ctx, hears.Now(), hears.WatchTimeout))
-		l, _ := hears.List()
+		must.NoError(t, receiver.callStore(ctx, receiver.Now(), receiver.WatchTimeout))
+		l, _ := receiver.List()
 		must.SliceEmpty(t, l.Endpoints)
 	})
 }
@@ -151,36 +151,36 @@
 		{"an older life's, then foreign", []string{"ready@9", "ready@5", "foreign"}, 2, 1},
 	}
 	for _, tc := range cases {
-		for _, forgets := range []bool{false, true} {
-			t.Run(fmt.Sprint(tc.name, " ", forgets), func(t *testing.T) {
+		for _, compacted := range []bool{false, true} {
+			t.Run(fmt.Sprint(tc.name, " ", compacted), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
-					s := share(ctx, 3)
+					s := startFleet(ctx, 3)
 					s.store.put("servers/c", "ready")
 					s.store.remove("servers/a")
-					time.Sleep(contact)
+					time.Sleep(contactTime)
 					for _, w := range tc.writes {
 						if w == "" {
 							s.store.remove("servers/a")
 						} else {
 							s.store.put("servers/a", w)
 						}
-						if forgets {
-							s.store.set(func() { s.store.forgotten = s.store.at })
+						if compacted {
+							s.store.locked(func() { s.store.compactedTo = s.store.revision })
 						}
-						time.Sleep(contact)
+						time.Sleep(contactTime)
 					}
-					for _, e := range s.ends {
+					for _, e := range s.endpoints {
 						l, ok := e.List()
 						must.True(t, ok)
-						must.EqOp(t, tc.want, usable(l.Endpoints))
+						must.EqOp(t, tc.want, usableCount(l.Endpoints))
 					}
-					most := 0
-					for _, e := range s.ends {
-						most = max(most, e.ForeignCount())
+					maxCount := 0
+					for _, e := range s.endpoints {
+						maxCount = max(maxCount, e.ForeignCount())
 					}
-					must.EqOp(t, tc.count, most)
+					must.EqOp(t, tc.count, maxCount)
 				})
 			})
 		}
--- a/feed/nudge.go
+++ b/feed/nudge.go
@@ -9,26 +9,28 @@
 	"sync"
 )
 
-// nudge lets a loop begin its next turn at once, whatever it waits for. The zero value is ready.
-type nudge struct {
+// interrupter lets a loop begin its next iteration at once, whatever it waits for. The zero value is
+// ready to use.
+type interrupter struct {
 	mu     sync.Mutex
 	cancel context.CancelFunc
 }
 
-// turn returns the context of the loop's next turn, which ends with the next nudge, and what ends it.
-func (n *nudge) turn(ctx context.Context) (context.Context, context.CancelFunc) {
+// next returns the context of the loop's next iteration, which ends with the next interrupt, and the
+// function that ends it.
+func (i *interrupter) next(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.cancel = cancel
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.cancel = cancel
 	return ctx, cancel
 }
 
-// now ends the turn that is under way.
-func (n *nudge) now() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.cancel != nil {
-		n.cancel()
+// interrupt ends the iteration in progress.
+func (i *interrupter) interrupt() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.cancel != nil {
+		i.cancel()
 	}
 }
--- a/feed/outage_test.go
+++ b/feed/outage_test.go
@@ -23,7 +23,7 @@
 	cases := []struct {
 		hosts   int
 		contact time.Duration
-		most    float64 // calls a second of all hosts
+		maxRate float64 // calls a second of all hosts
 	}{
 		{1, 3 * time.Second, 6}, {6, 3 * time.Second, 36}, {40, 4 * time.Second, 95}, {120, 4 * time.Second, 130}, {300, 5 * time.Second, 210},
 	}
@@ -32,23 +32,23 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				lapses := testLapses
+				lapses := testLapseTimes
 				lapses.MaxKeep = tc.contact * 9 / 10
-				s := shareFor(ctx, tc.hosts, lapses)
+				s := startFleetWith(ctx, tc.hosts, lapses)
 				time.Sleep(3 * time.Second)
-				s.store.set(func() { s.store.dark = true })
+				s.store.locked(func() { s.store.down = true })
 				time.Sleep(2 * time.Second)
 				before := s.store.count()
 				time.Sleep(outage)
-				must.LessEq(t, tc.most, float64(s.store.count()-before)/outage.Seconds())
+				must.LessEq(t, tc.maxRate, float64(s.store.count()-before)/outage.Seconds())
 				s.store.put("servers/c", "ready")
 				s.store.put("op/config", "two")
-				s.store.set(func() { s.store.dark = false })
+				s.store.locked(func() { s.store.down = false })
 				time.Sleep(2 * time.Second)
 				for i := range tc.hosts {
-					l, _ := s.ends[i].List()
+					l, _ := s.endpoints[i].List()
 					must.Len(t, 3, l.Endpoints)
-					must.EqOp(t, "two", s.sets[i].Current().Table.Document.Routes[0].Name)
+					must.EqOp(t, "two", s.settings[i].Current().Table.Document.Routes[0].Name)
 				}
 				cancel()
 				synctest.Wait()
@@ -62,7 +62,7 @@
 func TestLapseAfterLongPause(t *testing.T) {
 	cases := []struct {
 		name string
-		turn int
+		rank int
 	}{
 		{"asks often", 0}, {"asks seldom", 100},
 	}
@@ -78,17 +78,17 @@
 					store.put("servers/a", "ready")
 					e := &Endpoints{
 						Store: store, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
-						Rank: func() int { return tc.turn }, Parse: parseEndpoint,
+						Rank: func() int { return tc.rank }, Parse: parseEndpoint,
 						Now: func() time.Duration { return time.Since(start) }, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 					}
-					e.StoreHealth = testReach(e.Now)
+					e.StoreHealth = testHealth(e.Now)
 					e.Init()
 					go e.Run(ctx)
 					time.Sleep(time.Second)
-					store.set(func() { store.dark = true })
+					store.locked(func() { store.down = true })
 					time.Sleep(outage)
 					store.remove("servers/a")
-					store.set(func() { store.dark = false })
+					store.locked(func() { store.down = false })
 					// The entry is gone at the store; the endpoint may live and be back in 2 s.
 					time.Sleep(1650 * time.Millisecond)
 					l, _ := e.List()
@@ -104,25 +104,25 @@
 	}
 }
 
-// TestTroubleOfOneHost holds that an endpoint whose entry goes while the store serves is dropped
+// TestOutageOfOneHost holds that an endpoint whose entry goes while the store serves is dropped
 // by all hosts but the one that could not reach the store lately, although that one reads first.
-func TestTroubleOfOneHost(t *testing.T) {
+func TestOutageOfOneHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := share(ctx, 6)
+		s := startFleet(ctx, 6)
 		time.Sleep(3 * time.Second)
 		for round := range 6 {
 			s.store.put("servers/c", fmt.Sprint("ready", round))
 			time.Sleep(4 * time.Second)
-			s.store.set(func() { s.cut[0] = true })
+			s.store.locked(func() { s.cut[0] = true })
 			time.Sleep(5 * time.Second)
-			s.store.set(func() { s.cut[0] = false })
+			s.store.locked(func() { s.cut[0] = false })
 			time.Sleep(time.Duration(round) * 100 * time.Millisecond)
 			s.store.remove("servers/c")
 			time.Sleep(1400 * time.Millisecond)
 			for i := 1; i < 6; i++ {
-				l, _ := s.ends[i].List()
+				l, _ := s.endpoints[i].List()
 				must.Len(t, 2, l.Endpoints)
 			}
 		}
--- a/feed/reach.go
+++ b/feed/reach.go
@@ -9,150 +9,160 @@
 	"time"
 )
 
-// StoreHealth judges for all that follows the store on this host whether the store fails for it: then what no host can know, none is held to, and entries that go
-// may have lapsed. All times are of the host's clock. The fields must be set before the first call; it is safe for concurrent use.
+// StoreHealth decides, for everything on this host that follows the store, whether the store fails for
+// this host. While it does, entries that disappear may have lapsed, and the host need not know what no
+// host can know. All times are of the host's clock. The fields must be set before the first call. It
+// is safe for concurrent use.
 type StoreHealth struct {
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it also counts the time in which the host is suspended.
 	Now func() time.Duration
-	// RunTime is the time in which this process ran; nil means that it always does.
+	// RunTime returns the time in which this process ran; nil means that it always runs.
 	RunTime func() time.Duration
-	// OutageAfter is the time without any answer from the store, with several calls under way, that tells of an outage.
+	// OutageAfter is the time without any answer from the store, with several calls in flight, that
+	// counts as an outage.
 	OutageAfter time.Duration
-	// LapseTimes decides for how long entries that went are taken for endpoints that serve.
+	// LapseTimes decides for how long endpoints whose entries disappeared are treated as serving.
 	LapseTimes LapseTimes
-	// RetryInterval is the time between two tries of the hosts that ask a failing store most often.
+	// RetryInterval is the time between two attempts of the hosts that call a failing store most
+	// often.
 	RetryInterval time.Duration
 
-	mu    sync.Mutex
-	calls callLog
-	begun time.Duration              // when the last call was begun, or let
-	until time.Duration              // entries that go before are taken for lapsed
-	ended func(lapsed time.Duration) // is called with the time for which they are, as an outage ends; may be nil
+	mu          sync.Mutex
+	calls       callLog
+	lastBegun   time.Duration              // when the last call was begun or permitted
+	lapseUntil  time.Duration              // entries that disappear before this moment are treated as lapsed
+	onOutageEnd func(lapsed time.Duration) // called at the end of an outage with the time for which entries stay lapsed; may be nil
 }
 
-// awake is the time in which this process ran.
-func (r *StoreHealth) awake() time.Duration {
-	if r.RunTime == nil {
-		return r.Now()
+// processRunTime is the time in which this process ran.
+func (h *StoreHealth) processRunTime() time.Duration {
+	if h.RunTime == nil {
+		return h.Now()
 	}
-	return r.RunTime()
+	return h.RunTime()
 }
 
-// begin notes that a call is sent which waits for changes for a time.
-func (r *StoreHealth) begin(wait time.Duration) storeCall {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls.silent, r.begun = r.OutageAfter, r.Now()
-	return r.calls.begin(r.begun, r.awake()+wait)
+// begin records that a call is sent, which waits for changes for the given time.
+func (h *StoreHealth) begin(wait time.Duration) storeCall {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls.outageAfter, h.lastBegun = h.OutageAfter, h.Now()
+	return h.calls.begin(h.lastBegun, h.processRunTime()+wait)
 }
 
-// end notes that a call was answered, or was ended by this host for another reason than its silence.
-func (r *StoreHealth) end(c storeCall) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls.end(c)
+// end records that a call was answered, or that this host ended it for another reason than a missing
+// answer.
+func (h *StoreHealth) end(c storeCall) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls.end(c)
 }
 
-// fail notes that a call failed.
-func (r *StoreHealth) fail(c storeCall) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls.fail(c, r.Now())
+// fail records that a call failed.
+func (h *StoreHealth) fail(c storeCall) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls.fail(c, h.Now())
 }
 
-// giveUp notes that this host gave a call up that had no answer.
-func (r *StoreHealth) giveUp(c storeCall) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls.settle(r.Now(), r.awake())
-	r.calls.end(c)
+// giveUp records that this host gave up a call that had no answer.
+func (h *StoreHealth) giveUp(c storeCall) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls.failSilent(h.Now(), h.processRunTime())
+	h.calls.end(c)
 }
 
-// answer notes that the store answered a call, of this host or of a peer, that was sent at a
-// moment. The first answer after an outage fixes how long lapsed entries are kept. The
-// store returned after the last own call that failed was sent; and if this host asks more seldom
-// than others, after the last one that failed for them, a pause and such a call's time before.
-func (r *StoreHealth) answer(sent time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l := &r.calls
-	if sent <= l.answered {
+// noteAnswer records that the store answered a call of this host or of a peer that was sent at the
+// given moment. The first answer after an outage determines how long lapsed entries are kept. The
+// store returned after this host's last failed call was sent. If this host calls less often than
+// others, the store returned after their last failed call, which was sent at most one RetryInterval
+// and the duration of a failed call before the answered one.
+func (h *StoreHealth) noteAnswer(sent time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	calls := &h.calls
+	if sent <= calls.lastAnswered {
 		return
 	}
-	if l.isOut() && sent-l.answered >= r.LapseTimes.MinOutage {
-		returned := max(l.failed[0].sent, sent-r.RetryInterval-l.took)
-		r.until = max(r.until, min(sent+r.LapseTimes.RenewTime, returned+r.LapseTimes.MaxKeep))
+	if calls.isFailing() && sent-calls.lastAnswered >= h.LapseTimes.MinOutage {
+		returned := max(calls.lastFailed[0].sent, sent-h.RetryInterval-calls.failTime)
+		h.lapseUntil = max(h.lapseUntil, min(sent+h.LapseTimes.RenewTime, returned+h.LapseTimes.MaxKeep))
 	}
-	l.answered = sent
-	if left := r.until - r.Now(); left > 0 && r.ended != nil {
-		r.ended(left)
+	calls.lastAnswered = sent
+	if remaining := h.lapseUntil - h.Now(); remaining > 0 && h.onOutageEnd != nil {
+		h.onOutageEnd(remaining)
 	}
 }
 
-// isOut reports whether the store fails for this host.
-func (r *StoreHealth) isOut() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.settled().isOut()
+// isFailing reports whether the store fails for this host.
+func (h *StoreHealth) isFailing() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.currentCalls().isFailing()
 }
 
-// settled gives what is known of calls, those included that are silent for long; mu must be held.
-func (r *StoreHealth) settled() *callLog {
-	r.calls.settle(r.Now(), r.awake())
-	return &r.calls
+// currentCalls returns the call log, after calls that were silent for too long are counted as failed;
+// mu must be held.
+func (h *StoreHealth) currentCalls() *callLog {
+	h.calls.failSilent(h.Now(), h.processRunTime())
+	return &h.calls
 }
 
-// FailedRecently reports whether the store failed for this host so lately that it need not know what the store knows: had the store returned
-// right after the last call that failed was sent, the host would not be held to any bound yet. That others have had an answer since
-// changes nothing.
-func (r *StoreHealth) FailedRecently() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := r.settled().out
-	return out > 0 && r.Now()-out <= r.LapseTimes.MaxKeep
+// FailedRecently reports whether the store failed for this host so recently that the host need not
+// know what the store knows: even if the store returned right after the last failed call was sent, the
+// contact time is not over yet. Answers that other hosts got since then do not matter.
+func (h *StoreHealth) FailedRecently() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	lastOutageCall := h.currentCalls().lastOutageCall
+	return lastOutageCall > 0 && h.Now()-lastOutageCall <= h.LapseTimes.MaxKeep
 }
 
-// mayAsk reports whether an asker whose rest ends at a moment may ask a store that fails: its rest is over, and the last call of the host was begun
-// some time before; or a call is due because the last one that failed soon excuses nothing any more. The next one must be late, or
-// refused, by then, and two pauses come before it. Of several that ask for the host it lets one.
-func (r *StoreHealth) mayAsk(end, apart time.Duration) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.Now()
-	over := now >= end && now >= r.begun+apart
-	due := now >= r.calls.out+r.LapseTimes.MaxKeep-2*r.RetryInterval-2*tryPace && now >= r.begun+r.RetryInterval
-	if over || due {
-		r.begun = now
+// mayRetry reports whether a poller whose back-off ends at end may call a failing store. It may if its
+// back-off is over and this host's last call began at least minGap ago. It also may if the last failed
+// call soon becomes too old for FailedRecently: the next call must have timed out or been refused by
+// then, and up to two retry intervals pass before that. Of several pollers of the host it permits one.
+func (h *StoreHealth) mayRetry(end, minGap time.Duration) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.Now()
+	rested := now >= end && now >= h.lastBegun+minGap
+	mustRetry := now >= h.calls.lastOutageCall+h.LapseTimes.MaxKeep-2*h.RetryInterval-2*fastRetryDelay && now >= h.lastBegun+h.RetryInterval
+	if rested || mustRetry {
+		h.lastBegun = now
 	}
-	return over || due
+	return rested || mustRetry
 }
 
-// mayLapse reports whether an entry that goes now may belong to an endpoint that serves: in an outage that lasts, and some time after it.
-func (r *StoreHealth) mayLapse() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now, l := r.Now(), &r.calls
-	return now < r.until || (l.isOut() && now-l.answered >= r.LapseTimes.MinOutage)
+// mayLapse reports whether an entry that disappears now may belong to an endpoint that serves: in an
+// outage of at least MinOutage, and for some time after it.
+func (h *StoreHealth) mayLapse() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now, l := h.Now(), &h.calls
+	return now < h.lapseUntil || (l.isFailing() && now-l.lastAnswered >= h.LapseTimes.MinOutage)
 }
 
-// restart forgets the store's state: this host did not run until now.
-func (r *StoreHealth) restart() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.calls.restart(r.Now())
-	r.until = 0
+// reset forgets the store's state after this host did not run for a while.
+func (h *StoreHealth) reset() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.calls.reset(h.Now())
+	h.lapseUntil = 0
 }
 
-// underWay is the number of calls that are under way.
-func (r *StoreHealth) underWay() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.calls.under)
+// inFlight is the number of calls in flight.
+func (h *StoreHealth) inFlight() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.calls.inFlight)
 }
 
-// last gives when the store is known to have answered a host last, and when the last call that failed was sent.
-func (r *StoreHealth) last() (answered, failed time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.calls.answered, r.calls.failed[0].sent
+// lastCalls returns when the store is last known to have answered any host, and when this host's last
+// failed call was sent.
+func (h *StoreHealth) lastCalls() (answered, failed time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.calls.lastAnswered, h.calls.lastFailed[0].sent
 }
--- a/feed/settings.go
+++ b/feed/settings.go
@@ -16,52 +16,54 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// Settings follows the configuration. The fields must be set before Run.
+// Settings follows the configuration in the store. The fields must be set before Run.
 type Settings struct {
-	// Store is where it lies, under Key below Prefix.
+	// Store holds the configuration, under Key below Prefix.
 	Store       Store
 	Prefix, Key string
 	// Parse reads a configuration.
 	Parse func([]byte) (*route.Document, error)
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it also counts the time in which the host is suspended.
 	Now func() time.Duration
-	// WatchTimeout is how long a watch may be idle.
+	// WatchTimeout is how long a watch may wait for changes.
 	WatchTimeout time.Duration
-	// RetryInterval is the time between tries while the store fails.
+	// RetryInterval is the time between attempts while the store fails.
 	RetryInterval time.Duration
-	// Rank is this host's turn to watch, see Turns; nil means that it always watches.
+	// Rank returns this host's rank among the watchers, see ReadAge; nil means that this host always
+	// watches.
 	Rank func() int
-	// ViaRelay tells whether proofs of peers reach this host by way of relays; nil means not.
+	// ViaRelay tells whether proofs of peers reach this host through relays; nil means no.
 	ViaRelay func() bool
-	// StoreHealth judges whether the store fails for this host.
+	// StoreHealth decides whether the store fails for this host.
 	StoreHealth *StoreHealth
-	// MaxAge is the age up to which requests may be decided by the settings while the store does not fail for this host; 0 means any.
+	// MaxAge is the age up to which requests may be decided by the settings while the store does not
+	// fail for this host; 0 means any age.
 	MaxAge time.Duration
 	// OnChange is called with each new table.
 	OnChange func(*route.Table)
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	// Age knows how old the configuration may be.
+	// Age tracks how old the configuration may be.
 	Age Age
 
-	current atomic.Pointer[Config]
-	refused atomic.Int64
-	failing bool
-	nudge   nudge
-	woke    atomic.Bool // read anew
+	current       atomic.Pointer[Config]
+	refusedCount  atomic.Int64
+	failing       bool
+	interrupter   interrupter
+	rereadPending atomic.Bool // the next step reads the key again
 
-	mu   sync.Mutex
-	at   uint64 // the store's revision that was read last
-	read bool   // one was, and the store knows the changes since
+	mu       sync.Mutex
+	revision uint64 // the store's revision that was read last
+	loaded   bool   // the key was read, and the store still has the changes since
 }
 
-// Config is a configuration as it was written, for passing on.
+// Config is a configuration as it was written, so that it can be passed on to peers.
 type Config struct {
 	// Value is the document and Revision the number of its write.
 	Value    []byte
 	Revision uint64
-	// Table is the document made ready.
+	// Table is the routing table made from the document.
 	Table *route.Table
 }
 
@@ -69,27 +71,28 @@
 func (s *Settings) Current() *Config { return s.current.Load() }
 
 // RefusedCount counts documents that could not be read.
-func (s *Settings) RefusedCount() int64 { return s.refused.Load() }
+func (s *Settings) RefusedCount() int64 { return s.refusedCount.Load() }
 
 // Run follows the store until ctx ends.
 func (s *Settings) Run(ctx context.Context) {
-	a := asker{reach: s.StoreHealth, turn: s.Rank, pause: s.RetryInterval, wait: s.wait, call: s.ask}
+	p := poller{health: s.StoreHealth, rank: s.Rank, retryInterval: s.RetryInterval, waitTime: s.waitTime, call: s.callStore}
 	for ctx.Err() == nil {
-		turn, end := s.nudge.turn(ctx)
-		s.step(turn, &a)
+		loopCtx, end := s.interrupter.next(ctx)
+		s.step(loopCtx, &p)
 		end()
 	}
 }
 
-// NoteGap makes this host read the settings at once: it did not run for a while, and calls and pauses that were under way
-// say nothing of now. A watch would prove nothing before it has been idle to its end.
+// NoteGap makes this host read the settings at once after the process did not run for a while: calls
+// and waits from before say nothing about the present. The key is read, since a watch would prove
+// nothing until it ends without changes.
 func (s *Settings) NoteGap() {
-	s.woke.Store(true)
-	s.nudge.now()
+	s.rereadPending.Store(true)
+	s.interrupter.interrupt()
 }
 
-// Usable reports whether requests may be decided by the settings now. Settings that are older than they may be are used only while the
-// store fails for this host: what no host can know, none is held to.
+// Usable reports whether requests may be decided by the settings now. Settings older than MaxAge are
+// used only while the store fails for this host: a host need not know what no host can know.
 func (s *Settings) Usable() bool {
 	if s.MaxAge == 0 {
 		return true
@@ -98,116 +101,117 @@
 	return ok && (age <= s.MaxAge || s.StoreHealth.FailedRecently())
 }
 
-// step waits for this host's turn, or asks the store once.
-func (s *Settings) step(ctx context.Context, a *asker) {
-	woke := s.woke.Swap(false)
-	if pause := s.untilTurn(); pause > 0 && !woke {
-		sleep(ctx, pause)
+// step waits until this host has to watch, or polls the store once.
+func (s *Settings) step(ctx context.Context, p *poller) {
+	reread := s.rereadPending.Swap(false)
+	if wait := s.untilWatch(); wait > 0 && !reread {
+		sleep(ctx, wait)
 		return
 	}
-	if woke {
-		s.readAnew()
+	if reread {
+		s.requireRead()
 	}
-	err := a.try(ctx)
+	err := p.poll(ctx)
 	switch {
 	case err == nil:
-		s.healthy()
-	case ctx.Err() == nil: // else ended by this host
-		s.unhealthy(err)
-		a.rest(ctx)
+		s.logRegained()
+	case ctx.Err() == nil: // otherwise cancelled by this host
+		s.logLost(err)
+		p.backOff(ctx)
 	}
 }
 
-// readAnew makes the next call read the key, and not its changes.
-func (s *Settings) readAnew() {
+// requireRead makes the next call read the key instead of its changes.
+func (s *Settings) requireRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.read = false
+	s.loaded = false
 }
 
-// wait is how long a call waits for changes: only the hosts that always watch do. The others' turn comes when the settings are to be
-// proven soon.
-func (s *Settings) wait() time.Duration {
+// waitTime is how long a call waits for changes: only on the hosts that always watch. The others call
+// when the settings must be proven soon.
+func (s *Settings) waitTime() time.Duration {
 	if s.Rank != nil && s.Rank() >= WatcherCount {
 		return 0
 	}
 	return s.WatchTimeout
 }
 
-// ask does one call, which is sent at a moment and waits for changes for a time.
-func (s *Settings) ask(ctx context.Context, sent, wait time.Duration) error {
+// callStore does one call. sent is when it is sent, wait how long it waits for changes.
+func (s *Settings) callStore(ctx context.Context, sent, wait time.Duration) error {
 	s.mu.Lock()
-	at, read := s.at, s.read
+	revision, loaded := s.revision, s.loaded
 	s.mu.Unlock()
-	if !read {
+	if !loaded {
 		return s.readKey(ctx, sent)
 	}
-	err := s.watch(ctx, at, sent, wait)
+	err := s.watch(ctx, revision, sent, wait)
 	if errors.Is(err, ErrCompacted) {
-		s.StoreHealth.answer(sent)
-		s.readAnew()
+		s.StoreHealth.noteAnswer(sent)
+		s.requireRead()
 	}
 	return err
 }
 
-// noteRead notes up to which of the store's revisions the settings were read.
-func (s *Settings) noteRead(at uint64) {
+// noteRead records up to which of the store's revisions the settings were read.
+func (s *Settings) noteRead(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at, s.read = max(s.at, at), true
+	s.revision, s.loaded = max(s.revision, revision), true
 }
 
-// untilTurn is the time until this host has to watch: the first hosts always do, and are
-// told of changes at once; the others do while nobody proves the settings to them.
-func (s *Settings) untilTurn() time.Duration {
+// untilWatch is the time until this host has to watch. The first WatcherCount hosts always watch and
+// learn of changes at once; the others watch while no peer proves the settings to them.
+func (s *Settings) untilWatch() time.Duration {
 	age, ok := s.Age.At(s.Now())
 	if s.Rank == nil || !ok {
 		return 0
 	}
-	turn := s.Rank()
-	if turn < WatcherCount {
+	rank := s.Rank()
+	if rank < WatcherCount {
 		return 0
 	}
-	return ReadAge(s.WatchTimeout, turn-WatcherCount+1, s.ViaRelay != nil && s.ViaRelay()) - age
+	return ReadAge(s.WatchTimeout, rank-WatcherCount+1, s.ViaRelay != nil && s.ViaRelay()) - age
 }
 
-// readKey reads the key anew, with a call that is sent at a moment.
+// readKey reads the key again, with a call sent at the given moment.
 func (s *Settings) readKey(ctx context.Context, sent time.Duration) error {
 	p, err := s.Store.Range(ctx, s.Prefix, false)
 	if err != nil {
 		return err
 	}
-	s.StoreHealth.answer(sent)
-	s.take(p.Items)
+	s.StoreHealth.noteAnswer(sent)
+	s.applyItems(p.Items)
 	s.prove(sent)
 	s.noteRead(p.Revision)
 	return nil
 }
 
-// watch waits for the next change, with a call that is sent at a moment. A watch that was idle for its whole time proves
-// that nothing had changed when that time ended, which is not before sent+wait.
-func (s *Settings) watch(ctx context.Context, at uint64, sent, wait time.Duration) error {
-	p, err := s.Store.Watch(ctx, s.Prefix, at, wait)
+// watch waits for the next change, with a call sent at the given moment. A watch that returns no
+// change after its whole time proves that nothing had changed when that time ended, which is not
+// before sent+wait.
+func (s *Settings) watch(ctx context.Context, since uint64, sent, wait time.Duration) error {
+	p, err := s.Store.Watch(ctx, s.Prefix, since, wait)
 	if err != nil {
 		return err
 	}
-	s.StoreHealth.answer(sent)
-	s.take(p.Items)
+	s.StoreHealth.noteAnswer(sent)
+	s.applyItems(p.Items)
 	switch took := s.Now() - sent; {
 	case len(p.Items) > 0:
 	case took >= wait:
 		sent += wait
 	default:
-		// The store cut the watch; asking again at once would be a storm.
-		sleep(ctx, pauseAfterFailure(s.RetryInterval, s.Rank))
+		// The store ended the watch early; calling it again at once would flood it with calls.
+		sleep(ctx, outageRetryInterval(s.RetryInterval, s.Rank))
 	}
 	s.prove(sent)
 	s.noteRead(p.Revision)
 	return nil
 }
 
-// take puts the newest value of the key in force.
-func (s *Settings) take(items []Item) {
+// applyItems puts the newest value of the key in force.
+func (s *Settings) applyItems(items []Item) {
 	for i := len(items) - 1; i >= 0; i-- {
 		if it := items[i]; it.Key == s.Key && !it.Deleted {
 			s.Offer(it.Value, it.Revision)
@@ -216,15 +220,15 @@
 	}
 }
 
-// prove notes that what is in force was the newest at a moment.
+// prove records that the configuration in force was the newest at a moment.
 func (s *Settings) prove(at time.Duration) {
 	if c := s.current.Load(); c != nil {
 		s.Age.Prove(c.Revision, at)
 	}
 }
 
-// Offer puts a document in force unless an equal or newer one is. A document that
-// cannot be read is refused whole and the last one stays.
+// Offer puts a document in force unless the one in force is equally new or newer. A document that
+// cannot be read is refused whole, and the one in force stays.
 func (s *Settings) Offer(value []byte, revision uint64) {
 	for {
 		old := s.current.Load()
@@ -233,7 +237,7 @@
 		}
 		d, err := s.Parse(value)
 		if err != nil {
-			s.refused.Add(1)
+			s.refusedCount.Add(1)
 			s.Log.Error(err, "configuration refused", "revision", revision)
 			return
 		}
@@ -246,22 +250,22 @@
 	}
 }
 
-// healthy and unhealthy log changes of state only.
-func (s *Settings) healthy() {
+// logRegained and logLost log changes of state only.
+func (s *Settings) logRegained() {
 	if s.failing {
 		s.failing = false
 		s.Log.Info("store regained", "for", s.Key)
 	}
 }
 
-func (s *Settings) unhealthy(err error) {
+func (s *Settings) logLost(err error) {
 	if !s.failing {
 		s.failing = true
 		s.Log.Info("store lost", "for", s.Key, "cause", err.Error())
 	}
 }
 
-// sleep waits, or returns early when ctx ends.
+// sleep waits for d, or returns early when ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/feed/shared.go
+++ b/feed/shared.go
@@ -11,143 +11,144 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hosts pass on to each other what they read from the store, with a proof of its age. So
-// that the store is not asked by all of them, each has a turn: the host whose turn is 0
-// reads when the view is as old as it may be, the next ones only if that did not happen.
+// Hosts pass on to each other what they read from the store, with a proof of its age. So that not all
+// of them call the store, each has a rank: the host of rank 0 reads when the view has reached its
+// maximum age, and the next ones read only if that did not happen.
 
 const (
-	// proofShare is the part of the time between two readings that a proof may take from
-	// the host that read to the others: two heartbeats of 0.2 s, at a time of 0.8 s or more.
-	proofShare = 0.6
-	// turnShare is the part of that time by which each later turn waits longer, so that
-	// not all read at once when the first ones fail; lastTurn is the turn from which all
-	// wait alike.
-	turnShare = 0.06
-	lastTurn  = 4
-	// triers is the number of hosts that ask a failing store again after the usual pause. With
-	// later turns the pause grows with the square of the turn up to longestPause, so that a store which turns
-	// nearly all hosts away is still asked by one that it serves. The others learn of its return
-	// from those that go first, within a second.
-	triers       = 8
-	longestPause = 5 * time.Second
-	// farProof is the time in which a proof reaches a host by way of relays: three heartbeats
-	// until it is told, and half of that besides, so that a lost one makes no call.
-	farProof = 900 * time.Millisecond
+	// proofDelayShare is the part of the time between two reads that a proof may take from the host
+	// that read to the others: two heartbeats of 0.2 s, with reads every 0.8 s or more.
+	proofDelayShare = 0.6
+	// rankDelayShare is the part of that time by which each further rank waits longer, so that not all
+	// hosts read at once when the first ones fail. From lastDelayedRank on all hosts wait equally
+	// long.
+	rankDelayShare  = 0.06
+	lastDelayedRank = 4
+	// fastRetryHosts is the number of hosts that call a failing store again after the usual retry
+	// interval. For higher ranks the interval grows with the square of the rank, up to
+	// maxRetryInterval, so that a store that refuses nearly all hosts is still called by one that it
+	// serves. The other hosts learn within a second of its return from the hosts that call first.
+	fastRetryHosts   = 8
+	maxRetryInterval = 5 * time.Second
+	// relayProofDelay is the time in which a proof reaches a host through relays: three heartbeats
+	// until it is received, plus half of that, so that a lost proof causes no call.
+	relayProofDelay = 900 * time.Millisecond
 )
 
-// pauseAfterFailure is the time before a host with a turn asks a failing store again. A host
-// that hears no other has turn 0.
-func pauseAfterFailure(pause time.Duration, turn func() int) time.Duration {
-	if turn == nil {
-		return pause
+// outageRetryInterval is the time before a host of a rank calls a failing store again. A host that
+// hears from no other host has rank 0.
+func outageRetryInterval(interval time.Duration, rank func() int) time.Duration {
+	if rank == nil {
+		return interval
 	}
-	times := max(1, float64(turn())/triers)
-	return min(time.Duration(times*times*float64(pause)), max(pause, longestPause))
+	factor := max(1, float64(rank())/fastRetryHosts)
+	return min(time.Duration(factor*factor*float64(interval)), max(interval, maxRetryInterval))
 }
 
-// WatcherCount is the number of hosts, those with the first turns, that always watch the
-// settings: one more than needed, so that the loss of one delays no change.
+// WatcherCount is the number of hosts, those of the lowest ranks, that always watch the settings: one
+// more than needed, so that the loss of one delays no change.
 const WatcherCount = 2
 
-// ReadAge is the age of a view at which a host with a turn of 1 or more reads it itself; far says that proofs
-// reach it by way of relays.
-func ReadAge(every time.Duration, turn int, far bool) time.Duration {
-	part := 1 + proofShare + turnShare*float64(min(turn, lastTurn)-1)
-	age := time.Duration(part * float64(every))
-	if far {
-		age = max(age, every+farProof)
+// ReadAge is the age of a view at which a host of rank 1 or higher reads it itself; viaRelay says that
+// proofs reach the host through relays.
+func ReadAge(interval time.Duration, rank int, viaRelay bool) time.Duration {
+	share := 1 + proofDelayShare + rankDelayShare*float64(min(rank, lastDelayedRank)-1)
+	age := time.Duration(share * float64(interval))
+	if viaRelay {
+		age = max(age, interval+relayProofDelay)
 	}
 	return age
 }
 
-// EndpointList is the endpoints as one host passes them on.
+// EndpointList is the list of endpoints as one host passes it on.
 type EndpointList struct {
-	// Revision is the store's revision that they speak of.
+	// Revision is the store's revision of the list.
 	Revision uint64 `json:"revision"`
 	// Endpoints are sorted by instance.
 	Endpoints []Endpoint `json:"endpoints"`
-	// RecentlyLeft are the lives of endpoints that said lately that they leave, and how long ago that was last
-	// seen, in nanoseconds. A host that takes a list now and then may have missed it.
+	// RecentlyLeft are the incarnations of endpoints that recently announced that they leave, and how
+	// long ago that was last seen, in nanoseconds. A host that takes a list only from time to time may
+	// have missed it.
 	RecentlyLeft map[string]time.Duration `json:"left,omitempty"`
-	// Held are entries that name older lives than were known.
+	// Held are the entries that name older incarnations than the newest known ones.
 	Held []HeldEntry `json:"held,omitempty"`
 }
 
-// View names what a host knows of the endpoints.
+// View identifies what a host knows of the endpoints.
 type View struct {
-	// Revision is the store's revision that it speaks of.
+	// Revision is the store's revision of the view.
 	Revision uint64
-	// Checksum tells views of different content apart.
+	// Checksum distinguishes views of different content.
 	Checksum uint64
-	// ProvenAt is when it was surely the newest.
+	// ProvenAt is when the view was surely the newest.
 	ProvenAt time.Duration
 }
 
-// View names the view in force, and false if there is none.
+// View returns the view in force, and false if there is none.
 func (e *Endpoints) View() (View, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return View{Revision: e.at, Checksum: e.sum(), ProvenAt: e.proven}, e.read
+	return View{Revision: e.revision, Checksum: e.viewChecksum(), ProvenAt: e.provenAt}, e.loaded
 }
 
-// List gives the endpoints to pass on, and false if none are known.
+// List returns the endpoints to pass on, and false if none are known.
 func (e *Endpoints) List() (EndpointList, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EndpointList{Revision: e.at, Endpoints: e.told, RecentlyLeft: e.left.ages(e.Now()), Held: e.lives.holds(e.Now())}, e.read
+	return EndpointList{Revision: e.revision, Endpoints: e.published, RecentlyLeft: e.leavers.ages(e.Now()), Held: e.incarnations.heldEntries(e.Now())}, e.loaded
 }
 
-// ReceiveView takes what a peer knows, and reports whether its list is to be asked for: the
-// same content is proven as of the peer's moment, newer content is wanted.
+// ReceiveView takes a peer's view and reports whether to fetch the peer's list: a view of the same
+// content proves this host's list as of the peer's moment, and newer content has to be fetched.
 func (e *Endpoints) ReceiveView(v View) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.StoreHealth.answer(v.ProvenAt)
-	if e.read && v.Checksum == e.sum() {
-		if v.Revision > e.at {
-			clear(e.foreign) // the view does not tell of them
+	e.StoreHealth.noteAnswer(v.ProvenAt)
+	if e.loaded && v.Checksum == e.viewChecksum() {
+		if v.Revision > e.revision {
+			clear(e.foreign) // the view does not say whether they are still there
 		}
-		e.at = max(e.at, v.Revision)
+		e.revision = max(e.revision, v.Revision)
 		e.prove(v.ProvenAt)
 		return false
 	}
-	return !e.read || v.Revision > e.at
+	return !e.loaded || v.Revision > e.revision
 }
 
-// Offer puts a peer's list in force if it is newer. Entries that lapsed are kept only if the
-// store failed for this host too: the peer may be the only one that the store turned away, and
-// an endpoint whose entry goes while the store serves has left.
+// Offer puts a peer's list in force if it is newer. Lapsed entries are kept only if the store failed
+// for this host too: the peer may be the only host that the store refused, and an endpoint whose entry
+// disappears while the store serves has left.
 func (e *Endpoints) Offer(l EndpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.read && l.Revision <= e.at {
+	if e.loaded && l.Revision <= e.revision {
 		return
 	}
 	now := e.Now()
-	e.left.add(l.RecentlyLeft, now)
+	e.leavers.add(l.RecentlyLeft, now)
 	known := make(map[string]Endpoint, len(l.Endpoints))
 	for _, n := range l.Endpoints {
-		e.lives.adopt(n, now)
-		known[n.Instance] = e.left.mark(n, now)
+		e.incarnations.adopt(n, now)
+		known[n.Instance] = e.leavers.mark(n, now)
 	}
-	e.lives.adoptHeld(l.Held, now)
+	e.incarnations.adoptHeld(l.Held, now)
 	clear(e.foreign)
-	e.known, e.read, e.at, e.before = known, true, l.Revision, e.proven
-	e.forgot = false
-	e.tell()
+	e.known, e.loaded, e.revision, e.provenBefore = known, true, l.Revision, e.provenAt
+	e.compacted = false
+	e.publish()
 }
 
-// sum tells views of different content apart; mu must be held.
-func (e *Endpoints) sum() uint64 {
-	list := e.told
-	for _, h := range e.lives.holds(e.Now()) {
+// viewChecksum distinguishes views of different content; mu must be held.
+func (e *Endpoints) viewChecksum() uint64 {
+	list := e.published
+	for _, h := range e.incarnations.heldEntries(e.Now()) {
 		list = append(list[:len(list):len(list)], h.Endpoint)
 	}
 	return checksum(list)
 }
 
-// checksum sums up what tells lists apart that matter: how long an endpoint stays slow
-// after its start changes all the time and is left out.
+// checksum covers what matters when lists are compared. It leaves out how long an endpoint stays slow
+// after its start, which changes all the time.
 func checksum(list []Endpoint) uint64 {
 	d := xxhash.New()
 	var slots [8]byte
--- a/feed/shared_test.go
+++ b/feed/shared_test.go
@@ -17,183 +17,183 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// sharers are hosts that read one store and pass on what they read.
-type sharers struct {
-	store  *memoryStore
-	cut    []bool // from the store
-	silent []bool // from the other hosts
-	stale  []bool // its connection to the store says nothing more; the next one works
-	next   []next // what its next calls to the store meet
-	ends   []*Endpoints
-	sets   []*Settings
-	now    func() time.Duration
+// testFleet are hosts that read one store and pass on what they read.
+type testFleet struct {
+	store     *memoryStore
+	cut       []bool       // from the store
+	isolated  []bool       // from the other hosts
+	deadConn  []bool       // its connection to the store says nothing more; the next one works
+	faults    []callFaults // what its next calls to the store meet
+	endpoints []*Endpoints
+	settings  []*Settings
+	now       func() time.Duration
 }
 
-// next is how many of a host's next calls to the store are refused, and how many of those that follow get no answer; and until when the process
+// callFaults is how many of a host's next calls to the store are refused, and how many of those that follow get no answer; and until when the process
 // does not run but to read what came, each answer that much late.
-type next struct {
-	refused, hung int
-	late          time.Duration
-	until, slept  time.Duration
+type callFaults struct {
+	refused, unanswered int
+	late                time.Duration
+	until, stalled      time.Duration
 }
 
-// awake is the time in which the process ran.
-func (n *next) awake(now time.Duration) time.Duration {
-	return now - n.slept + max(0, n.until-now)
+// runTime is the time in which the process ran.
+func (n *callFaults) runTime(now time.Duration) time.Duration {
+	return now - n.stalled + max(0, n.until-now)
 }
 
-// cutStore is the store as a host sees it that may be cut from it.
-type cutStore struct {
+// faultyStore is the store as a host sees it that may be cut from it.
+type faultyStore struct {
 	*memoryStore
-	cut, stale *bool
-	next       *next
-	now        func() time.Duration
+	cut, deadConn *bool
+	faults        *callFaults
+	now           func() time.Duration
 }
 
-// enter fails a call of a host that is cut off, and lets one on a stale connection hang.
-func (c cutStore) enter(ctx context.Context) error {
+// injectFault fails a call of a host that is cut off, and lets one on a stale connection hang.
+func (c faultyStore) injectFault(ctx context.Context) error {
 	c.mu.Lock()
-	cut, stale := *c.cut, *c.stale
-	*c.stale = false
+	cut, hang := *c.cut, *c.deadConn
+	*c.deadConn = false
 	late := time.Duration(0)
-	switch n := c.next; {
+	switch n := c.faults; {
 	case c.now() < n.until:
 		late = n.late
 	case n.refused > 0:
 		n.refused--
 		cut = true
-	case n.hung > 0:
-		n.hung--
-		stale = true
+	case n.unanswered > 0:
+		n.unanswered--
+		hang = true
 	}
 	c.mu.Unlock()
 	sleep(ctx, late)
 	if cut {
-		return errDark
+		return errDown
 	}
-	if stale {
+	if hang {
 		<-ctx.Done()
 	}
 	return ctx.Err()
 }
 
-func (c cutStore) Range(ctx context.Context, prefix string, stale bool) (Page, error) {
-	if err := c.enter(ctx); err != nil {
+func (c faultyStore) Range(ctx context.Context, prefix string, stale bool) (Page, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return Page{}, err
 	}
 	return c.memoryStore.Range(ctx, prefix, stale)
 }
 
-func (c cutStore) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (Page, error) {
-	if err := c.enter(ctx); err != nil {
+func (c faultyStore) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (Page, error) {
+	if err := c.injectFault(ctx); err != nil {
 		return Page{}, err
 	}
 	return c.memoryStore.Watch(ctx, prefix, since, wait)
 }
 
-// testMost is the age up to which hosts with a drain time of 3 s send requests by a list.
-const testMost = 2700 * time.Millisecond
+// testMaxAge is the age up to which hosts with a drain time of 3 s send requests by a list.
+const testMaxAge = 2700 * time.Millisecond
 
-// share starts n hosts that tell each other every 0.2 s what they know, as heartbeats do.
-func share(ctx context.Context, n int) *sharers { return shareFor(ctx, n, testLapses) }
+// startFleet starts n hosts that tell each other every 0.2 s what they know, as heartbeats do.
+func startFleet(ctx context.Context, n int) *testFleet { return startFleetWith(ctx, n, testLapseTimes) }
 
-// shareFor starts hosts of a deployment with a contact time of its own.
-func shareFor(ctx context.Context, n int, lapses LapseTimes) *sharers {
+// startFleetWith starts hosts of a deployment with a contact time of its own.
+func startFleetWith(ctx context.Context, n int, lapses LapseTimes) *testFleet {
 	start := time.Now()
-	s := &sharers{store: newMemoryStore(), cut: make([]bool, n), silent: make([]bool, n), stale: make([]bool, n), next: make([]next, n), now: func() time.Duration { return time.Since(start) }}
-	s.store.put("servers/a", "ready")
-	s.store.put("servers/b", "ready")
-	s.store.put("op/config", "one")
+	f := &testFleet{store: newMemoryStore(), cut: make([]bool, n), isolated: make([]bool, n), deadConn: make([]bool, n), faults: make([]callFaults, n), now: func() time.Duration { return time.Since(start) }}
+	f.store.put("servers/a", "ready")
+	f.store.put("servers/b", "ready")
+	f.store.put("op/config", "one")
 	for i := range n {
-		store := cutStore{s.store, &s.cut[i], &s.stale[i], &s.next[i], s.now}
-		turn := func() int {
-			if s.isSilent(i) {
+		store := faultyStore{f.store, &f.cut[i], &f.deadConn[i], &f.faults[i], f.now}
+		rank := func() int {
+			if f.isIsolated(i) {
 				return 0 // a host that hears nobody always reads
 			}
 			return i
 		}
-		reach := testReach(s.now)
-		reach.LapseTimes = lapses
-		reach.RunTime = func() time.Duration {
-			s.store.mu.Lock()
-			defer s.store.mu.Unlock()
-			return s.next[i].awake(s.now())
+		health := testHealth(f.now)
+		health.LapseTimes = lapses
+		health.RunTime = func() time.Duration {
+			f.store.mu.Lock()
+			defer f.store.mu.Unlock()
+			return f.faults[i].runTime(f.now())
 		}
 		e := &Endpoints{
-			Store: store, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond, Rank: turn,
-			MaxAge: testMost, StoreHealth: reach, Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
+			Store: store, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond, Rank: rank,
+			MaxAge: testMaxAge, StoreHealth: health, Now: f.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 		}
 		e.Init()
 		set := &Settings{
-			Store: cutStore{s.store, &s.cut[i], new(bool), &s.next[i], s.now}, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: time.Second, RetryInterval: 300 * time.Millisecond, Rank: turn,
-			StoreHealth: reach,
-			Now:         s.now, OnChange: func(*route.Table) {}, Log: logr.Discard(),
+			Store: faultyStore{f.store, &f.cut[i], new(bool), &f.faults[i], f.now}, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: time.Second, RetryInterval: 300 * time.Millisecond, Rank: rank,
+			StoreHealth: health,
+			Now:         f.now, OnChange: func(*route.Table) {}, Log: logr.Discard(),
 		}
-		s.ends, s.sets = append(s.ends, e), append(s.sets, set)
+		f.endpoints, f.settings = append(f.endpoints, e), append(f.settings, set)
 		go e.Run(ctx)
 		go set.Run(ctx)
 	}
-	go s.tell(ctx)
-	return s
+	go f.gossip(ctx)
+	return f
 }
 
-// tell passes on what each host knows. A proof holds as of 0.2 s before, the sending of the
+// gossip passes on what each host knows. A proof holds as of 0.2 s before, the sending of the
 // receiver's heartbeat that it answers.
-func (s *sharers) tell(ctx context.Context) {
+func (f *testFleet) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, 200*time.Millisecond)
-		for i := range s.ends {
-			for j := range s.ends {
-				if i != j && !s.isSilent(i) && !s.isSilent(j) {
-					s.pass(i, j)
+		for i := range f.endpoints {
+			for j := range f.endpoints {
+				if i != j && !f.isIsolated(i) && !f.isIsolated(j) {
+					f.pass(i, j)
 				}
 			}
 		}
 	}
 }
 
-func (s *sharers) isSilent(i int) bool {
-	s.store.mu.Lock()
-	defer s.store.mu.Unlock()
-	return s.silent[i]
+func (f *testFleet) isIsolated(i int) bool {
+	f.store.mu.Lock()
+	defer f.store.mu.Unlock()
+	return f.isolated[i]
 }
 
 // pass tells host j what host i knows.
-func (s *sharers) pass(i, j int) {
+func (f *testFleet) pass(i, j int) {
 	const lag = 200 * time.Millisecond
-	if v, ok := s.ends[i].View(); ok {
+	if v, ok := f.endpoints[i].View(); ok {
 		v.ProvenAt -= lag
-		if s.ends[j].ReceiveView(v) {
-			l, _ := s.ends[i].List()
-			s.ends[j].Offer(l)
+		if f.endpoints[j].ReceiveView(v) {
+			l, _ := f.endpoints[i].List()
+			f.endpoints[j].Offer(l)
 		}
 	}
-	if c := s.sets[i].Current(); c != nil {
-		age, _ := s.sets[i].Age.At(s.now())
-		s.sets[j].Offer(c.Value, c.Revision)
-		s.sets[j].Age.Prove(c.Revision, s.now()-age-lag)
+	if c := f.settings[i].Current(); c != nil {
+		age, _ := f.settings[i].Age.At(f.now())
+		f.settings[j].Offer(c.Value, c.Revision)
+		f.settings[j].Age.Prove(c.Revision, f.now()-age-lag)
 	}
 }
 
-// TestSharedReadings counts the calls of fleets in calm times: they must not grow with the
+// TestSharedReadCalls counts the calls of fleets in calm times: they must not grow with the
 // hosts, and every host's view must stay young.
-func TestSharedReadings(t *testing.T) {
+func TestSharedReadCalls(t *testing.T) {
 	const span = 30 * time.Second
 	for _, n := range []int{1, 2, 6, 40} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := share(ctx, n)
+				s := startFleet(ctx, n)
 				time.Sleep(3 * time.Second)
 				before := s.store.count()
 				for range int(span / time.Second) {
 					time.Sleep(time.Second)
 					for i := range n {
-						age, ok := s.sets[i].Age.At(s.now())
+						age, ok := s.settings[i].Age.At(s.now())
 						must.True(t, ok)
 						must.Less(t, 1800*time.Millisecond, age)
-						v, ok := s.ends[i].View()
+						v, ok := s.endpoints[i].View()
 						must.True(t, ok)
 						must.Less(t, 1600*time.Millisecond, s.now()-v.ProvenAt)
 					}
@@ -215,30 +215,30 @@
 	return m.calls
 }
 
-// TestSharedFaults holds how soon all hosts know of a change, whoever of them is in trouble.
-func TestSharedFaults(t *testing.T) {
+// TestChangesReachAllHosts holds how soon all hosts know of a change, whoever of them is in trouble.
+func TestChangesReachAllHosts(t *testing.T) {
 	const n = 6
 	cases := []struct {
 		name  string
-		fault func(s *sharers)
+		fault func(s *testFleet)
 		// within is the time after the change in which each host must know of it.
 		within time.Duration
 	}{
-		{"calm", func(*sharers) {}, 1400 * time.Millisecond},
-		{"the host that reads is cut from the store", func(s *sharers) { s.cut[0] = true }, 2 * time.Second},
-		{"the two first are cut from the store", func(s *sharers) { s.cut[0], s.cut[1] = true, true }, 2 * time.Second},
-		{"all but the last are cut from the store", func(s *sharers) {
+		{"calm", func(*testFleet) {}, 1400 * time.Millisecond},
+		{"the host that reads is cut from the store", func(s *testFleet) { s.cut[0] = true }, 2 * time.Second},
+		{"the two first are cut from the store", func(s *testFleet) { s.cut[0], s.cut[1] = true, true }, 2 * time.Second},
+		{"all but the last are cut from the store", func(s *testFleet) {
 			for i := range n - 1 {
 				s.cut[i] = true
 			}
 		}, 2 * time.Second},
-		{"the host that reads is silent", func(s *sharers) { s.silent[0] = true }, 2 * time.Second},
-		{"the store forgets its history", func(s *sharers) {
-			s.store.log, s.store.forgotten = nil, s.store.at
+		{"the host that reads is silent", func(s *testFleet) { s.isolated[0] = true }, 2 * time.Second},
+		{"the store forgets its history", func(s *testFleet) {
+			s.store.log, s.store.compactedTo = nil, s.store.revision
 		}, 2 * time.Second},
-		{"nobody hears another", func(s *sharers) {
+		{"nobody hears another", func(s *testFleet) {
 			for i := range n {
-				s.silent[i] = true
+				s.isolated[i] = true
 			}
 		}, 2 * time.Second},
 	}
@@ -247,23 +247,23 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := share(ctx, n)
+				s := startFleet(ctx, n)
 				// The change comes at several moments after the fault.
 				for round := range 8 {
-					s.store.set(func() { clear(s.cut); clear(s.silent) })
+					s.store.locked(func() { clear(s.cut); clear(s.isolated) })
 					s.store.put("servers/a", "ready")
 					s.store.put("servers/c", fmt.Sprint("ready", round))
 					time.Sleep(5 * time.Second)
-					s.store.set(func() { tc.fault(s) })
+					s.store.locked(func() { tc.fault(s) })
 					time.Sleep(time.Duration(round) * 333 * time.Millisecond)
 					name := fmt.Sprint("new", round)
 					s.store.put("servers/"+name, "ready")
 					s.store.put("op/config", name)
 					time.Sleep(tc.within)
 					for i := range n {
-						l, _ := s.ends[i].List()
+						l, _ := s.endpoints[i].List()
 						must.EqOp(t, 4+round, len(l.Endpoints))
-						must.EqOp(t, name, s.sets[i].Current().Table.Document.Routes[0].Name)
+						must.EqOp(t, name, s.settings[i].Current().Table.Document.Routes[0].Name)
 					}
 				}
 				cancel()
@@ -273,17 +273,17 @@
 	}
 }
 
-// TestStartWhileStoreIsDark starts a host while the store answers nobody: it must learn
+// TestStartWhileStoreIsDown starts a host while the store answers nobody: it must learn
 // the endpoints and the settings from another one.
-func TestStartWhileStoreIsDark(t *testing.T) {
+func TestStartWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := share(ctx, 2)
+		s := startFleet(ctx, 2)
 		time.Sleep(2 * time.Second)
-		s.store.set(func() { s.cut[0], s.cut[1] = true, true })
+		s.store.locked(func() { s.cut[0], s.cut[1] = true, true })
 		e := &Endpoints{
-			Store: cutStore{s.store, &s.cut[1], &s.stale[1], &s.next[1], s.now}, Prefix: "servers/", Interval: 800 * time.Millisecond, RetryInterval: 400 * time.Millisecond, StoreHealth: testReach(s.now),
+			Store: faultyStore{s.store, &s.cut[1], &s.deadConn[1], &s.faults[1], s.now}, Prefix: "servers/", Interval: 800 * time.Millisecond, RetryInterval: 400 * time.Millisecond, StoreHealth: testHealth(s.now),
 			Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 		}
 		e.Init()
@@ -291,7 +291,7 @@
 		time.Sleep(time.Second)
 		_, ok := e.List()
 		must.False(t, ok)
-		s.store.set(func() { s.ends[1] = e })
+		s.store.locked(func() { s.endpoints[1] = e })
 		time.Sleep(400 * time.Millisecond)
 		l, ok := e.List()
 		must.True(t, ok)
@@ -307,7 +307,7 @@
 		return EndpointList{Revision: revision, Endpoints: names}
 	}
 	ready, leaving, lapsed := Endpoint{Instance: "a"}, Endpoint{Instance: "a", Leaving: true}, Endpoint{Instance: "a", Lapsed: true}
-	const now, long = time.Hour, time.Minute
+	const now, longAgo = time.Hour, time.Minute
 	cases := []struct {
 		name string
 		// failed is when this host's last call to the store failed, answered when the store last
@@ -316,12 +316,12 @@
 		offers           []EndpointList
 		want             []Endpoint
 	}{
-		{"newer", long, now - time.Second, []EndpointList{list(5, ready), list(6, leaving)}, []Endpoint{leaving}},
-		{"older", long, now - time.Second, []EndpointList{list(5, leaving), list(4, ready)}, []Endpoint{leaving}},
-		{"what was leaving stays so", long, now - time.Second, []EndpointList{list(5, leaving), list(6, ready)}, []Endpoint{leaving}},
-		{"what was leaving and went stays so", long, now - time.Second, []EndpointList{list(5, leaving), list(6), list(7, ready)}, []Endpoint{leaving}},
-		{"gone", long, now - time.Second, []EndpointList{list(5, ready), list(6)}, []Endpoint{}},
-		{"lapsed, and only the peer had trouble", long, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
+		{"newer", longAgo, now - time.Second, []EndpointList{list(5, ready), list(6, leaving)}, []Endpoint{leaving}},
+		{"older", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(4, ready)}, []Endpoint{leaving}},
+		{"what was leaving stays so", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6, ready)}, []Endpoint{leaving}},
+		{"what was leaving and went stays so", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6), list(7, ready)}, []Endpoint{leaving}},
+		{"gone", longAgo, now - time.Second, []EndpointList{list(5, ready), list(6)}, []Endpoint{}},
+		{"lapsed, and only the peer had trouble", longAgo, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
 		{"lapsed, and only this host had trouble", now - 100*time.Millisecond, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
 		{"lapsed, and nobody reached the store for long", now - 100*time.Millisecond, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
 		{"lapsed, and this host asks seldom", now - time.Second, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
@@ -331,13 +331,13 @@
 			e := &Endpoints{
 				Now: func() time.Duration { return now }, RetryInterval: 400 * time.Millisecond, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 			}
-			e.StoreHealth = testReach(e.Now)
+			e.StoreHealth = testHealth(e.Now)
 			e.Init()
-			for i := outageTries - 1; i >= 0; i-- {
-				sent := tc.failed - time.Duration(i)*tryPace
+			for i := outageCalls - 1; i >= 0; i-- {
+				sent := tc.failed - time.Duration(i)*fastRetryDelay
 				e.StoreHealth.calls.fail(storeCall{sent, sent}, sent)
 			}
-			e.StoreHealth.calls.answered = tc.answered
+			e.StoreHealth.calls.lastAnswered = tc.answered
 			e.ReceiveView(View{Revision: 5, ProvenAt: now})
 			for _, o := range tc.offers {
 				e.Offer(o)
@@ -352,7 +352,7 @@
 // TestViewProofs holds which views of peers prove a host's own.
 func TestViewProofs(t *testing.T) {
 	now := func() time.Duration { return time.Hour }
-	e := &Endpoints{Now: now, StoreHealth: testReach(now), OnChange: func([]Endpoint) {}, Log: logr.Discard()}
+	e := &Endpoints{Now: now, StoreHealth: testHealth(now), OnChange: func([]Endpoint) {}, Log: logr.Discard()}
 	e.Init()
 	must.True(t, e.ReceiveView(View{Revision: 1, Checksum: 1, ProvenAt: time.Minute})) // nothing is known yet
 	e.Offer(EndpointList{Revision: 5, Endpoints: []Endpoint{{Instance: "a"}}})
@@ -367,15 +367,15 @@
 	must.True(t, e.ReceiveView(View{Revision: 8, Checksum: 9, ProvenAt: time.Minute}))
 }
 
-// TestViewIsWhole holds that no peer can see a new revision with the old list: it would take
+// TestViewIsConsistent holds that no peer can see a new revision with the old list: it would take
 // its own old list for proven at that revision, and pass over the change for good.
-func TestViewIsWhole(t *testing.T) {
+func TestViewIsConsistent(t *testing.T) {
 	cases := []struct {
 		name string
 		read func(e *Endpoints) error
 	}{
 		{"reading all", func(e *Endpoints) error { return e.readAll(t.Context(), e.Now()) }},
-		{"reading changes", func(e *Endpoints) error { return e.watch(t.Context(), e.at, e.Now(), e.WatchTimeout) }},
+		{"reading changes", func(e *Endpoints) error { return e.watch(t.Context(), e.revision, e.Now(), e.WatchTimeout) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -385,9 +385,9 @@
 				Store: store, Prefix: "servers/", WatchTimeout: 100 * time.Millisecond, Parse: parseEndpoint,
 				Now: func() time.Duration { return time.Hour }, OnChange: func([]Endpoint) {}, Log: logr.Discard(),
 			}
-			e.StoreHealth = testReach(e.Now)
+			e.StoreHealth = testHealth(e.Now)
 			e.Init()
-			must.True(t, e.follow(t.Context()))
+			must.True(t, e.refresh(t.Context()))
 			before, _ := e.View()
 			store.put("servers/b", "ready")
 			// What follow does after this call comes under another lock.
--- a/feed/store.go
+++ b/feed/store.go
@@ -11,12 +11,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of a Store that mean more than "ask again".
+// Errors of a Store that mean more than that the call should be retried.
 var (
-	// ErrCompacted means that the changes asked for are forgotten.
-	ErrCompacted = eris.New("history is gone; read the whole range again")
-	// ErrLeaseExpired means that a lease is over.
-	ErrLeaseExpired = eris.New("lease is over; ask for a new one")
+	// ErrCompacted means that the store no longer has the changes asked for.
+	ErrCompacted = eris.New("store history was compacted; read the whole range again")
+	// ErrLeaseExpired means that a lease has expired.
+	ErrLeaseExpired = eris.New("lease expired; request a new one")
 )
 
 // Item is a key as a write left it.
@@ -26,44 +26,47 @@
 	Value []byte
 	// Revision is the number of the write.
 	Revision uint64
-	// Deleted says that the key was removed.
+	// Deleted says that the write removed the key.
 	Deleted bool
 }
 
-// Page is what a range or a watch gives.
+// Page is the result of a range read or a watch.
 type Page struct {
 	// Items are the keys, or the changes in order.
 	Items []Item
-	// Revision is the revision up to which Items speak.
+	// Revision is the store's revision up to which Items are complete.
 	Revision uint64
 }
 
-// heardKey is the key under which a context holds what is called as soon as a call has some of its answer.
-type heardKey struct{}
+// answerStartedKey is the context key of the function to call once part of a call's answer has
+// arrived.
+type answerStartedKey struct{}
 
-// withHeard returns a context for a call that tells when some of its answer has come.
-func withHeard(ctx context.Context, heard func()) context.Context {
-	return context.WithValue(ctx, heardKey{}, heard)
+// withAnswerStarted returns a context for a call; onStart is called once part of the answer has
+// arrived.
+func withAnswerStarted(ctx context.Context, onStart func()) context.Context {
+	return context.WithValue(ctx, answerStartedKey{}, onStart)
 }
 
-// AnswerStarted is to be called by a Store as soon as the store has begun to answer a call. What follows may take long for other reasons than the
-// store's silence: a large answer, a slow link, a process that hardly gets the processor.
+// AnswerStarted must be called by a Store as soon as the store has begun to answer a call. The rest of
+// the answer may take long although the store works: a large answer, a slow link, a process that gets
+// little CPU time.
 func AnswerStarted(ctx context.Context) {
-	if heard, ok := ctx.Value(heardKey{}).(func()); ok {
-		heard()
+	if onStart, ok := ctx.Value(answerStartedKey{}).(func()); ok {
+		onStart()
 	}
 }
 
 // Store is the part of a key-value service that hosts need.
 type Store interface {
-	// Range returns the items below a prefix; a stale one may be seconds old and costs less.
+	// Range returns the items below a prefix. A stale read may be seconds old and costs less.
 	Range(ctx context.Context, prefix string, stale bool) (Page, error)
 	// Watch returns the changes below a prefix after a revision, or none after wait.
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (Page, error)
-	// Grant returns a lease that lapses ttl after its last renewal.
+	// Grant returns a lease that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	// Renew extends a lease.
 	Renew(ctx context.Context, lease uint64) error
-	// Put writes a key that goes when its lease does.
+	// Put writes a key that is removed when its lease expires.
 	Put(ctx context.Context, key string, value []byte, lease uint64) error
 }
