--- a/feed/belief_test.go
+++ b/feed/belief_test.go
@@ -21,11 +21,11 @@
 	}{
 		{"nothing", nil, nil, nil},
 		{"the same", []Endpoint{ready("a")}, []Endpoint{ready("a")}, nil},
-		{"a new place or pace alone", []Endpoint{ready("a")}, []Endpoint{{Instance: "a", Slots: 9}}, nil},
+		{"only the slots change", []Endpoint{ready("a")}, []Endpoint{{Instance: "a", Slots: 9}}, nil},
 		{"the first list", nil, []Endpoint{ready("a"), ready("b")}, []Transition{{Unknown, Ready, []string{"a", "b"}}}},
 		{"one leaves", []Endpoint{ready("a"), ready("b")}, []Endpoint{ready("a"), leaving("b")}, []Transition{{Ready, Leaving, []string{"b"}}}},
 		{
-			"one each", []Endpoint{ready("a"), leaving("b"), lapsed("c"), lapsed("d")}, []Endpoint{lapsed("a"), ready("c"), ready("e")},
+			"one change of each kind", []Endpoint{ready("a"), leaving("b"), lapsed("c"), lapsed("d")}, []Endpoint{lapsed("a"), ready("c"), ready("e")},
 			[]Transition{{Ready, Lapsed, []string{"a"}}, {Leaving, Unknown, []string{"b"}}, {Lapsed, Ready, []string{"c"}}, {Lapsed, Unknown, []string{"d"}}, {Unknown, Ready, []string{"e"}}},
 		},
 	}
--- a/feed/bound_test.go
+++ b/feed/bound_test.go
@@ -17,11 +17,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNoRequestAfterDrainTime plays random histories in which endpoints leave, with and without a word, while hosts hear nothing of the others for any time
-// up to three of a host's next calls to the store are refused, or get no answer, or its process hardly runs and reads answers seconds late. The store is sound, so nothing excuses an old list: no host may send a request to an
-// endpoint later than the drain time after it left, and one in no trouble may always send.
+// TestNoRequestAfterDrainTime runs random histories in which endpoints leave, announced or not.
+// Meanwhile single hosts hear from no other host for a while, and up to three of a host's next calls
+// to the store are refused or get no answer, or its process hardly runs and reads answers seconds
+// late. The store works, so nothing excuses an old list: no host may send a request to an endpoint
+// later than the drain time after it left, and a host without trouble may always send.
 //
-// Before lists had a bound on their age, one refused call of one host of a large fleet that heard no other kept a leaver in its list for 6.7 s.
+// Without a bound on the age of lists, one refused call of one host in a large fleet, which heard from
+// no other host, kept a leaver in that host's list for 6.7 s.
 func TestNoRequestAfterDrainTime(t *testing.T) {
 	runs, first := 3, 1
 	if n, err := strconv.Atoi(os.Getenv("HEATHKEEL_SEEDS")); err == nil {
@@ -40,13 +43,13 @@
 func randomFaults(r *rand.Rand, now time.Duration) callFaults {
 	if r.IntN(3) == 0 {
 		span := time.Duration(r.Int64N(int64(8 * time.Second)))
-		return callFaults{late: time.Duration(r.Int64N(int64(5 * time.Second))), until: now + span, stalled: span}
+		return callFaults{answerDelay: time.Duration(r.Int64N(int64(5 * time.Second))), until: now + span, stalled: span}
 	}
 	refused := r.IntN(outageCalls)
 	return callFaults{refused: refused, unanswered: r.IntN(outageCalls - refused)}
 }
 
-// runListBound plays one history.
+// runListBound runs one history.
 func runListBound(t *testing.T, hosts int, seed uint64) {
 	const (
 		drain = 3 * time.Second
@@ -63,7 +66,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	leftAt := make(map[string]time.Duration)
-	isolatedUntil := make([]time.Duration, hosts) // until when hosts hear no other
+	isolatedUntil := make([]time.Duration, hosts) // until when hosts hear from no other host
 	troubled := make([]bool, hosts)
 	for n := range steps {
 		time.Sleep(step)
@@ -78,7 +81,7 @@
 			}
 			leftAt[name] = now
 		}
-		// Troubles of a host come once, so that its calls that fail are never as many as tell an outage.
+		// Each host has trouble once, so that its failed calls never suffice for an outage.
 		if i := r.IntN(hosts); r.IntN(4) == 0 && !troubled[i] {
 			troubled[i], isolatedUntil[i] = true, now+time.Duration(r.Int64N(int64(8*time.Second)))
 			f.store.locked(func() { f.faults[i] = randomFaults(r, now) })
@@ -90,7 +93,7 @@
 		})
 		for i, e := range f.endpoints {
 			if !e.Usable() {
-				must.True(t, troubled[i], must.Sprintf("host %d in no trouble does not send at %s", i, now))
+				must.True(t, troubled[i], must.Sprintf("host %d without trouble does not send at %s", i, now))
 				continue
 			}
 			l, _ := e.List()
--- a/feed/calls_test.go
+++ b/feed/calls_test.go
@@ -14,23 +14,23 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOutageDetection holds by what a host tells an outage of the store from its own trouble.
+// TestOutageDetection checks how a host distinguishes an outage of the store from its own trouble.
 func TestOutageDetection(t *testing.T) {
 	const outageAfter = 600 * time.Millisecond
-	// A call is sent each 0.1 s from 10 s on, and meets:
+	// A call is sent every 0.1 s from 10 s on, with one of these outcomes:
 	const (
-		refused    = iota // a refusal at once
+		refused    = iota // refused at once
 		unanswered        // no answer
 		answered
 	)
 	cases := []struct {
 		name  string
 		calls []int
-		// heard is the moment as of which a peer tells of an answer, 0 for none.
+		// peerAnswer is the moment of an answer that a peer reports, 0 for none.
 		peerAnswer time.Duration
 		// speed is the part of the time in which the process runs.
 		speed float64
-		// at is when the host judges.
+		// judgedAt is when the host decides.
 		judgedAt time.Duration
 		want     bool
 	}{
@@ -38,19 +38,19 @@
 		{"one is refused", []int{refused}, 0, 1, 11 * time.Second, false},
 		{"three are refused", []int{refused, refused, refused}, 0, 1, 20 * time.Second, false},
 		{"four are refused", []int{refused, refused, refused, refused}, 0, 1, 10400 * time.Millisecond, true},
-		{"four are refused, and a peer had an answer before", []int{refused, refused, refused, refused}, 9 * time.Second, 1, 11 * time.Second, true},
-		{"four are refused, and a peer had an answer meanwhile", []int{refused, refused, refused, refused}, 10050 * time.Millisecond, 1, 11 * time.Second, false},
+		{"four are refused, and a peer got an answer before", []int{refused, refused, refused, refused}, 9 * time.Second, 1, 11 * time.Second, true},
+		{"four are refused, and a peer got an answer meanwhile", []int{refused, refused, refused, refused}, 10050 * time.Millisecond, 1, 11 * time.Second, false},
 		{"the fourth is answered", []int{refused, refused, refused, answered}, 0, 1, 11 * time.Second, false},
 		{"four are refused after an answer", []int{answered, refused, refused, refused, refused}, 0, 1, 11 * time.Second, true},
-		{"one is mute", []int{unanswered}, 0, 1, 20 * time.Second, false},
-		{"three are mute", []int{unanswered, unanswered, unanswered}, 0, 1, 20 * time.Second, false},
-		{"four are mute, not for long", []int{unanswered, unanswered, unanswered, unanswered}, 0, 1, 10500 * time.Millisecond, false},
-		{"four are mute", []int{unanswered, unanswered, unanswered, unanswered}, 0, 1, 10650 * time.Millisecond, true},
-		{"four are mute, and the process hardly runs", []int{unanswered, unanswered, unanswered, unanswered}, 0, 0.1, 13 * time.Second, false},
-		{"four are mute, and the process runs for long in the end", []int{unanswered, unanswered, unanswered, unanswered}, 0, 0.1, 17 * time.Second, true},
+		{"one gets no answer", []int{unanswered}, 0, 1, 20 * time.Second, false},
+		{"three get no answer", []int{unanswered, unanswered, unanswered}, 0, 1, 20 * time.Second, false},
+		{"four get no answer, not for long", []int{unanswered, unanswered, unanswered, unanswered}, 0, 1, 10500 * time.Millisecond, false},
+		{"four get no answer", []int{unanswered, unanswered, unanswered, unanswered}, 0, 1, 10650 * time.Millisecond, true},
+		{"four get no answer, and the process hardly runs", []int{unanswered, unanswered, unanswered, unanswered}, 0, 0.1, 13 * time.Second, false},
+		{"four get no answer, and the process has run for long in the end", []int{unanswered, unanswered, unanswered, unanswered}, 0, 0.1, 17 * time.Second, true},
 		{"four are refused, and the process hardly runs", []int{refused, refused, refused, refused}, 0, 0.1, 10400 * time.Millisecond, true},
-		{"some are refused, the others mute", []int{unanswered, refused, unanswered, refused}, 0, 1, 10650 * time.Millisecond, true},
-		{"mute ones before an answer", []int{unanswered, unanswered, answered, unanswered, unanswered}, 0, 1, 20 * time.Second, false},
+		{"some are refused, the others get no answer", []int{unanswered, refused, unanswered, refused}, 0, 1, 10650 * time.Millisecond, true},
+		{"some get no answer before one is answered", []int{unanswered, unanswered, answered, unanswered, unanswered}, 0, 1, 20 * time.Second, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -75,18 +75,20 @@
 	}
 }
 
-// TestSlowProcessIsNoOutage lets a process that waits for the processor for nine tenths of the time ask a sound store, whose
-// answers it reads 1.5 s late.
+// TestSlowProcessIsNoOutage lets a process that waits for the CPU nine tenths of the time call a
+// working store, whose answers it reads 1.5 s late.
 //
-// Users saw requests reach endpoints that had left, in a fleet of 78 hosts on machines short of processor. In a run of 78 processes on one core, hosts
-// logged 115 times that they took an entry that went for lapsed, with the store sound, and sent requests by lists up to 19.4 s old: calls that were late, and in the end
-// given up, because the process did not run were taken for an outage.
+// Calls that are late, and finally given up, only because the process did not run must not be taken
+// for an outage. When they were, in a fleet of 78 hosts on machines short of CPU time, requests
+// reached endpoints that had left; in a run of 78 processes on one core with a working store, hosts
+// logged 115 times that a removed entry had lapsed, and sent requests by lists up to 19.4 s old.
 func TestSlowProcessIsNoOutage(t *testing.T) {
 	const slowness = 10
 	cases := []struct {
 		name string
-		dark bool // the store is down
-		// least is the part of the time in which requests must be sent: the list is too old while the process waits to read the next one.
+		down bool // the store is down
+		// minUsable is the part of the time in which requests must be sent. In the rest the list is
+		// too old, while the process waits to read the next one.
 		minUsable float64
 	}{
 		{"sound", false, 0.75}, {"down", true, 0.9},
@@ -109,7 +111,7 @@
 				e.Init()
 				go e.Run(ctx)
 				time.Sleep(2 * time.Second)
-				m.locked(func() { m.answerDelay, m.down = 1500*time.Millisecond, tc.dark })
+				m.locked(func() { m.answerDelay, m.down = 1500*time.Millisecond, tc.down })
 				usable := 0
 				const checks = 600
 				for range checks {
@@ -119,7 +121,7 @@
 						continue
 					}
 					usable++
-					if !tc.dark {
+					if !tc.down {
 						must.LessEq(t, e.MaxAge, now()-at)
 					}
 				}
@@ -149,10 +151,12 @@
 	return s.memoryStore.Watch(ctx, prefix, since, wait)
 }
 
-// TestLongAnswersAreNoOutage lets a sound store's answers take long after their beginning, as large ones do on a host that reads them slowly.
+// TestLongAnswersAreNoOutage lets a working store's answers take long after their beginning, as large
+// answers do on a host that reads them slowly.
 //
-// In runs of 78 processes on one core with configurations of 1,400 routes, hosts took a sound store for failing and sent requests by lists of 13.7 to
-// 14.7 s: the time in which they decoded the configuration was counted as the store's silence.
+// The time in which a host decodes an answer must not count as the store's silence. When it did, in
+// runs of 78 processes on one core with configurations of 1,400 routes, hosts took a working store for
+// failing and sent requests by lists 13.7 to 14.7 s old.
 func TestLongAnswersAreNoOutage(t *testing.T) {
 	for _, took := range []time.Duration{200 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second} {
 		t.Run(took.String(), func(t *testing.T) {
--- a/feed/drain_test.go
+++ b/feed/drain_test.go
@@ -19,36 +19,37 @@
 
 // Times of the platform.
 const (
-	// drainTime is the time after the acknowledgement of its leaving in which an endpoint may
-	// still get requests from hosts in touch.
+	// drainTime is the time after the acknowledgement of its leaving in which an endpoint may still
+	// get requests from hosts that are in contact with the store.
 	drainTime = 2 * time.Second
-	// lapseTime is the silence after which an entry goes, and backTime the time after the store's
-	// return in which the entries of endpoints that live are back.
+	// lapseTime is the silence after which an entry expires, and renewTime the time after the store's
+	// return within which live endpoints have written their entries again.
 	lapseTime = 3600 * time.Millisecond
 	renewTime = 1900 * time.Millisecond
 )
 
-// simulation is a fleet whose store and endpoints do what a random source says.
+// simulation is a fleet whose store and endpoints follow a random source.
 type simulation struct {
 	*testFleet
 	rand *rand.Rand
 
 	mu sync.Mutex
-	// leftAt is when an endpoint's leaving was acknowledged, by name: what is sent to one that has started again
-	// comes to its next life. live are those that serve, with the
-	// time of their start as they tell it, and since when their entry says so.
+	// leftAt is when an endpoint's leaving was acknowledged, by name. A request to an endpoint that
+	// has restarted since then goes to its next incarnation. live holds the endpoints that serve, with
+	// the start times in their entries, and entrySince since when their entry is ready.
 	leftAt     map[string]time.Duration
 	live       map[string]int64
 	entrySince map[string]time.Duration
-	// soundSince is when a host's last trouble was over; troubled hosts have one now.
-	soundSince []time.Duration
-	troubled   []bool
-	lastID     int
-	// restarts says that endpoints start again under their names, and clocks that theirs are set back meanwhile.
+	// healthySince is when a host's last trouble was over; troubled hosts have one now.
+	healthySince []time.Duration
+	troubled     []bool
+	lastID       int
+	// restarts says that endpoints restart under their names, and clockSteps that their clocks may be
+	// set back before.
 	restarts, clockSteps bool
 }
 
-// beginTrouble and isSound note the begin and the end of a host's trouble.
+// beginTrouble and endTrouble record the begin and the end of a host's trouble.
 func (s *simulation) beginTrouble(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,10 +59,10 @@
 func (s *simulation) endTrouble(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.troubled[i], s.soundSince[i] = false, s.now()
+	s.troubled[i], s.healthySince[i] = false, s.now()
 }
 
-// isLive reports whether an endpoint lives.
+// isLive reports whether an endpoint is live.
 func (s *simulation) isLive(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,10 +76,10 @@
 	s.store.put("servers/"+name, fmt.Sprint("ready@", s.live[name]))
 }
 
-// epoch is the time of day at which a play begins, in milliseconds.
+// epoch is the time of day at which a simulation begins, in milliseconds.
 const epoch = 1_000_000
 
-// newStart is a time of a start, by a clock that is set back now and then if clocks may be.
+// newStart returns a start time, by a clock that is sometimes set back if clockSteps is set.
 func (s *simulation) newStart(last int64) int64 {
 	if last > 0 && s.clockSteps && s.rand.IntN(3) == 0 {
 		return last - 1 - int64(s.rand.IntN(3000))
@@ -86,8 +87,8 @@
 	return max(last, epoch+s.now().Milliseconds()) + 1
 }
 
-// restart makes an endpoint start again under its name: without a word, after it said that it leaves, or
-// several times within a heartbeat. A write of an older life may be done late.
+// restart makes an endpoint restart under its name: unannounced, after it announced that it leaves, or
+// several times within a heartbeat. A write of an older incarnation may be done late.
 func (s *simulation) restart() {
 	names := s.liveNames()
 	if len(names) == 0 {
@@ -121,15 +122,16 @@
 	}
 }
 
-// startedLately reports whether an endpoint started again so lately that no host may have read of it: if its life is over
-// then, and an older one's write is done late, nothing in the store tells.
+// startedLately reports whether an endpoint restarted so recently that no host may have read its
+// entry. If that incarnation ends then, and a write of an older one is done late, nothing in the store
+// tells them apart.
 func (s *simulation) startedLately(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.restarts && s.now()-s.entrySince[name] < 2*time.Second
 }
 
-// liveNames gives the endpoints that live.
+// liveNames returns the names of the live endpoints.
 func (s *simulation) liveNames() []string {
 	var out []string
 	for i := 1; i <= s.lastID; i++ {
@@ -140,18 +142,18 @@
 	return out
 }
 
-// markLeft notes that an endpoint leaves.
+// markLeft records that an endpoint leaves, and returns its start time.
 func (s *simulation) markLeft(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	born := s.live[name]
+	startedMS := s.live[name]
 	delete(s.live, name)
 	delete(s.entrySince, name)
 	s.leftAt[name] = s.now()
-	return born
+	return startedMS
 }
 
-// renewEntry writes the entry of an endpoint that lapsed, if it lives still.
+// renewEntry writes the entry of an endpoint again if it is still live.
 func (s *simulation) renewEntry(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +172,7 @@
 	s.writeReady(name)
 }
 
-// leave makes one endpoint leave: some say so before their entry goes.
+// leave makes one endpoint leave: some announce it before their entry is removed.
 func (s *simulation) leave() {
 	names := slices.DeleteFunc(s.liveNames(), s.startedLately)
 	if len(names) < 3 {
@@ -178,26 +180,26 @@
 		return
 	}
 	name := names[s.rand.IntN(len(names))]
-	born := s.markLeft(name)
+	startedMS := s.markLeft(name)
 	key := "servers/" + name
 	if s.rand.IntN(2) == 0 {
 		s.store.remove(key)
 		return
 	}
-	s.store.put(key, fmt.Sprint("leaving@", born))
+	s.store.put(key, fmt.Sprint("leaving@", startedMS))
 	drain := drainTime + time.Duration(s.rand.IntN(6000))*time.Millisecond
 	lateWrite := s.rand.IntN(3) == 0 && !s.restarts
 	time.AfterFunc(drain, func() {
 		s.store.remove(key)
 		if lateWrite {
-			// A write of its life that got no answer is done late.
-			time.AfterFunc(time.Second, func() { s.store.put(key, fmt.Sprint("ready@", born)) })
+			// A write of this incarnation that got no answer is done late.
+			time.AfterFunc(time.Second, func() { s.store.put(key, fmt.Sprint("ready@", startedMS)) })
 			time.AfterFunc(4*time.Second, func() { s.store.remove(key) })
 		}
 	})
 }
 
-// outage takes the store away for a time; entries lapse in long ones and come back.
+// outage makes the store unavailable for a while; in long outages entries lapse and come back.
 func (s *simulation) outage() {
 	span := time.Duration(500+s.rand.IntN(9000)) * time.Millisecond
 	failDelay := time.Duration(s.rand.IntN(2)) * time.Minute
@@ -231,7 +233,7 @@
 	}
 }
 
-// leaveLapsed makes one endpoint whose entry lapsed go for good.
+// leaveLapsed makes one endpoint whose entry lapsed leave for good.
 func (s *simulation) leaveLapsed(lapsed []string) {
 	lapsed = slices.DeleteFunc(slices.Clone(lapsed), s.startedLately)
 	if len(lapsed) < 3 {
@@ -241,7 +243,7 @@
 	s.markLeft(lapsed[s.rand.IntN(len(lapsed))])
 }
 
-// cutHosts cuts some hosts from the store for a time.
+// cutHosts cuts some hosts off from the store for a while.
 func (s *simulation) cutHosts() {
 	var hosts []int
 	for i := range s.cut {
@@ -262,7 +264,7 @@
 	}
 }
 
-// step does one thing.
+// step does one random action.
 func (s *simulation) step() {
 	if s.restarts && s.rand.IntN(4) == 0 {
 		s.restart()
@@ -285,14 +287,14 @@
 	time.Sleep(time.Duration(s.rand.IntN(1500)) * time.Millisecond)
 }
 
-// violation names an endpoint that a host in touch uses although it left longer ago than the drain
-// time, or one that serves and is not used, or is empty.
+// violation describes an endpoint that a host in contact with the store uses although it left longer
+// ago than the drain time, or one that serves and is not used. It is empty if there is none.
 func (s *simulation) violation() string {
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.endpoints {
-		if s.troubled[i] || now < s.soundSince[i]+contactTime {
+		if s.troubled[i] || now < s.healthySince[i]+contactTime {
 			continue
 		}
 		l, _ := s.endpoints[i].List()
@@ -304,35 +306,37 @@
 			}
 			usable[e.Incarnation()] = !e.Leaving
 		}
-		for name, born := range s.live {
-			if s.restarts && now > s.soundSince[i]+maxMissTime && now > s.entrySince[name]+maxMissTime && !usable[fmt.Sprint(name, "@", born)] {
-				return fmt.Sprintf("host %d at %s does not use %s@%d, which serves: %+v", i, now, name, born, l.Endpoints)
+		for name, startedMS := range s.live {
+			if s.restarts && now > s.healthySince[i]+maxMissTime && now > s.entrySince[name]+maxMissTime && !usable[fmt.Sprint(name, "@", startedMS)] {
+				return fmt.Sprintf("host %d at %s does not use %s@%d, which serves: %+v", i, now, name, startedMS, l.Endpoints)
 			}
 		}
 	}
 	return ""
 }
 
-// maxMissTime is the time after which a life that serves is used by every host in touch: as long as an entry of an
-// older life may be taken for late, and a contact time and a half.
+// maxMissTime is the time within which every host in contact with the store uses an incarnation that
+// serves: the time for which an entry of an older incarnation may be held back, plus one and a half
+// contact times.
 const maxMissTime = holdTime + contactTime*3/2
 
-// TestLeaversAreDropped plays random troubles of the store, of hosts and of their words to each other,
-// in which endpoints come, leave and lapse: no host in touch may use one that left longer ago
-// than the drain time.
+// TestLeaversAreDropped simulates random trouble of the store, of hosts and of the messages between
+// them, while endpoints come, leave and lapse: no host in contact with the store may use an endpoint
+// that left longer ago than the drain time.
 func TestLeaversAreDropped(t *testing.T) { runSimulations(t, func(*simulation) {}) }
 
-// TestRestartsAreUsed plays the same with endpoints that start again under their names: besides, every life
-// that serves is used. Late writes are those of lives that were followed by another; those of the last
-// life are TestLeaversAreKnown's.
-func TestRestartsAreUsed(t *testing.T) { runSimulations(t, func(p *simulation) { p.restarts = true }) }
+// TestRestartsAreUsed does the same with endpoints that restart under their names, and checks besides
+// that every incarnation that serves is used. Late writes here come from incarnations that were
+// followed by another one; TestLeaversAreDropped covers those of the last one.
+func TestRestartsAreUsed(t *testing.T) { runSimulations(t, func(s *simulation) { s.restarts = true }) }
 
-// TestRestartsWithClockStepsAreUsed plays the same with endpoints whose clocks are set back before they start.
+// TestRestartsWithClockStepsAreUsed does the same with endpoints whose clocks are set back before they
+// start.
 func TestRestartsWithClockStepsAreUsed(t *testing.T) {
-	runSimulations(t, func(p *simulation) { p.restarts, p.clockSteps = true, true })
+	runSimulations(t, func(s *simulation) { s.restarts, s.clockSteps = true, true })
 }
 
-// runSimulations plays random fleets.
+// runSimulations simulates random fleets.
 func runSimulations(t *testing.T, set func(s *simulation)) {
 	const span = 90 * time.Second
 	for _, hosts := range []int{1, 6, 12} {
@@ -344,7 +348,7 @@
 					defer cancel()
 					s := &simulation{
 						testFleet: startFleet(ctx, hosts), rand: rand.New(rand.NewPCG(seed, uint64(hosts))), leftAt: make(map[string]time.Duration),
-						live: make(map[string]int64), entrySince: make(map[string]time.Duration), soundSince: make([]time.Duration, hosts), troubled: make([]bool, hosts),
+						live: make(map[string]int64), entrySince: make(map[string]time.Duration), healthySince: make([]time.Duration, hosts), troubled: make([]bool, hosts),
 					}
 					set(s)
 					for range 4 {
--- a/feed/entry_test.go
+++ b/feed/entry_test.go
@@ -19,7 +19,7 @@
 type countingStore struct {
 	Store
 	lists, grants, puts, renewals int
-	listsBeforeGrant              int // lists read before the own entry was written
+	listsBeforeGrant              int // lists read before this host's entry was written
 	expired                       bool
 	value                         string
 }
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// TestHostRegistryCalls counts the calls of one host in half a minute: what all hosts make must not grow with
-// their number, and a host that knows no other must look for them all the time.
+// TestHostRegistryCalls counts the calls of one host in half a minute: the calls of all hosts together
+// must not grow with their number, and a host that knows no other host must keep looking for them.
 func TestHostRegistryCalls(t *testing.T) {
 	cases := []struct {
 		name                          string
@@ -63,10 +63,10 @@
 	}{
 		{"alone", 1, nil, 16, 1, 1, 14},
 		{"few hosts", 6, nil, 4, 1, 1, 14},
-		{"many hosts, one of those that keep entries", 300, nil, 1, 1, 1, 14},
-		{"many hosts, not one of them", 300, func(time.Duration) bool { return false }, 1, 0, 0, 0},
-		{"becomes one of them", 300, func(at time.Duration) bool { return at > 16*time.Second }, 1, 1, 1, 6},
-		{"is one no more", 300, func(at time.Duration) bool { return at < 16*time.Second }, 1, 1, 1, 7},
+		{"many hosts, this one keeps an entry", 300, nil, 1, 1, 1, 14},
+		{"many hosts, this one keeps no entry", 300, func(time.Duration) bool { return false }, 1, 0, 0, 0},
+		{"begins to keep an entry", 300, func(at time.Duration) bool { return at > 16*time.Second }, 1, 1, 1, 6},
+		{"stops keeping an entry", 300, func(at time.Duration) bool { return at < 16*time.Second }, 1, 1, 1, 7},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -95,7 +95,8 @@
 	}
 }
 
-// TestHostRegistryRewrites holds that a value that changed, and an entry whose lease is over, are written anew.
+// TestHostRegistryRewrites checks that an entry is written again when its value changed and when its
+// lease expired.
 func TestHostRegistryRewrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -126,7 +127,7 @@
 		want        HostEntry
 	}{
 		{"whole", string(HostEntry{Address: "10.0.0.1:7600", HostCount: 295}.Encode()), HostEntry{"10.0.0.1:7600", 295}},
-		{"of a version that wrote the address alone", "10.0.0.1:7600", HostEntry{"10.0.0.1:7600", 1}},
+		{"from a version that wrote only the address", "10.0.0.1:7600", HostEntry{"10.0.0.1:7600", 1}},
 		{"no number", `{"address":"10.0.0.1:7600"}`, HostEntry{"10.0.0.1:7600", 1}},
 		{"bad number", `{"address":"10.0.0.1:7600","hosts":-4}`, HostEntry{"10.0.0.1:7600", 1}},
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -20,22 +20,22 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// errDown is what a dark store gives.
+// errDown is the error of a store that is down.
 var errDown = errors.New("dark")
 
-// memoryStore is a store on injected time; its fields may be changed under mu.
+// memoryStore is a store in memory; its fields may be changed under mu.
 type memoryStore struct {
 	mu          sync.Mutex
 	items       map[string]Item
 	log         []Item
 	revision    uint64
-	down        bool          // calls fail after hang
-	failDelay   time.Duration // how long they take to fail
-	answerDelay time.Duration // each answer takes so long more
-	compactNext bool          // the next watch finds its history gone
-	// compactedTo is the revision up to which all history is gone.
+	down        bool          // calls fail after failDelay
+	failDelay   time.Duration // how long calls take to fail
+	answerDelay time.Duration // by how much each answer is delayed
+	compactNext bool          // the next watch finds its history compacted
+	// compactedTo is the revision up to which the history is compacted.
 	compactedTo uint64
-	cutWatches  bool // watches are cut at once
+	cutWatches  bool // watches end at once
 	calls       int
 }
 
@@ -64,7 +64,7 @@
 	f()
 }
 
-// beginCall counts a call and fails it while the store is dark.
+// beginCall counts a call and fails it while the store is down.
 func (m *memoryStore) beginCall(ctx context.Context) error {
 	m.mu.Lock()
 	m.calls++
@@ -129,7 +129,7 @@
 func (m *memoryStore) Renew(context.Context, uint64) error                  { return nil }
 func (m *memoryStore) Put(context.Context, string, []byte, uint64) error    { return nil }
 
-// parseVersion reads a document that is only a route's name.
+// parseVersion reads a document that consists only of a route's name.
 func parseVersion(b []byte) (*route.Document, error) {
 	if string(b) == "broken" {
 		return nil, errors.New("broken")
@@ -137,13 +137,13 @@
 	return &route.Document{Routes: []route.Route{{Name: string(b)}}}, nil
 }
 
-// startSettings starts a Settings on a store and returns it with its clock.
+// startSettings starts a Settings on a store.
 func startSettings(ctx context.Context, m *memoryStore) *Settings {
 	start := time.Now()
 	return startSettingsBy(ctx, m, func() time.Duration { return time.Since(start) })
 }
 
-// startSettingsBy starts a Settings on a store by a clock.
+// startSettingsBy starts a Settings on a store, with the given clock.
 func startSettingsBy(ctx context.Context, m *memoryStore, now func() time.Duration) *Settings {
 	s := &Settings{
 		Store: m, Prefix: "op/", Key: "op/config", Parse: parseVersion, WatchTimeout: 1200 * time.Millisecond, RetryInterval: 300 * time.Millisecond,
@@ -157,15 +157,15 @@
 	cases := []struct {
 		name  string
 		fault func(m *memoryStore)
-		// least and most bound the age 4 s after the fault began.
+		// min and max bound the age 4 s after the fault began.
 		min, max time.Duration
 	}{
 		{"calm", func(*memoryStore) {}, 0, 1300 * time.Millisecond},
-		{"dark at once", func(m *memoryStore) { m.down = true }, 2500 * time.Millisecond, 5300 * time.Millisecond},
-		{"dark and silent", func(m *memoryStore) { m.down, m.failDelay = true, time.Minute }, 2500 * time.Millisecond, 5300 * time.Millisecond},
+		{"calls fail at once", func(m *memoryStore) { m.down = true }, 2500 * time.Millisecond, 5300 * time.Millisecond},
+		{"calls get no answer", func(m *memoryStore) { m.down, m.failDelay = true, time.Minute }, 2500 * time.Millisecond, 5300 * time.Millisecond},
 		{"slow", func(m *memoryStore) { m.answerDelay = 300 * time.Millisecond }, 0, 1900 * time.Millisecond},
 		{"watches cut", func(m *memoryStore) { m.cutWatches = true }, 0, 700 * time.Millisecond},
-		{"history forgotten", func(m *memoryStore) { m.compactNext = true }, 0, 1300 * time.Millisecond},
+		{"history compacted", func(m *memoryStore) { m.compactNext = true }, 0, 1300 * time.Millisecond},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestSettingsAgeIsNoUnderestimate holds the age against the truth: at no time may a
-// host believe that what it has was newest at a moment when a newer one stood.
+// TestSettingsAgeIsNoUnderestimate compares the age with the truth: a host must never consider its
+// revision the newest at a moment at which a newer one was in the store.
 func TestSettingsAgeIsNoUnderestimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -240,18 +240,18 @@
 	_, ok := a.At(0)
 	must.False(t, ok)
 	a.Prove(3, 10*time.Second)
-	a.Prove(3, 8*time.Second) // an older proof says nothing
+	a.Prove(3, 8*time.Second) // an older proof is ignored
 	a.Prove(2, 20*time.Second)
 	age, _ := a.At(11 * time.Second)
 	must.EqOp(t, time.Second, age)
-	a.Prove(4, 9*time.Second) // newest in between: what was proven before still holds
+	a.Prove(4, 9*time.Second) // revision 4 replaced 3 in between: what was proven before still holds
 	age, _ = a.At(11 * time.Second)
 	must.EqOp(t, time.Second, age)
 	must.EqOp(t, 4, a.Revision())
 }
 
-// parseEndpoint reads entries that hold "foreign", "leaving" or anything else, and behind an @ the time of
-// the start.
+// parseEndpoint reads entries that hold "foreign", "leaving" or anything else, and the start time
+// after an @.
 func parseEndpoint(key string, value []byte) (Endpoint, error) {
 	state, start, _ := strings.Cut(string(value), "@")
 	if state == "foreign" {
@@ -268,7 +268,7 @@
 	return n, nil
 }
 
-// startEndpoints starts an Endpoints on a store; the newest list is read with the returned function.
+// startEndpoints starts an Endpoints on a store; the returned function returns the newest list.
 func startEndpoints(ctx context.Context, m *memoryStore) func() []Endpoint {
 	start := time.Now()
 	var mu sync.Mutex
@@ -318,18 +318,19 @@
 	cases := []struct {
 		name  string
 		steps []step
-		// within is the time after the last step in which the host must have the wanted number of usable endpoints.
+		// within is the time after the last step in which the host must have the wanted number of
+		// usable endpoints.
 		within time.Duration
 		want   int
 	}{
-		{"it says that it leaves", []step{{time.Second, leave}}, 700 * time.Millisecond, 1},
-		{"an old entry comes very late", []step{{time.Second, leave}, {time.Minute, staleEntry}}, 2 * time.Second, 1},
-		{"its entry goes very late, and an old one comes", []step{{time.Second, leave}, {time.Minute, remove}, {time.Second, staleEntry}}, 2 * time.Second, 1},
-		{"its entry goes without a word", []step{{time.Second, remove}}, 700 * time.Millisecond, 1},
-		{"an old entry comes late", []step{{time.Second, leave}, {time.Second, staleEntry}}, 2 * time.Second, 1},
-		{"the store is dark and entries lapse", []step{{time.Second, down}, {time.Second, remove}}, 2 * time.Second, 2},
-		{"it leaves while this host is turned away", []step{{time.Second, down}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3 * time.Second, 1},
-		{"it leaves while this host hears nothing", []step{{time.Second, hang}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3800 * time.Millisecond, 1},
+		{"it announces that it leaves", []step{{time.Second, leave}}, 700 * time.Millisecond, 1},
+		{"an old entry is written very late", []step{{time.Second, leave}, {time.Minute, staleEntry}}, 2 * time.Second, 1},
+		{"its entry is removed very late, and an old one is written", []step{{time.Second, leave}, {time.Minute, remove}, {time.Second, staleEntry}}, 2 * time.Second, 1},
+		{"its entry is removed unannounced", []step{{time.Second, remove}}, 700 * time.Millisecond, 1},
+		{"an old entry is written late", []step{{time.Second, leave}, {time.Second, staleEntry}}, 2 * time.Second, 1},
+		{"the store is down and entries lapse", []step{{time.Second, down}, {time.Second, remove}}, 2 * time.Second, 2},
+		{"it leaves while the store refuses this host", []step{{time.Second, down}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3 * time.Second, 1},
+		{"it leaves while this host gets no answer", []step{{time.Second, hang}, {5 * time.Second, remove}, {200 * time.Millisecond, up}}, 3800 * time.Millisecond, 1},
 		{"it lapses and comes back", []step{{time.Second, down}, {time.Second, remove}, {time.Second, up}, {time.Second, staleEntry}}, 3 * time.Second, 2},
 	}
 	for _, tc := range cases {
@@ -354,7 +355,7 @@
 	}
 }
 
-// TestCallsAreBounded counts the calls to a store that is dark: they must not become a storm.
+// TestCallsAreBounded counts the calls to a store that is down: hosts must not flood it.
 func TestCallsAreBounded(t *testing.T) {
 	for _, hang := range []time.Duration{0, 50 * time.Millisecond, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
--- a/feed/lapse_test.go
+++ b/feed/lapse_test.go
@@ -14,20 +14,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// contactTime is the time after the end of a trouble from which a host is held to the drain time
-// again: an endpoint that left during the trouble must not be in its list any more.
+// contactTime is the time after the end of a host's trouble from which the host must observe the drain
+// time again: an endpoint that left during the trouble must no longer be in its list.
 const contactTime = 3 * time.Second
 
-// testLapseTimes are the times for endpoints with a heartbeat each 1.2 s and a contact time of 3 s.
+// testLapseTimes are the times for endpoints with a heartbeat every 1.2 s and a contact time of 3 s.
 var testLapseTimes = LapseTimes{MinOutage: 2400 * time.Millisecond, RenewTime: 2 * time.Second, MaxKeep: 2700 * time.Millisecond}
 
-// testHealth judges whether the store fails for a host of a deployment with these times.
+// testHealth returns the StoreHealth of a host in a deployment with these times.
 func testHealth(now func() time.Duration) *StoreHealth {
 	return &StoreHealth{Now: now, LapseTimes: testLapseTimes, RetryInterval: 400 * time.Millisecond, OutageAfter: 400 * time.Millisecond}
 }
 
-// TestLeftDuringOutage holds that an endpoint which left while the store was in trouble is in no
-// host's list from the contact time after the trouble's end on, whenever the trouble ends.
+// TestLeftDuringOutage checks that an endpoint that left while the store was failing is in no host's
+// list once the contact time after the outage is over, whenever the outage ends.
 func TestLeftDuringOutage(t *testing.T) {
 	const leaver = "servers/c"
 	all := func(s *testFleet) {
@@ -41,24 +41,24 @@
 		name  string
 		hosts int
 		begin func(s *testFleet)
-		// end is done at the moment of the trouble's end.
+		// end is done when the outage ends.
 		end func(s *testFleet)
 	}{
 		{"the store fails, one host", 1, all, func(*testFleet) {}},
 		{"the store hangs, one host", 1, hang, up},
 		{"the store hangs, six hosts", 6, hang, up},
-		{"the store hangs and forgets, one host", 1, hang, func(s *testFleet) {
+		{"the store hangs and loses its history, one host", 1, hang, func(s *testFleet) {
 			up(s)
 			compact(s)
 		}},
 		{"the store fails, six hosts", 6, all, func(*testFleet) {}},
 		{"the store fails, forty hosts", 40, all, func(*testFleet) {}},
-		{"the store turns the first reader away", 6, func(s *testFleet) { s.cut[0] = true }, func(*testFleet) {}},
-		{"the store turns two away", 6, func(s *testFleet) { s.cut[0], s.cut[1] = true, true }, func(*testFleet) {}},
-		{"the store turns one away that hears nobody", 6, func(s *testFleet) { s.cut[3], s.isolated[3] = true, true }, func(*testFleet) {}},
-		{"the store fails and forgets, one host", 1, all, compact},
-		{"the store fails and forgets, six hosts", 6, all, compact},
-		{"the store fails and forgets, forty hosts", 40, all, compact},
+		{"the store refuses the first reader", 6, func(s *testFleet) { s.cut[0] = true }, func(*testFleet) {}},
+		{"the store refuses two hosts", 6, func(s *testFleet) { s.cut[0], s.cut[1] = true, true }, func(*testFleet) {}},
+		{"the store refuses one host, which hears from no other", 6, func(s *testFleet) { s.cut[3], s.isolated[3] = true, true }, func(*testFleet) {}},
+		{"the store fails and loses its history, one host", 1, all, compact},
+		{"the store fails and loses its history, six hosts", 6, all, compact},
+		{"the store fails and loses its history, forty hosts", 40, all, compact},
 	}
 	for _, tc := range cases {
 		for offset := time.Duration(0); offset < 1200*time.Millisecond; offset += 50 * time.Millisecond {
@@ -70,7 +70,7 @@
 					s.store.put(leaver, "ready")
 					time.Sleep(3 * time.Second)
 					s.store.locked(func() { tc.begin(s) })
-					// By now no watch of before waits any more.
+					// By now no watch from before the outage is still waiting.
 					time.Sleep(2500 * time.Millisecond)
 					s.store.remove(leaver)
 					time.Sleep(6500*time.Millisecond + offset)
@@ -99,12 +99,12 @@
 	}
 }
 
-// compact makes the store forget its history.
+// compact makes the store lose its history.
 func compact(f *testFleet) { f.store.log, f.store.compactedTo = nil, f.store.revision }
 
-// TestLeftWhileConnectionsSilent lets the connections of all hosts to the store fall silent at one moment, while the
-// store and new connections work. That is no outage: an endpoint that leaves then has left, and is in no host's list
-// from the contact time on.
+// TestLeftWhileConnectionsSilent lets the connections of all hosts to the store die at one moment,
+// while the store and new connections work. That is no outage: an endpoint that disappears then has
+// left, and is in no host's list once the contact time is over.
 func TestLeftWhileConnectionsSilent(t *testing.T) {
 	for _, hosts := range []int{1, 6, 12} {
 		for offset := time.Duration(0); offset < 1200*time.Millisecond; offset += 50 * time.Millisecond {
--- a/feed/lives_test.go
+++ b/feed/lives_test.go
@@ -15,8 +15,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestIncarnations plays writes of one instance's lives to a host that reads the store, and tells what it
-// takes the instance for some time after the last.
+// TestIncarnations applies writes of one instance's incarnations to a host that reads the store, and
+// checks how the host sees the instance some time after the last write.
 func TestIncarnations(t *testing.T) {
 	const short, long = 1500 * time.Millisecond, holdTime + 1500*time.Millisecond
 	down := func(m *memoryStore) { m.locked(func() { m.down = true }) }
@@ -26,42 +26,42 @@
 		name string
 		// writes are done one second apart; an empty one removes the entry.
 		writes []string
-		// last is done after them.
+		// then is done after them.
 		then  []func(*memoryStore)
 		after time.Duration
-		want  string // "life state", or empty for an instance that is not in the list
+		want  string // "incarnation state", or empty for an instance that is not in the list
 	}{
-		{"without a time of its start", []string{"ready", "ready"}, nil, short, "a ready"},
-		{"starts again", []string{"ready@5", "ready@9"}, nil, short, "a@9 ready"},
-		{"starts again after it said that it leaves", []string{"ready@5", "leaving@5", "ready@9"}, nil, short, "a@9 ready"},
-		{"starts again after its entry went", []string{"ready@5", "", "ready@9"}, nil, short, "a@9 ready"},
-		{"starts again after it left", []string{"ready@5", "leaving@5", "", "ready@9"}, nil, short, "a@9 ready"},
-		{"an older life's write is late", []string{"ready@5", "ready@9", "ready@5"}, nil, short, ""},
-		{"an older life's leaving is late", []string{"ready@5", "ready@9", "leaving@5"}, nil, short, ""},
-		{"an older life's write is late, after the newer one's entry went", []string{"ready@5", "ready@9", "", "ready@5"}, nil, short, ""},
+		{"without a start time", []string{"ready", "ready"}, nil, short, "a ready"},
+		{"restarts", []string{"ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"restarts after it announced that it leaves", []string{"ready@5", "leaving@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"restarts after its entry was removed", []string{"ready@5", "", "ready@9"}, nil, short, "a@9 ready"},
+		{"restarts after it left", []string{"ready@5", "leaving@5", "", "ready@9"}, nil, short, "a@9 ready"},
+		{"a late write of an older incarnation", []string{"ready@5", "ready@9", "ready@5"}, nil, short, ""},
+		{"a late leaving entry of an older incarnation", []string{"ready@5", "ready@9", "leaving@5"}, nil, short, ""},
+		{"a late write of an older incarnation, after the newer one's entry was removed", []string{"ready@5", "ready@9", "", "ready@5"}, nil, short, ""},
 		{"a late write, and the next heartbeat", []string{"ready@9", "ready@5", "ready@9"}, nil, long, "a@9 ready"},
-		{"a late write comes again and again", []string{"ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
-		{"a late write that goes", []string{"ready@9", "ready@5", ""}, nil, long, ""},
+		{"repeated late writes", []string{"ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"a late write that is removed", []string{"ready@9", "ready@5", ""}, nil, long, ""},
 		{"a clock that was set back", []string{"ready@9", "ready@5"}, nil, long, "a@5 ready"},
-		{"a clock that was set back, and the older one's write is late", []string{"ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
-		{"the newer life leaves", []string{"ready@5", "ready@9", "leaving@9"}, nil, short, "a@9 leaving"},
-		{"the newer life leaves, and its word is written late", []string{"ready@9", "leaving@9", "ready@9"}, nil, short, "a@9 leaving"},
-		{"an entry that does not name its life", []string{"leaving@9", "ready"}, nil, short, "a@9 leaving"},
-		{"lives begin to be told", []string{"ready", "ready@9"}, nil, short, "a@9 ready"},
-		{"lives begin to be told by one that had left", []string{"ready", "leaving", "ready@9"}, nil, short, "a@9 ready"},
-		{"an older life's write, and the history is gone", []string{"ready@5", "ready@9"}, []func(*memoryStore){
+		{"a clock that was set back, and a late write of the older incarnation", []string{"ready@9", "ready@5", "ready@9"}, nil, short, "a@9 ready"},
+		{"the newer incarnation leaves", []string{"ready@5", "ready@9", "leaving@9"}, nil, short, "a@9 leaving"},
+		{"the newer incarnation leaves, and an earlier write of it is late", []string{"ready@9", "leaving@9", "ready@9"}, nil, short, "a@9 leaving"},
+		{"an entry without a start time after one with it", []string{"leaving@9", "ready"}, nil, short, "a@9 leaving"},
+		{"entries begin to have start times", []string{"ready", "ready@9"}, nil, short, "a@9 ready"},
+		{"entries begin to have start times after one that left", []string{"ready", "leaving", "ready@9"}, nil, short, "a@9 ready"},
+		{"a late write of an older incarnation, and the history is compacted", []string{"ready@5", "ready@9"}, []func(*memoryStore){
 			func(m *memoryStore) { m.put("servers/a", "ready@5") }, compact, func(m *memoryStore) { m.put("servers/a", "ready@9") },
 		}, short, "a@9 ready"},
-		{"an older life's write that stands, and the history is gone", []string{"ready@5", "ready@9"}, []func(*memoryStore){
+		{"a write of an older incarnation that stands, and the history is compacted", []string{"ready@5", "ready@9"}, []func(*memoryStore){
 			func(m *memoryStore) { m.put("servers/a", "ready@5") }, compact,
 		}, short, ""},
-		{"starts again in an outage", []string{"ready@5"}, []func(*memoryStore){
+		{"restarts in an outage", []string{"ready@5"}, []func(*memoryStore){
 			down, func(m *memoryStore) { m.put("servers/a", "ready@9") }, up,
 		}, short, "a@9 ready"},
-		{"starts several times between two readings", []string{"ready@5"}, []func(*memoryStore){
+		{"restarts several times between two reads", []string{"ready@5"}, []func(*memoryStore){
 			down, func(m *memoryStore) {
-				for born := 6; born < 20; born++ {
-					m.put("servers/a", fmt.Sprint("ready@", born))
+				for startedMS := 6; startedMS < 20; startedMS++ {
+					m.put("servers/a", fmt.Sprint("ready@", startedMS))
 				}
 				m.put("servers/a", "ready@12") // one of them, late
 				m.put("servers/a", "ready@19")
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestHeldEntryFromPeer tells a host by a peer's list that an entry is held back, since a newer life is known: a late write of the
-// life that the host itself knew last is then no news either.
+// TestHeldEntryFromPeer passes a host a peer's list with an entry that is held back because a newer
+// incarnation is known. The host must then ignore a late write of the incarnation that it knew last
+// itself, too.
 func TestHeldEntryFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -116,17 +117,17 @@
 			return e
 		}
 		reader, receiver := newEndpoints(), newEndpoints()
-		pass := func() {
+		passList := func() {
 			must.NoError(t, reader.callStore(ctx, reader.Now(), reader.WatchTimeout))
 			l, ok := reader.List()
 			must.True(t, ok)
 			receiver.Offer(l)
 		}
 		m.put("servers/a", "ready@5")
-		pass()
+		passList()
 		m.put("servers/a", "ready@9")
 		m.put("servers/a", "ready@7")
-		pass()
+		passList()
 		m.put("servers/a", "ready@5")
 		must.NoError(t, receiver.callStore(ctx, receiver.Now(), receiver.WatchTimeout))
 		l, _ := receiver.List()
@@ -134,8 +135,8 @@
 	})
 }
 
-// TestForeignEntries holds that an entry which no endpoint wrote names none to use: it goes the way of one
-// that was removed, is counted, and touches no other.
+// TestForeignEntries checks that an entry that no endpoint wrote names no usable endpoint: it is
+// treated like a removed entry, is counted, and affects no other entry.
 func TestForeignEntries(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -146,9 +147,9 @@
 		{"from the beginning", []string{"foreign"}, 2, 1},
 		{"in use before", []string{"ready", "foreign"}, 2, 1},
 		{"leaving before", []string{"leaving", "foreign"}, 2, 1},
-		{"written over", []string{"ready", "foreign", "ready"}, 3, 0},
+		{"overwritten", []string{"ready", "foreign", "ready"}, 3, 0},
 		{"removed", []string{"ready", "foreign", ""}, 2, 0},
-		{"an older life's, then foreign", []string{"ready@9", "ready@5", "foreign"}, 2, 1},
+		{"one of an older incarnation, then foreign", []string{"ready@9", "ready@5", "foreign"}, 2, 1},
 	}
 	for _, tc := range cases {
 		for _, compacted := range []bool{false, true} {
--- a/feed/outage_test.go
+++ b/feed/outage_test.go
@@ -15,15 +15,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOutageCalls holds that a large fleet asks a failing store little more than a small one
-// does, and that all its hosts know of changes soon after the store's return. A host asks at least once in the time after which it must
-// know again what the store knows, which is longer in large fleets.
+// TestOutageCalls checks that a large fleet calls a failing store only a little more often than a
+// small one, and that all its hosts know of changes soon after the store's return. A host calls at
+// least once per contact time, which is longer in large fleets.
 func TestOutageCalls(t *testing.T) {
 	const outage = 10 * time.Second
 	cases := []struct {
 		hosts   int
 		contact time.Duration
-		maxRate float64 // calls a second of all hosts
+		maxRate float64 // calls per second of all hosts together
 	}{
 		{1, 3 * time.Second, 6}, {6, 3 * time.Second, 36}, {40, 4 * time.Second, 95}, {120, 4 * time.Second, 130}, {300, 5 * time.Second, 210},
 	}
@@ -57,17 +57,17 @@
 	}
 }
 
-// TestLapseAfterLongPause holds that entries which went in an outage are kept as long after its
-// end by a host that asks seldom as by one that asks often.
+// TestLapseAfterLongPause checks that a host that calls a failing store rarely keeps lapsed entries as
+// long after the outage as one that calls it often.
 func TestLapseAfterLongPause(t *testing.T) {
 	cases := []struct {
 		name string
 		rank int
 	}{
-		{"asks often", 0}, {"asks seldom", 100},
+		{"calls often", 0}, {"calls rarely", 100},
 	}
 	for _, tc := range cases {
-		// The store returns at several moments of a pause.
+		// The store returns at different moments of a retry interval.
 		for outage := 8 * time.Second; outage < 9600*time.Millisecond; outage += 200 * time.Millisecond {
 			t.Run(fmt.Sprint(tc.name, outage), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -89,7 +89,8 @@
 					time.Sleep(outage)
 					store.remove("servers/a")
 					store.locked(func() { store.down = false })
-					// The entry is gone at the store; the endpoint may live and be back in 2 s.
+					// The entry is missing in the store; the endpoint may be live and write it within
+					// 2 s.
 					time.Sleep(1650 * time.Millisecond)
 					l, _ := e.List()
 					must.Len(t, 1, l.Endpoints)
@@ -104,8 +105,9 @@
 	}
 }
 
-// TestOutageOfOneHost holds that an endpoint whose entry goes while the store serves is dropped
-// by all hosts but the one that could not reach the store lately, although that one reads first.
+// TestOutageOfOneHost checks that an endpoint whose entry is removed while the store serves is dropped
+// by all hosts except the one that could not reach the store until recently, although that one is the
+// first reader.
 func TestOutageOfOneHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/feed/shared_test.go
+++ b/feed/shared_test.go
@@ -17,32 +17,33 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// testFleet are hosts that read one store and pass on what they read.
+// testFleet is a set of hosts that read one store and pass on what they read.
 type testFleet struct {
 	store     *memoryStore
-	cut       []bool       // from the store
-	isolated  []bool       // from the other hosts
-	deadConn  []bool       // its connection to the store says nothing more; the next one works
-	faults    []callFaults // what its next calls to the store meet
+	cut       []bool       // cut off from the store
+	isolated  []bool       // cut off from the other hosts
+	deadConn  []bool       // its connection to the store is dead; the next one works
+	faults    []callFaults // faults of its next calls to the store
 	endpoints []*Endpoints
 	settings  []*Settings
 	now       func() time.Duration
 }
 
-// callFaults is how many of a host's next calls to the store are refused, and how many of those that follow get no answer; and until when the process
-// does not run but to read what came, each answer that much late.
+// callFaults says how many of a host's next calls to the store are refused, and how many of those
+// after them get no answer. Until the given moment, the process runs only to read answers, each of
+// which is late.
 type callFaults struct {
 	refused, unanswered int
-	late                time.Duration
+	answerDelay         time.Duration
 	until, stalled      time.Duration
 }
 
 // runTime is the time in which the process ran.
-func (n *callFaults) runTime(now time.Duration) time.Duration {
-	return now - n.stalled + max(0, n.until-now)
+func (f *callFaults) runTime(now time.Duration) time.Duration {
+	return now - f.stalled + max(0, f.until-now)
 }
 
-// faultyStore is the store as a host sees it that may be cut from it.
+// faultyStore is the store as seen by a host that may be cut off from it.
 type faultyStore struct {
 	*memoryStore
 	cut, deadConn *bool
@@ -50,24 +51,24 @@
 	now           func() time.Duration
 }
 
-// injectFault fails a call of a host that is cut off, and lets one on a stale connection hang.
+// injectFault fails a call of a host that is cut off, and lets a call on a dead connection hang.
 func (c faultyStore) injectFault(ctx context.Context) error {
 	c.mu.Lock()
 	cut, hang := *c.cut, *c.deadConn
 	*c.deadConn = false
-	late := time.Duration(0)
-	switch n := c.faults; {
-	case c.now() < n.until:
-		late = n.late
-	case n.refused > 0:
-		n.refused--
+	delay := time.Duration(0)
+	switch f := c.faults; {
+	case c.now() < f.until:
+		delay = f.answerDelay
+	case f.refused > 0:
+		f.refused--
 		cut = true
-	case n.unanswered > 0:
-		n.unanswered--
+	case f.unanswered > 0:
+		f.unanswered--
 		hang = true
 	}
 	c.mu.Unlock()
-	sleep(ctx, late)
+	sleep(ctx, delay)
 	if cut {
 		return errDown
 	}
@@ -97,7 +98,7 @@
 // startFleet starts n hosts that tell each other every 0.2 s what they know, as heartbeats do.
 func startFleet(ctx context.Context, n int) *testFleet { return startFleetWith(ctx, n, testLapseTimes) }
 
-// startFleetWith starts hosts of a deployment with a contact time of its own.
+// startFleetWith starts hosts with the given lapse times.
 func startFleetWith(ctx context.Context, n int, lapses LapseTimes) *testFleet {
 	start := time.Now()
 	f := &testFleet{store: newMemoryStore(), cut: make([]bool, n), isolated: make([]bool, n), deadConn: make([]bool, n), faults: make([]callFaults, n), now: func() time.Duration { return time.Since(start) }}
@@ -108,7 +109,7 @@
 		store := faultyStore{f.store, &f.cut[i], &f.deadConn[i], &f.faults[i], f.now}
 		rank := func() int {
 			if f.isIsolated(i) {
-				return 0 // a host that hears nobody always reads
+				return 0 // a host that hears from no other host always reads
 			}
 			return i
 		}
@@ -137,15 +138,15 @@
 	return f
 }
 
-// gossip passes on what each host knows. A proof holds as of 0.2 s before, the sending of the
-// receiver's heartbeat that it answers.
+// gossip passes on what each host knows. A proof holds as of 0.2 s ago, when the receiver sent the
+// heartbeat that the proof answers.
 func (f *testFleet) gossip(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, 200*time.Millisecond)
 		for i := range f.endpoints {
 			for j := range f.endpoints {
 				if i != j && !f.isIsolated(i) && !f.isIsolated(j) {
-					f.pass(i, j)
+					f.passView(i, j)
 				}
 			}
 		}
@@ -158,8 +159,8 @@
 	return f.isolated[i]
 }
 
-// pass tells host j what host i knows.
-func (f *testFleet) pass(i, j int) {
+// passView tells host j what host i knows.
+func (f *testFleet) passView(i, j int) {
 	const lag = 200 * time.Millisecond
 	if v, ok := f.endpoints[i].View(); ok {
 		v.ProvenAt -= lag
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestSharedReadCalls counts the calls of fleets in calm times: they must not grow with the
-// hosts, and every host's view must stay young.
+// TestSharedReadCalls counts the calls of healthy fleets: they must not grow with the number of hosts,
+// and every host's view must stay fresh.
 func TestSharedReadCalls(t *testing.T) {
 	const span = 30 * time.Second
 	for _, n := range []int{1, 2, 6, 40} {
@@ -198,8 +199,8 @@
 						must.Less(t, 1600*time.Millisecond, s.now()-v.ProvenAt)
 					}
 				}
-				// One reader of the endpoints, each 0.9 s, two watchers of the settings, each
-				// of 1 s, and now and then another host whose turn has come.
+				// One reader of the endpoints every 0.9 s, two watchers of the settings with watches
+				// of 1 s, and from time to time another host that has to read.
 				must.LessEq(t, 4, float64(s.store.count()-before)/span.Seconds())
 				cancel()
 				synctest.Wait()
@@ -208,14 +209,14 @@
 	}
 }
 
-// count gives the calls so far.
+// count returns the number of calls so far.
 func (m *memoryStore) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// TestChangesReachAllHosts holds how soon all hosts know of a change, whoever of them is in trouble.
+// TestChangesReachAllHosts checks how soon all hosts know of a change while some of them have trouble.
 func TestChangesReachAllHosts(t *testing.T) {
 	const n = 6
 	cases := []struct {
@@ -225,18 +226,18 @@
 		within time.Duration
 	}{
 		{"calm", func(*testFleet) {}, 1400 * time.Millisecond},
-		{"the host that reads is cut from the store", func(s *testFleet) { s.cut[0] = true }, 2 * time.Second},
-		{"the two first are cut from the store", func(s *testFleet) { s.cut[0], s.cut[1] = true, true }, 2 * time.Second},
-		{"all but the last are cut from the store", func(s *testFleet) {
+		{"the reading host is cut off from the store", func(s *testFleet) { s.cut[0] = true }, 2 * time.Second},
+		{"the first two hosts are cut off from the store", func(s *testFleet) { s.cut[0], s.cut[1] = true, true }, 2 * time.Second},
+		{"all hosts but the last are cut off from the store", func(s *testFleet) {
 			for i := range n - 1 {
 				s.cut[i] = true
 			}
 		}, 2 * time.Second},
-		{"the host that reads is silent", func(s *testFleet) { s.isolated[0] = true }, 2 * time.Second},
-		{"the store forgets its history", func(s *testFleet) {
+		{"the reading host is cut off from the other hosts", func(s *testFleet) { s.isolated[0] = true }, 2 * time.Second},
+		{"the store compacts its history", func(s *testFleet) {
 			s.store.log, s.store.compactedTo = nil, s.store.revision
 		}, 2 * time.Second},
-		{"nobody hears another", func(s *testFleet) {
+		{"no host hears from another", func(s *testFleet) {
 			for i := range n {
 				s.isolated[i] = true
 			}
@@ -248,7 +249,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				s := startFleet(ctx, n)
-				// The change comes at several moments after the fault.
+				// The change comes at different moments after the fault.
 				for round := range 8 {
 					s.store.locked(func() { clear(s.cut); clear(s.isolated) })
 					s.store.put("servers/a", "ready")
@@ -273,8 +274,8 @@
 	}
 }
 
-// TestStartWhileStoreIsDown starts a host while the store answers nobody: it must learn
-// the endpoints and the settings from another one.
+// TestStartWhileStoreIsDown starts a host while the store answers no host: it must learn the endpoints
+// from another host.
 func TestStartWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -301,7 +302,7 @@
 	})
 }
 
-// TestOfferedEndpoints holds what a host takes from a peer's list.
+// TestOfferedEndpoints checks what a host takes from a peer's list.
 func TestOfferedEndpoints(t *testing.T) {
 	list := func(revision uint64, names ...Endpoint) EndpointList {
 		return EndpointList{Revision: revision, Endpoints: names}
@@ -310,21 +311,21 @@
 	const now, longAgo = time.Hour, time.Minute
 	cases := []struct {
 		name string
-		// failed is when this host's last call to the store failed, answered when the store last
-		// answered anybody before the peer that tells of its list now.
+		// failed is when this host's last call to the store failed; answered is when the store last
+		// answered any host before it answered the peer that now offers its list.
 		failed, answered time.Duration
 		offers           []EndpointList
 		want             []Endpoint
 	}{
 		{"newer", longAgo, now - time.Second, []EndpointList{list(5, ready), list(6, leaving)}, []Endpoint{leaving}},
 		{"older", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(4, ready)}, []Endpoint{leaving}},
-		{"what was leaving stays so", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6, ready)}, []Endpoint{leaving}},
-		{"what was leaving and went stays so", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6), list(7, ready)}, []Endpoint{leaving}},
+		{"a leaving endpoint stays leaving", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6, ready)}, []Endpoint{leaving}},
+		{"a leaving endpoint stays leaving after its entry was removed", longAgo, now - time.Second, []EndpointList{list(5, leaving), list(6), list(7, ready)}, []Endpoint{leaving}},
 		{"gone", longAgo, now - time.Second, []EndpointList{list(5, ready), list(6)}, []Endpoint{}},
-		{"lapsed, and only the peer had trouble", longAgo, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
-		{"lapsed, and only this host had trouble", now - 100*time.Millisecond, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
-		{"lapsed, and nobody reached the store for long", now - 100*time.Millisecond, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
-		{"lapsed, and this host asks seldom", now - time.Second, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
+		{"lapsed, and the store failed only for the peer", longAgo, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
+		{"lapsed, and the store failed only for this host", now - 100*time.Millisecond, now - time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{}},
+		{"lapsed, and no host reached the store for long", now - 100*time.Millisecond, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
+		{"lapsed, and this host calls rarely", now - time.Second, now - 5*time.Second, []EndpointList{list(5, lapsed)}, []Endpoint{lapsed}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -349,7 +350,7 @@
 	}
 }
 
-// TestViewProofs holds which views of peers prove a host's own.
+// TestViewProofs checks which views of peers prove a host's own view.
 func TestViewProofs(t *testing.T) {
 	now := func() time.Duration { return time.Hour }
 	e := &Endpoints{Now: now, StoreHealth: testHealth(now), OnChange: func([]Endpoint) {}, Log: logr.Discard()}
@@ -367,8 +368,8 @@
 	must.True(t, e.ReceiveView(View{Revision: 8, Checksum: 9, ProvenAt: time.Minute}))
 }
 
-// TestViewIsConsistent holds that no peer can see a new revision with the old list: it would take
-// its own old list for proven at that revision, and pass over the change for good.
+// TestViewIsConsistent checks that no peer can see a new revision with the old list: it would take its
+// own old list for proven at that revision, and miss the change for good.
 func TestViewIsConsistent(t *testing.T) {
 	cases := []struct {
 		name string
@@ -390,7 +391,7 @@
 			must.True(t, e.refresh(t.Context()))
 			before, _ := e.View()
 			store.put("servers/b", "ready")
-			// What follow does after this call comes under another lock.
+			// What refresh does after this call happens under another lock.
 			must.NoError(t, tc.read(e))
 			after, _ := e.View()
 			must.Greater(t, before.Revision, after.Revision)
--- a/feed/wake_test.go
+++ b/feed/wake_test.go
@@ -16,28 +16,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// offsetClock is a host's clock that goes on by itself.
+// offsetClock is a host's clock that can be moved ahead of the timers.
 type offsetClock struct {
 	mu     sync.Mutex
 	start  time.Time
 	offset time.Duration
 }
 
-func (s *offsetClock) now() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return time.Since(s.start) + s.offset
+func (c *offsetClock) now() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Since(c.start) + c.offset
 }
 
 // advance lets a time pass that timers do not see.
-func (s *offsetClock) advance(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.offset += d
+func (c *offsetClock) advance(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.offset += d
 }
 
-// TestGapForgetsOutage suspends a host, with the store there or in an outage that it had seen. An entry that went meanwhile is that of a leaver: it
-// is out of the list with the first answer of the store, and not kept as lapsed.
+// TestGapForgetsOutage suspends a host, with the store available or in an outage that the host had
+// detected. An entry that disappeared meanwhile is that of a leaver: it is out of the list with the
+// store's first answer, and is not kept as lapsed.
 func TestGapForgetsOutage(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		for _, d := range []time.Duration{300 * time.Millisecond, 8 * time.Second, time.Minute} {
@@ -46,10 +47,10 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
 					m := newMemoryStore()
-					s := &offsetClock{start: time.Now()}
+					clock := &offsetClock{start: time.Now()}
 					e := &Endpoints{
 						Store: m, Prefix: "servers/", Interval: 800 * time.Millisecond, WatchTimeout: 100 * time.Millisecond, RetryInterval: 400 * time.Millisecond,
-						StoreHealth: testHealth(s.now), Now: s.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
+						StoreHealth: testHealth(clock.now), Now: clock.now, Log: logr.Discard(), OnChange: func([]Endpoint) {}, Parse: parseEndpoint,
 					}
 					e.Init()
 					m.put("servers/a", "ready")
@@ -62,8 +63,8 @@
 					}
 					m.remove("servers/a")
 					m.locked(func() { m.down = false })
-					s.advance(d)
-					resumedAt := s.now()
+					clock.advance(d)
+					resumedAt := clock.now()
 					e.NoteGap()
 					time.Sleep(200 * time.Millisecond)
 					l, ok := e.List()
@@ -79,15 +80,15 @@
 	}
 }
 
-// TestGapEndsWaits checks that a host which woke reads at once: from a pause after a failure, from a call that hangs, and from the
-// pause between two readings.
+// TestGapEndsWaits checks that a host reads at once after a gap: from a wait after a failure, from a
+// call that hangs, and from the wait between two reads.
 func TestGapEndsWaits(t *testing.T) {
 	cases := []struct {
 		name  string
 		state func(m *memoryStore)
 	}{
-		{"a pause", func(*memoryStore) {}},
-		{"a pause after a failure", func(m *memoryStore) { m.down = true }},
+		{"the wait between two reads", func(*memoryStore) {}},
+		{"the wait after a failure", func(m *memoryStore) { m.down = true }},
 		{"a call that hangs", func(m *memoryStore) { m.down, m.failDelay = true, time.Hour }},
 	}
 	for _, tc := range cases {
@@ -96,20 +97,20 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				m := newMemoryStore()
-				s := &offsetClock{start: time.Now()}
+				clock := &offsetClock{start: time.Now()}
 				m.put("op/config", "one")
-				set := startSettingsBy(ctx, m, s.now)
+				set := startSettingsBy(ctx, m, clock.now)
 				time.Sleep(2 * time.Second)
 				m.locked(func() { tc.state(m) })
 				time.Sleep(2200 * time.Millisecond)
 				m.locked(func() { m.down, m.failDelay = false, 0 })
-				s.advance(8 * time.Second)
-				resumedAt := s.now()
+				clock.advance(8 * time.Second)
+				resumedAt := clock.now()
 				set.NoteGap()
 				time.Sleep(10 * time.Millisecond)
-				age, ok := set.Age.At(s.now())
+				age, ok := set.Age.At(clock.now())
 				must.True(t, ok)
-				must.GreaterEq(t, resumedAt, s.now()-age)
+				must.GreaterEq(t, resumedAt, clock.now()-age)
 				cancel()
 				synctest.Wait()
 			})
