--- a/feed/endpoints.go
+++ b/feed/endpoints.go
@@ -257,7 +257,7 @@
 }
 
 // Usable reports whether requests may be sent by the list now. A list older than MaxAge is used only
-// while the store fails for this host: a host need not know what no host can know.
+// while the store fails for this host: the host cannot get a newer one then.
 func (e *Endpoints) Usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/feed/reach.go
+++ b/feed/reach.go
@@ -10,9 +10,9 @@
 )
 
 // StoreHealth decides, for everything on this host that follows the store, whether the store fails for
-// this host. While it does, entries that disappear may have lapsed, and the host need not know what no
-// host can know. All times are of the host's clock. The fields must be set before the first call. It
-// is safe for concurrent use.
+// this host. While it does, entries that disappear may have lapsed, and data older than its maximum
+// age may be used, since the host cannot get newer data. All times are of the host's clock. The fields
+// must be set before the first call. It is safe for concurrent use.
 type StoreHealth struct {
 	// Now is the host's clock; it also counts the time in which the host is suspended.
 	Now func() time.Duration
@@ -109,9 +109,9 @@
 	return &h.calls
 }
 
-// FailedRecently reports whether the store failed for this host so recently that the host need not
-// know what the store knows: even if the store returned right after the last failed call was sent, the
-// contact time is not over yet. Answers that other hosts got since then do not matter.
+// FailedRecently reports whether the store failed for this host so recently that old data may still be
+// used: even if the store returned right after the last failed call was sent, the contact time is not
+// over yet. Answers that other hosts got since then do not matter.
 func (h *StoreHealth) FailedRecently() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/feed/settings.go
+++ b/feed/settings.go
@@ -92,7 +92,7 @@
 }
 
 // Usable reports whether requests may be decided by the settings now. Settings older than MaxAge are
-// used only while the store fails for this host: a host need not know what no host can know.
+// used only while the store fails for this host: the host cannot get newer ones then.
 func (s *Settings) Usable() bool {
 	if s.MaxAge == 0 {
 		return true
