--- a/clock/clock.go
+++ b/clock/clock.go
@@ -7,7 +7,7 @@
 /*
 #include <time.h>
 
-// boot_time is CLOCK_BOOTTIME in nanoseconds, or -1 where there is no such clock.
+// boot_time returns CLOCK_BOOTTIME in nanoseconds, or -1 where there is no such clock.
 static long long boot_time(void) {
 	struct timespec t;
 	if (clock_gettime(CLOCK_BOOTTIME, &t) != 0)
@@ -19,19 +19,20 @@
 
 import "time"
 
-// Clock tells the time since it was made. It is safe for concurrent use. A reading of it goes through the C library, which
-// reads the kernel's page of clocks: 74 ns, where CLOCK_MONOTONIC by the time package takes 39 ns, and a system call for
-// CLOCK_BOOTTIME 203 ns (BenchmarkNow).
+// Clock measures the time since it was made. It is safe for concurrent use. A reading goes through the
+// C library, which reads the kernel's clock page: 74 ns, compared to 39 ns for CLOCK_MONOTONIC through
+// the time package and 203 ns for a system call for CLOCK_BOOTTIME (BenchmarkNow).
 type Clock struct {
-	// boot and steady count in nanoseconds from any moment; only boot goes on while the host is suspended.
+	// boot and steady count nanoseconds from an arbitrary moment; only boot advances while the host is
+	// suspended.
 	boot, steady func() time.Duration
 
 	bootStart, steadyStart time.Duration
-	whole                  bool
+	countsSuspension       bool
 }
 
-// New returns a clock that begins now. Where the kernel has no clock that counts suspensions it is the steady clock; Whole
-// tells.
+// New returns a clock that begins now. Where the kernel has no clock that counts suspensions, it is
+// the steady clock, and Whole returns false.
 func New() *Clock {
 	if C.boot_time() < 0 {
 		return NewSteady()
@@ -39,45 +40,45 @@
 	return newClock(func() time.Duration { return time.Duration(C.boot_time()) }, steady(), true)
 }
 
-// NewSteady returns a clock that begins now and is the time package's, which stops while the host is suspended and follows
-// simulated time in tests.
+// NewSteady returns a clock that begins now and reads the time package's clock, which stops while the
+// host is suspended and follows simulated time in tests.
 func NewSteady() *Clock {
 	now := steady()
 	return newClock(now, now, false)
 }
 
-// steady returns the time package's clock, which begins now.
+// steady returns the time package's clock, beginning now.
 func steady() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
 }
 
-// newClock returns a clock on two others.
-func newClock(boot, steady func() time.Duration, whole bool) *Clock {
-	return &Clock{boot: boot, steady: steady, bootStart: boot(), steadyStart: steady(), whole: whole}
+// newClock returns a clock that reads two other clocks.
+func newClock(boot, steady func() time.Duration, countsSuspension bool) *Clock {
+	return &Clock{boot: boot, steady: steady, bootStart: boot(), steadyStart: steady(), countsSuspension: countsSuspension}
 }
 
-// Now is the time since the clock was made, all suspensions of the host included.
+// Now returns the time since the clock was made, including all suspensions of the host.
 func (c *Clock) Now() time.Duration { return c.boot() - c.bootStart }
 
-// Suspended is the time since the clock was made in which the host was suspended. Both clocks are not read at one moment:
-// it was so much at least.
+// Suspended returns how long the host was suspended since the clock was made. It is a lower bound,
+// since the two clocks are not read at the same moment.
 func (c *Clock) Suspended() time.Duration {
 	_, suspended := c.read()
 	return suspended
 }
 
-// read gives Now and Suspended.
+// read returns Now and Suspended.
 func (c *Clock) read() (now, suspended time.Duration) {
 	now = c.Now()
 	return now, now - (c.steady() - c.steadyStart)
 }
 
-// Whole says that Now counts suspensions.
-func (c *Clock) Whole() bool { return c.whole }
+// Whole reports whether Now counts suspensions.
+func (c *Clock) Whole() bool { return c.countsSuspension }
 
-// Skewed returns a clock like this one that reads later by what ahead says, as it would if the host had been suspended for
-// that long. It is for tests of hosts in one process, and for trying what a suspension does.
-func (c *Clock) Skewed(ahead func() time.Duration) *Clock {
-	return newClock(func() time.Duration { return c.boot() + ahead() }, c.steady, c.whole)
+// Skewed returns a clock like this one that is ahead by offset, as if the host had been suspended for
+// that long. It is for tests of hosts in one process, and for trying out the effect of a suspension.
+func (c *Clock) Skewed(offset func() time.Duration) *Clock {
+	return newClock(func() time.Duration { return c.boot() + offset() }, c.steady, c.countsSuspension)
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,23 +13,23 @@
 	"github.com/shoenig/test/must"
 )
 
-// hands are two clocks that a test sets.
-type hands struct{ boot, steady time.Duration }
+// testClocks are two clocks that a test sets.
+type testClocks struct{ boot, steady time.Duration }
 
-// run lets time pass while the process runs, and stop while it stands still.
-func (h *hands) run(d time.Duration) { h.boot, h.steady = h.boot+d, h.steady+d }
+// run advances both clocks, as they do while the process runs or is stopped.
+func (h *testClocks) run(d time.Duration) { h.boot, h.steady = h.boot+d, h.steady+d }
 
-// suspend lets time pass while the host is suspended.
-func (h *hands) suspend(d time.Duration) { h.boot += d }
+// suspend advances the clocks as a suspension of the host does.
+func (h *testClocks) suspend(d time.Duration) { h.boot += d }
 
-// clock returns a clock that reads the hands.
-func (h *hands) clock() *Clock {
+// clock returns a Clock that reads the two clocks.
+func (h *testClocks) clock() *Clock {
 	return newClock(func() time.Duration { return h.boot }, func() time.Duration { return h.steady }, true)
 }
 
-// TestClock checks what counts the time of a suspension.
+// TestClock checks that Now and Suspended count a suspension.
 func TestClock(t *testing.T) {
-	h := &hands{boot: time.Hour, steady: 3 * time.Minute}
+	h := &testClocks{boot: time.Hour, steady: 3 * time.Minute}
 	c := h.clock()
 	h.run(2 * time.Second)
 	h.suspend(8 * time.Second)
@@ -43,7 +43,7 @@
 	must.EqOp(t, time.Second, s.Suspended())
 }
 
-// TestRealClock checks that the clock of this machine goes on with the steady one.
+// TestRealClock checks that the clock of this machine advances with the steady one.
 func TestRealClock(t *testing.T) {
 	c := New()
 	first := c.Now()
@@ -56,121 +56,122 @@
 	}
 }
 
-// TestWatch checks which gaps are told, and how.
-func TestWatch(t *testing.T) {
+// TestGapDetector checks which gaps are reported, and with which times.
+func TestGapDetector(t *testing.T) {
 	cases := []struct {
-		name string
-		pass func(h *hands, look func())
-		want []Gap
+		name    string
+		advance func(h *testClocks, check func())
+		want    []Gap
 	}{
-		{"looks as they are due", func(h *hands, look func()) {
+		{"regular checks", func(h *testClocks, check func()) {
 			for range 100 {
 				h.run(25 * time.Millisecond)
-				look()
+				check()
 			}
 		}, nil},
-		{"a slow host", func(h *hands, look func()) {
+		{"a slow host", func(h *testClocks, check func()) {
 			for range 10 {
-				h.run(leastStopped - 1)
-				look()
+				h.run(minStop - 1)
+				check()
 			}
 		}, nil},
-		{"suspended", func(h *hands, look func()) {
+		{"suspended", func(h *testClocks, check func()) {
 			h.suspend(8 * time.Second)
 			h.run(time.Millisecond)
-			look()
-			look()
+			check()
+			check()
 		}, []Gap{{time.Second, 9*time.Second + time.Millisecond, 8 * time.Second}}},
-		{"suspended for a moment", func(h *hands, look func()) {
-			h.suspend(leastSuspended - 1)
-			look()
+		{"suspended too briefly to report", func(h *testClocks, check func()) {
+			h.suspend(minSuspension - 1)
+			check()
 		}, nil},
-		{"suspended for moments that add up", func(h *hands, look func()) {
+		{"short suspensions that add up", func(h *testClocks, check func()) {
 			for range 2 {
-				h.suspend(leastSuspended / 2)
+				h.suspend(minSuspension / 2)
 				h.run(25 * time.Millisecond)
-				look()
+				check()
 			}
-		}, []Gap{{time.Second + leastSuspended/2 + 25*time.Millisecond, time.Second + leastSuspended + 50*time.Millisecond, leastSuspended}}},
-		{"suspended twice in a second", func(h *hands, look func()) {
+		}, []Gap{{time.Second + minSuspension/2 + 25*time.Millisecond, time.Second + minSuspension + 50*time.Millisecond, minSuspension}}},
+		{"suspended twice in a second", func(h *testClocks, check func()) {
 			for range 2 {
 				h.suspend(300 * time.Millisecond)
-				look()
+				check()
 				h.run(25 * time.Millisecond)
-				look()
+				check()
 			}
 		}, []Gap{
 			{time.Second, 1300 * time.Millisecond, 300 * time.Millisecond},
 			{1325 * time.Millisecond, 1625 * time.Millisecond, 300 * time.Millisecond},
 		}},
-		{"stood still", func(h *hands, look func()) {
+		{"stopped", func(h *testClocks, check func()) {
 			h.run(4 * time.Second)
-			look()
-			look()
+			check()
+			check()
 		}, []Gap{{time.Second, 5 * time.Second, 0}}},
-		{"suspended while it stood still", func(h *hands, look func()) {
+		{"suspended while the process was stopped", func(h *testClocks, check func()) {
 			h.run(2 * time.Second)
 			h.suspend(time.Second)
-			look()
-			look()
+			check()
+			check()
 		}, []Gap{{time.Second, 4 * time.Second, time.Second}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := &hands{}
+			h := &testClocks{}
 			var got []Gap
-			w := &GapDetector{Clock: h.clock(), OnGap: func(g Gap) { got = append(got, g) }}
+			d := &GapDetector{Clock: h.clock(), OnGap: func(g Gap) { got = append(got, g) }}
 			h.run(time.Second)
-			w.Check()
-			must.False(t, w.GapSince(0))
-			tc.pass(h, w.Check)
+			d.Check()
+			must.False(t, d.GapSince(0))
+			tc.advance(h, d.Check)
 			must.Eq(t, tc.want, got)
 			if len(got) > 0 {
-				must.True(t, w.GapSince(got[0].Began))
-				must.False(t, w.GapSince(got[len(got)-1].Ended))
+				must.True(t, d.GapSince(got[0].Began))
+				must.False(t, d.GapSince(got[len(got)-1].Ended))
 			}
 		})
 	}
 }
 
-// TestRan checks which time counts as time in which the process ran.
-func TestRan(t *testing.T) {
+// TestRunTime checks which time counts as time in which the process ran.
+func TestRunTime(t *testing.T) {
 	cases := []struct {
-		name  string
-		every time.Duration // between two looks
-		looks int
-		want  time.Duration
+		name     string
+		interval time.Duration // between two checks
+		checks   int
+		want     time.Duration
 	}{
-		{"looks as they are due", 25 * time.Millisecond, 40, time.Second},
-		{"looks by requests, too", time.Millisecond, 1000, time.Second},
-		{"waits for the processor", 60 * time.Millisecond, 40, 0},
-		{"stands still", 10 * time.Second, 3, 0},
+		{"regular checks", 25 * time.Millisecond, 40, time.Second},
+		{"checks by requests, too", time.Millisecond, 1000, time.Second},
+		{"the process waits for the CPU", 60 * time.Millisecond, 40, 0},
+		{"the process is stopped", 10 * time.Second, 3, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := &hands{}
-			w := &GapDetector{Clock: h.clock(), OnGap: func(Gap) {}}
+			h := &testClocks{}
+			d := &GapDetector{Clock: h.clock(), OnGap: func(Gap) {}}
 			h.run(time.Millisecond)
-			w.Check()
-			before := w.RunTime()
-			for range tc.looks {
-				h.run(tc.every)
-				w.Check()
+			d.Check()
+			before := d.RunTime()
+			for range tc.checks {
+				h.run(tc.interval)
+				d.Check()
 			}
-			must.EqOp(t, tc.want, w.RunTime()-before)
+			must.EqOp(t, tc.want, d.RunTime()-before)
 		})
 	}
 }
 
-// TestLooksWaitForTheWaking checks that of many looks at once after a gap one tells of it, and none returns before that is done.
-func TestLooksWaitForTheWaking(t *testing.T) {
+// TestChecksWaitForOnGap checks that one of many concurrent checks after a gap calls OnGap, and that
+// none of them returns before OnGap does.
+func TestChecksWaitForOnGap(t *testing.T) {
 	for range 200 {
 		var boot, done atomic.Int64
-		told := 0
-		w := &GapDetector{
+		calls := 0
+		d := &GapDetector{
 			Clock: newClock(func() time.Duration { return time.Duration(boot.Load()) }, func() time.Duration { return 0 }, true),
 			OnGap: func(Gap) {
-				told++
+				calls++
 				done.Store(1)
 			},
 		}
@@ -178,16 +179,16 @@
 		var wg sync.WaitGroup
 		for range 8 {
 			wg.Go(func() {
-				w.Check()
+				d.Check()
 				must.EqOp(t, 1, done.Load())
 			})
 		}
 		wg.Wait()
-		must.EqOp(t, 1, told)
+		must.EqOp(t, 1, calls)
 	}
 }
 
-// BenchmarkNow reads the clock, and the steady one beside it.
+// BenchmarkNow measures a reading of the clock, a reading of the steady clock and a check for gaps.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	b.Run("boot", func(b *testing.B) {
@@ -201,10 +202,10 @@
 			_ = time.Since(start)
 		}
 	})
-	w := &GapDetector{Clock: c, OnGap: func(Gap) {}}
+	d := &GapDetector{Clock: c, OnGap: func(Gap) {}}
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			w.Check()
+			d.Check()
 		}
 	})
 }
