--- a/revision/bench_test.go
+++ b/revision/bench_test.go
@@ -20,8 +20,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// treeOf returns a declaration of n workspaces with three services each.
-func treeOf(n int) settings.Declaration {
+// declarationOf returns a declaration of n workspaces with three services each.
+func declarationOf(n int) settings.Declaration {
 	d := settings.Declaration{{Node: "", Key: settings.KeyTiers, Value: "urgent,normal,patient"}}
 	for i := range n {
 		ws := fmt.Sprintf("workspaces/ws-%05d", i)
@@ -34,42 +34,42 @@
 	return d.Sorted()
 }
 
-// counting counts bytes and calls to a key-value service.
-type counting struct {
+// countingKV counts bytes and calls to a key-value service.
+type countingKV struct {
 	keyval.KV
 	calls, bytes int
 }
 
-func (c *counting) Get(ctx context.Context, key string) (keyval.Item, error) {
+func (c *countingKV) Get(ctx context.Context, key string) (keyval.Item, error) {
 	it, err := c.KV.Get(ctx, key)
 	c.calls++
 	c.bytes += len(it.Value)
 	return it, err
 }
 
-func (c *counting) Swap(ctx context.Context, key string, v uint64, b []byte, l keyval.Lease) (uint64, error) {
+func (c *countingKV) Swap(ctx context.Context, key string, v uint64, b []byte, l keyval.Lease) (uint64, error) {
 	c.calls++
 	c.bytes += len(b)
 	return c.KV.Swap(ctx, key, v, b, l)
 }
 
-// BenchmarkChange gives what a one-key change costs a host that takes it from the
-// key-value service, and what it costs the operator who makes it.
+// BenchmarkChange measures what a change of one key costs a host that reads it from the key-value
+// service, and what it costs the operator who makes it.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{5, 500, 8300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			ctx := context.Background()
 			kv := &fake.KV{}
-			writer := &counting{KV: kv}
+			writer := &countingKV{KV: kv}
 			st := Store{KV: writer}
-			_, err := st.Apply(ctx, Change{ID: "first"}, settings.Diff(nil, treeOf(n)))
+			_, err := st.Apply(ctx, Change{ID: "first"}, settings.Diff(nil, declarationOf(n)))
 			must.NoError(b, err)
-			reader := &counting{KV: kv}
+			reader := &countingKV{KV: kv}
 			f := &Follower{KV: reader, Log: logr.Discard()}
 			_, err = f.read(ctx)
 			must.NoError(b, err)
 			loaded := reader.bytes
-			*reader, *writer = counting{KV: kv}, counting{KV: kv}
+			*reader, *writer = countingKV{KV: kv}, countingKV{KV: kv}
 			node, old, i := "workspaces/ws-00003", "2", 0
 			for b.Loop() {
 				b.StopTimer()
@@ -85,29 +85,30 @@
 				_, err = f.read(ctx)
 				must.NoError(b, err)
 			}
-			took := float64(f.Counts().FromKV - 1)
-			b.ReportMetric(float64(reader.bytes)/took, "B/change")
-			b.ReportMetric(float64(reader.calls)/took, "calls/change")
-			b.ReportMetric(float64(writer.calls)/took, "operator-calls/change")
+			applied := float64(f.Counts().FromKV - 1)
+			b.ReportMetric(float64(reader.bytes)/applied, "B/change")
+			b.ReportMetric(float64(reader.calls)/applied, "calls/change")
+			b.ReportMetric(float64(writer.calls)/applied, "operator-calls/change")
 			b.ReportMetric(float64(loaded), "B/load")
-			b.ReportMetric(compressed(f, node), "compressed-B/change")
+			b.ReportMetric(compressedSize(f, node), "compressed-B/change")
 		})
 	}
 }
 
-// compressed is what a peer sends for a change: the head and the chunk of a node.
-func compressed(f *Follower, node string) float64 {
-	n := gzipped(f.raw)
+// compressedSize is the number of bytes that a peer sends for a change: the head and the chunk of a
+// node, compressed.
+func compressedSize(f *Follower, node string) float64 {
+	n := gzipSize(f.rawHead)
 	for _, ref := range f.head.Chunks {
 		if ref.Shard == shardOf(settings.Entry{Node: node}) {
-			n += gzipped(f.chunks[ref.Digest])
+			n += gzipSize(f.chunks[ref.Digest])
 		}
 	}
 	return float64(n)
 }
 
-// gzipped is the length of compressed content.
-func gzipped(b []byte) int {
+// gzipSize is the compressed length of content.
+func gzipSize(b []byte) int {
 	var buf bytes.Buffer
 	z := gzip.NewWriter(&buf)
 	_, _ = z.Write(b)
@@ -115,14 +116,14 @@
 	return buf.Len()
 }
 
-// BenchmarkMemory gives the memory that the settings in force take on a host.
+// BenchmarkMemory measures the memory that the settings in force take on a host.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{5, 500, 8300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			ctx := context.Background()
 			kv := &fake.KV{}
 			st := Store{KV: kv}
-			_, err := st.Apply(ctx, Change{ID: "first"}, settings.Diff(nil, treeOf(n)))
+			_, err := st.Apply(ctx, Change{ID: "first"}, settings.Diff(nil, declarationOf(n)))
 			must.NoError(b, err)
 			for b.Loop() {
 				var before, after runtime.MemStats
@@ -140,33 +141,33 @@
 	}
 }
 
-// oldPeer is a peer that is behind.
-type oldPeer struct{ raw []byte }
+// stalePeer is a peer that serves an older revision than it announced.
+type stalePeer struct{ raw []byte }
 
-func (p oldPeer) Head(context.Context, string) ([]byte, error) { return p.raw, nil }
-func (p oldPeer) Chunk(context.Context, string, string) ([]byte, error) {
+func (p stalePeer) Head(context.Context, string) ([]byte, error) { return p.raw, nil }
+func (p stalePeer) Chunk(context.Context, string, string) ([]byte, error) {
 	return nil, ErrIncomplete
 }
 
-func TestOlderPeerChangesNothing(t *testing.T) {
+func TestStalePeerChangesNothing(t *testing.T) {
 	ctx := t.Context()
 	kv := &fake.KV{}
 	st := Store{KV: kv}
-	_, err := st.Apply(ctx, Change{ID: "1"}, settings.Diff(nil, treeOf(3)))
+	_, err := st.Apply(ctx, Change{ID: "1"}, settings.Diff(nil, declarationOf(3)))
 	must.NoError(t, err)
 	it, err := kv.Get(ctx, KeyHead)
 	must.NoError(t, err)
 	_, err = st.Apply(ctx, Change{ID: "2"}, []settings.Edit{{Node: "workspaces/ws-00001", Key: settings.KeyWeight, Old: "2", New: "3"}})
 	must.NoError(t, err)
-	f := &Follower{KV: kv, Peers: oldPeer{it.Value}, Log: logr.Discard()}
+	f := &Follower{KV: kv, Peers: stalePeer{it.Value}, Log: logr.Discard()}
 	_, err = f.read(ctx)
 	must.NoError(t, err)
-	// The peer promises revision 9 and gives revision 1.
+	// The peer announces revision 9 and serves revision 1.
 	must.NoError(t, f.Pull(ctx, 9, "peer"))
 	must.Eq(t, 2, f.Revision())
 	must.Eq(t, 9, f.HighestSeen())
-	// Broken content is refused and what is in force stays.
-	f.Peers = oldPeer{[]byte("{")}
+	// Unreadable content is refused, and the revision in force stays.
+	f.Peers = stalePeer{[]byte("{")}
 	must.Error(t, f.Pull(ctx, 10, "peer"))
 	must.Eq(t, 2, f.Revision())
 	must.Positive(t, f.Counts().Refused)
--- a/revision/follower.go
+++ b/revision/follower.go
@@ -19,8 +19,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// ErrIncomplete means that a revision could not be had whole; the one in force stays.
-var ErrIncomplete = eris.New("revision not available whole; it is tried again")
+// ErrIncomplete means that a revision could not be read completely; the one in force stays.
+var ErrIncomplete = eris.New("revision is not completely available; retrying")
 
 // Peer reads settings from another host.
 type Peer interface {
@@ -32,50 +32,49 @@
 
 // Defaults of a Follower.
 const (
-	// DefaultReadInterval is the time between a relay's reads of the head, beside its watch.
+	// DefaultReadInterval is the time between a relay's reads of the head, in addition to its watch.
 	DefaultReadInterval = 3 * time.Second
-	// checkRate bounds the reads of the head by all hosts that are no relays, in
-	// reads a second: each waits for its share of the fleet.
-	checkRate = 10
-	// retryPause is the time before a failed read is tried again.
-	retryPause = 500 * time.Millisecond
+	// maxReadRate bounds the reads of the head by all hosts that are not relays together, in reads per
+	// second: the time between the reads of each host grows with the number of hosts.
+	maxReadRate = 10
+	// retryDelay is the time before a failed read is retried.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Follower holds the settings in force on one host. Set the exported fields,
-// then call Run.
+// Follower holds the settings in force on one host. Set the exported fields, then call Run.
 type Follower struct {
 	// KV is the key-value service.
 	KV keyval.KV
 	// Peers reads from other hosts; nil means that there are none.
 	Peers Peer
-	// Relay says whether this host watches the head now; nil means always.
+	// Relay reports whether this host watches the head now; nil means always.
 	Relay func() bool
-	// HostCount gives the number of hosts; nil means 1.
+	// HostCount returns the number of hosts; nil means 1.
 	HostCount func() int
-	// OnSnapshot is told of each revision taken; nil means nobody.
+	// OnSnapshot is called with each revision put in force; it may be nil.
 	OnSnapshot func(*settings.Snapshot)
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	snapshot atomic.Pointer[settings.Snapshot]
-	seen     atomic.Uint64
+	snapshot    atomic.Pointer[settings.Snapshot]
+	highestSeen atomic.Uint64
 
-	mu     sync.Mutex
-	head   *Head
-	raw    []byte
-	chunks map[string][]byte
-	counts Counts
+	mu      sync.Mutex
+	head    *Head
+	rawHead []byte
+	chunks  map[string][]byte
+	counts  Counts
 }
 
-// Counts are what a Follower did since its start.
+// Counts count what a Follower did since its start.
 type Counts struct {
 	// Reads and Watches are calls to the key-value service.
 	Reads, Watches int64
-	// FromPeers and FromKV are revisions taken.
+	// FromPeers and FromKV are revisions put in force, by where their head came from.
 	FromPeers, FromKV int64
-	// Bytes is the content received.
+	// Bytes is the size of the content received.
 	Bytes int64
-	// Refused counts revisions that were not whole.
+	// Refused counts revisions that were incomplete or unreadable.
 	Refused int64
 }
 
@@ -90,8 +89,9 @@
 	return 0
 }
 
-// HighestSeen returns the highest revision heard of; above Revision the host is behind.
-func (f *Follower) HighestSeen() uint64 { return max(f.seen.Load(), f.Revision()) }
+// HighestSeen returns the highest revision that this host learned of; while it is above Revision, the
+// host is behind.
+func (f *Follower) HighestSeen() uint64 { return max(f.highestSeen.Load(), f.Revision()) }
 
 // Counts returns the counts so far.
 func (f *Follower) Counts() Counts {
@@ -104,7 +104,7 @@
 func (f *Follower) Head() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.raw
+	return f.rawHead
 }
 
 // Chunk returns the content of a chunk in force, or nil.
@@ -125,42 +125,42 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// follow waits for the head by a watch or by a pause and a read. A watch that
-// stays silent is cut short, so that a read finds what it missed.
+// follow waits for a new head, by a watch or by a pause and a read. A watch without changes is ended
+// after DefaultReadInterval, so that a read finds what the watch missed.
 func (f *Follower) follow(ctx context.Context, version uint64) (uint64, error) {
 	if f.Relay != nil && !f.Relay() && version != 0 {
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(f.share()):
+		case <-time.After(f.readInterval()):
 		}
 		return f.read(ctx)
 	}
 	if version == 0 {
 		return f.read(ctx)
 	}
-	wctx, cancel := context.WithTimeout(ctx, DefaultReadInterval)
+	watchCtx, cancel := context.WithTimeout(ctx, DefaultReadInterval)
 	defer cancel()
 	f.count(func(c *Counts) { c.Watches++ })
-	it, err := f.KV.Watch(wctx, KeyHead, version)
+	it, err := f.KV.Watch(watchCtx, KeyHead, version)
 	if err != nil {
 		return f.read(ctx)
 	}
-	return it.Version, f.take(ctx, it.Value, f.fromKV, false)
+	return it.Version, f.apply(ctx, it.Value, f.fromKV, false)
 }
 
-// share is the time between reads of a host that is no relay.
-func (f *Follower) share() time.Duration {
+// readInterval is the time between reads of the head on a host that is not a relay.
+func (f *Follower) readInterval() time.Duration {
 	n := 1
 	if f.HostCount != nil {
 		n = f.HostCount()
 	}
-	return max(DefaultReadInterval, time.Duration(n)*time.Second/checkRate)
+	return max(DefaultReadInterval, time.Duration(n)*time.Second/maxReadRate)
 }
 
 // read reads the head once.
@@ -173,10 +173,10 @@
 	if err != nil {
 		return 0, err
 	}
-	return it.Version, f.take(ctx, it.Value, f.fromKV, false)
+	return it.Version, f.apply(ctx, it.Value, f.fromKV, false)
 }
 
-// count changes the counts.
+// count updates the counts.
 func (f *Follower) count(change func(*Counts)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,8 +186,8 @@
 // Pull takes a higher revision from a peer that has it; a lower or equal one changes nothing.
 func (f *Follower) Pull(ctx context.Context, revision uint64, address string) error {
 	for {
-		seen := f.seen.Load()
-		if revision <= seen || f.seen.CompareAndSwap(seen, revision) {
+		highest := f.highestSeen.Load()
+		if revision <= highest || f.highestSeen.CompareAndSwap(highest, revision) {
 			break
 		}
 	}
@@ -198,14 +198,14 @@
 	if err != nil {
 		return err
 	}
-	get := func(ctx context.Context, digest string) ([]byte, error) {
+	fetch := func(ctx context.Context, digest string) ([]byte, error) {
 		b, err := f.Peers.Chunk(ctx, address, digest)
 		if err == nil && Digest(b) == digest {
 			return b, nil
 		}
 		return f.fromKV(ctx, digest)
 	}
-	return f.take(ctx, raw, get, true)
+	return f.apply(ctx, raw, fetch, true)
 }
 
 // fromKV reads a chunk from the key-value service.
@@ -215,11 +215,11 @@
 	return it.Value, err
 }
 
-// getChunk reads the content of a chunk from somewhere.
-type getChunk func(ctx context.Context, digest string) ([]byte, error)
+// chunkFetcher reads the content of a chunk, from a peer or from the key-value service.
+type chunkFetcher func(ctx context.Context, digest string) ([]byte, error)
 
-// take puts a revision in force if it is higher and can be had whole.
-func (f *Follower) take(ctx context.Context, raw []byte, get getChunk, peer bool) error {
+// apply puts a revision in force if it is higher than the present one and can be read completely.
+func (f *Follower) apply(ctx context.Context, raw []byte, fetch chunkFetcher, fromPeer bool) error {
 	h, err := DecodeHead(raw)
 	if err != nil {
 		f.count(func(c *Counts) { c.Refused++ })
@@ -228,40 +228,40 @@
 	if h.Revision <= f.Revision() {
 		return nil
 	}
-	chunks, fetched, err := f.collect(ctx, h, get)
+	chunks, fetched, err := f.collect(ctx, h, fetch)
 	if err != nil {
 		f.count(func(c *Counts) { c.Refused++ })
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// Another revision may have come meanwhile; only a higher one replaces it.
+	// Another revision may have been put in force in the meantime; only a higher one replaces it.
 	if h.Revision <= f.Revision() {
 		return nil
 	}
-	snap, err := f.build(h, chunks)
+	snap, err := f.buildSnapshot(h, chunks)
 	if err != nil {
 		f.counts.Refused++
 		return err
 	}
-	f.head, f.raw, f.chunks = h, raw, chunks
+	f.head, f.rawHead, f.chunks = h, raw, chunks
 	f.counts.Bytes += int64(len(raw) + fetched)
-	if peer {
+	if fromPeer {
 		f.counts.FromPeers++
 	} else {
 		f.counts.FromKV++
 	}
 	f.snapshot.Store(snap)
-	f.Log.Info("settings in force", "revision", h.Revision, "from_peer", peer)
+	f.Log.Info("settings in force", "revision", h.Revision, "from_peer", fromPeer)
 	if f.OnSnapshot != nil {
 		f.OnSnapshot(snap)
 	}
 	return nil
 }
 
-// collect gathers the chunks of a head, reusing those in force, and returns the
-// bytes that had to be fetched.
-func (f *Follower) collect(ctx context.Context, h *Head, get getChunk) (map[string][]byte, int, error) {
+// collect gathers the chunks of a head, reuses those in force, and returns the number of bytes that it
+// had to fetch.
+func (f *Follower) collect(ctx context.Context, h *Head, fetch chunkFetcher) (map[string][]byte, int, error) {
 	out := make(map[string][]byte, len(h.Chunks))
 	fetched := 0
 	for _, ref := range h.Chunks {
@@ -269,7 +269,7 @@
 			out[ref.Digest] = b
 			continue
 		}
-		b, err := get(ctx, ref.Digest)
+		b, err := fetch(ctx, ref.Digest)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -282,9 +282,9 @@
 	return out, fetched, nil
 }
 
-// build makes the snapshot of a head, from the one in force where only some
-// shards changed; mu must be held.
-func (f *Follower) build(h *Head, chunks map[string][]byte) (*settings.Snapshot, error) {
+// buildSnapshot makes the snapshot of a head. If no fleet-wide entries changed, it starts from the
+// snapshot in force and replaces only the changed shards; mu must be held.
+func (f *Follower) buildSnapshot(h *Head, chunks map[string][]byte) (*settings.Snapshot, error) {
 	old := make(map[int]string)
 	if f.head != nil {
 		for _, r := range f.head.Chunks {
@@ -292,28 +292,28 @@
 		}
 	}
 	var changed []settings.ShardEntries
-	fleet := f.head == nil
+	rebuild := f.head == nil
 	for _, r := range h.Chunks {
 		if old[r.Shard] != r.Digest {
-			d, err := decode(chunks[r.Digest])
+			d, err := decodeEntries(chunks[r.Digest])
 			if err != nil {
 				return nil, err
 			}
 			changed = append(changed, settings.ShardEntries{Shard: r.Shard, Entries: d})
-			fleet = fleet || r.Shard == FleetShard
+			rebuild = rebuild || r.Shard == FleetShard
 		}
 		delete(old, r.Shard)
 	}
 	for s := range old {
 		changed = append(changed, settings.ShardEntries{Shard: s})
-		fleet = fleet || s == FleetShard
+		rebuild = rebuild || s == FleetShard
 	}
-	if !fleet {
+	if !rebuild {
 		return f.Snapshot().With(h.Revision, changed), nil
 	}
 	var all settings.Declaration
 	for _, r := range h.Chunks {
-		d, err := decode(chunks[r.Digest])
+		d, err := decodeEntries(chunks[r.Digest])
 		if err != nil {
 			return nil, err
 		}
@@ -322,8 +322,8 @@
 	return settings.NewSnapshot(h.Revision, all.Sorted()), nil
 }
 
-// decode reads the entries of a chunk whose digest was checked.
-func decode(b []byte) (settings.Declaration, error) {
+// decodeEntries reads the entries of a chunk whose digest was checked.
+func decodeEntries(b []byte) (settings.Declaration, error) {
 	var d settings.Declaration
 	return d, json.Unmarshal(b, &d)
 }
--- a/revision/head.go
+++ b/revision/head.go
@@ -16,13 +16,13 @@
 
 // Keys in the key-value service.
 const (
-	// KeyHead holds the head record.
+	// KeyHead is the key of the head record.
 	KeyHead = "settings/head"
-	// KeyChunk is followed by a chunk's digest.
+	// KeyChunk is the prefix of the keys of chunks; the chunk's digest follows.
 	KeyChunk = "settings/chunk/"
 )
 
-// FleetShard is the number of the chunk that concerns all workspaces.
+// FleetShard is the number of the chunk of fleet-wide entries, which concern all workspaces.
 const FleetShard = -1
 
 // ChunkRef names one chunk of a revision.
@@ -35,29 +35,30 @@
 
 // Change is an accepted change.
 type Change struct {
-	// ID is drawn by the writer and finds the change again after a lost answer.
+	// ID is drawn by the writer and identifies the change after a lost answer.
 	ID string `json:"id"`
-	// Revision is the one that it made.
+	// Revision is the revision that the change made.
 	Revision uint64 `json:"revision"`
-	// Author and Message are the operator's.
+	// Author and Message are given by the operator.
 	Author  string `json:"author"`
 	Message string `json:"message,omitempty"`
-	// AtMS is the writer's clock in milliseconds since 1970, for people only.
+	// AtMS is the time of the change by the writer's clock, in milliseconds since 1970. It is shown to
+	// people only.
 	AtMS int64 `json:"at_ms"`
-	// Paths are the paths changed, at most maxPaths; More counts the rest.
+	// Paths are the changed paths, at most maxPaths; MorePaths counts the others.
 	Paths     []string `json:"paths"`
 	MorePaths int      `json:"more,omitempty"`
 }
 
-// Retired is a chunk that is no longer named since a revision.
+// Retired is a chunk that the head no longer names.
 type Retired struct {
 	// Digest is the chunk's digest.
 	Digest string `json:"d"`
-	// Revision is the first that does not name it.
+	// Revision is the first one that does not name the chunk.
 	Revision uint64 `json:"r"`
 }
 
-// Head is the record that names a revision.
+// Head is the record that names the chunks of a revision.
 type Head struct {
 	// Revision rises by one with each accepted change.
 	Revision uint64 `json:"revision"`
@@ -65,21 +66,21 @@
 	Chunks []ChunkRef `json:"chunks"`
 	// Recent are the last changes, the newest first.
 	Recent []Change `json:"recent"`
-	// Retired are chunks that may be deleted some revisions later.
+	// Retired are chunks that may be deleted retiredRevisions later.
 	Retired []Retired `json:"retired,omitempty"`
 }
 
-// Bounds of a head record.
+// Limits of a head record.
 const (
-	// maxRecent is the number of changes remembered.
+	// maxRecent is the number of changes that a head keeps.
 	maxRecent = 64
-	// maxPaths is the number of paths remembered of a change.
+	// maxPaths is the number of paths that a head keeps of each change.
 	maxPaths = 20
-	// keepRetired is the number of revisions for which a retired chunk is kept.
-	keepRetired = 16
+	// retiredRevisions is the number of revisions for which a retired chunk is kept.
+	retiredRevisions = 16
 )
 
-// Digest names content: the first 16 bytes of its SHA-256 in hexadecimal.
+// Digest returns the digest of content: the first 16 bytes of its SHA-256 in hexadecimal.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:16])
@@ -94,7 +95,7 @@
 	return &h, nil
 }
 
-// Find returns the remembered change of an ID.
+// Find returns the change of an ID, if the head still has it.
 func (h *Head) Find(id string) (Change, bool) {
 	i := slices.IndexFunc(h.Recent, func(c Change) bool { return c.ID == id })
 	if i < 0 {
@@ -103,14 +104,14 @@
 	return h.Recent[i], true
 }
 
-// Chunk is a part of a declaration ready to be stored.
+// Chunk is a part of a declaration, ready to be stored.
 type Chunk struct {
 	ChunkRef
 	// Content is the JSON of its entries.
 	Content []byte
 }
 
-// Chunks cuts a sorted declaration into its chunks, sorted by shard.
+// Chunks splits a sorted declaration into chunks, sorted by shard.
 func Chunks(d settings.Declaration) ([]Chunk, error) {
 	parts := make(map[int]settings.Declaration)
 	for _, e := range d {
@@ -128,7 +129,7 @@
 	return out, nil
 }
 
-// shardOf returns the chunk's number of an entry.
+// shardOf returns the shard of an entry.
 func shardOf(e settings.Entry) int {
 	top := settings.Top(e.Node)
 	if top == "" {
--- a/revision/store.go
+++ b/revision/store.go
@@ -17,16 +17,16 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// ConflictError says that paths were changed by somebody else in the meantime.
+// ConflictError reports that paths were changed by another change in the meantime.
 type ConflictError struct {
-	// Mine is the change that was refused and Paths what it shares with others.
+	// Mine is the change that was refused; Paths are its paths that others changed too.
 	Mine  Change
 	Paths []string
-	// Theirs are the accepted changes that touched these paths, if remembered.
+	// Theirs are the accepted changes that touched these paths, as far as the head still has them.
 	Theirs []Change
 }
 
-// Error names both changes.
+// Error names the refused change and those that it conflicts with.
 func (e *ConflictError) Error() string {
 	var theirs []string
 	for _, c := range e.Theirs {
@@ -43,35 +43,34 @@
 type Store struct {
 	// KV is the key-value service.
 	KV keyval.KV
-	// Pause is the time before a retry, 0 for 100 ms.
+	// Pause is the time before a retry; 0 means 100 ms.
 	Pause time.Duration
 }
 
-// Load returns the head and the declaration in force; with none yet, an empty head.
+// Load returns the head and the declaration in force. Before the first change the head is empty.
 func (s *Store) Load(ctx context.Context) (*Head, settings.Declaration, error) {
 	h, _, err := s.head(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	d, err := s.declaration(ctx, h, everything)
+	d, err := s.declaration(ctx, h, allShards)
 	return h, d, err
 }
 
-// part tells which shards are read or written.
-type part func(shard int) bool
+// shardFilter selects the shards that are read or written.
+type shardFilter func(shard int) bool
 
-// everything is all shards.
-func everything(int) bool { return true }
+// allShards selects all shards.
+func allShards(int) bool { return true }
 
-// touched is the part that edits need: the fleet's chunk and those of the
-// workspaces edited, or everything if the fleet's own entries change, since any
-// workspace may refer to them.
-func touched(edits []settings.Edit) part {
+// editedShards selects the shards that edits need: the fleet's and those of the edited workspaces. If
+// fleet-wide entries change, it selects all shards, since any workspace may refer to them.
+func editedShards(edits []settings.Edit) shardFilter {
 	shards := map[int]bool{FleetShard: true}
 	for _, e := range edits {
 		s := shardOf(settings.Entry{Node: e.Node})
 		if s == FleetShard {
-			return everything
+			return allShards
 		}
 		shards[s] = true
 	}
@@ -91,11 +90,11 @@
 	return h, it.Version, err
 }
 
-// declaration reads the chunks of a part of a head.
-func (s *Store) declaration(ctx context.Context, h *Head, in part) (settings.Declaration, error) {
+// declaration reads the selected chunks of a head.
+func (s *Store) declaration(ctx context.Context, h *Head, include shardFilter) (settings.Declaration, error) {
 	var d settings.Declaration
 	for _, ref := range h.Chunks {
-		if !in(ref.Shard) {
+		if !include(ref.Shard) {
 			continue
 		}
 		it, err := s.KV.Get(ctx, KeyChunk+ref.Digest)
@@ -111,14 +110,13 @@
 	return d.Sorted(), nil
 }
 
-// Apply makes a change in force: edits are merged onto the newest revision. It
-// may be called again with the same change ID after any error: a change is
-// applied once, and never over a later edit. Errors other than ConflictError and
-// settings.Faults are of the key-value service and worth a retry.
+// Apply puts a change in force: it merges edits onto the newest revision. It may be called again with
+// the same change ID after any error: a change is applied once, and never over a later edit. Errors
+// other than ConflictError and settings.Faults come from the key-value service and are worth a retry.
 func (s *Store) Apply(ctx context.Context, c Change, edits []settings.Edit) (Change, error) {
 	for {
-		done, err := s.try(ctx, c, edits)
-		if err == nil || !again(err) {
+		done, err := s.attempt(ctx, c, edits)
+		if err == nil || !isTemporary(err) {
 			return done, err
 		}
 		pause := s.Pause
@@ -133,15 +131,15 @@
 	}
 }
 
-// again reports whether an error may pass by itself.
-func again(err error) bool {
+// isTemporary reports whether an operation that failed with this error may succeed when it is retried.
+func isTemporary(err error) bool {
 	return errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnavailable) ||
 		errors.Is(err, keyval.ErrLimited) || errors.Is(err, keyval.ErrNotFound)
 }
 
-// try makes one attempt. A head whose write gave no answer is read again by the
-// next attempt, which finds the change by its ID.
-func (s *Store) try(ctx context.Context, c Change, edits []settings.Edit) (Change, error) {
+// attempt makes one attempt. If the answer to the write of a head is lost, the next attempt reads the
+// head again and finds the change by its ID.
+func (s *Store) attempt(ctx context.Context, c Change, edits []settings.Edit) (Change, error) {
 	h, version, err := s.head(ctx)
 	if err != nil {
 		return c, err
@@ -149,25 +147,25 @@
 	if done, ok := h.Find(c.ID); ok {
 		return done, nil
 	}
-	in := touched(edits)
-	d, err := s.declaration(ctx, h, in)
+	include := editedShards(edits)
+	d, err := s.declaration(ctx, h, include)
 	if err != nil {
 		return c, err
 	}
 	merged, conflicts := settings.Merge(d, edits)
 	if len(conflicts) > 0 {
-		return c, &ConflictError{Mine: c, Paths: conflicts, Theirs: touching(h, conflicts)}
+		return c, &ConflictError{Mine: c, Paths: conflicts, Theirs: changesTouching(h, conflicts)}
 	}
 	if faults := settings.Check(merged); len(faults) > 0 {
 		return c, faults
 	}
 	c.Revision = h.Revision + 1
-	c.Paths, c.MorePaths = pathsOf(edits)
-	return c, s.write(ctx, h, version, merged, in, c)
+	c.Paths, c.MorePaths = limitedPaths(edits)
+	return c, s.writeRevision(ctx, h, version, merged, include, c)
 }
 
-// touching returns the remembered changes that touched any of the paths.
-func touching(h *Head, paths []string) []Change {
+// changesTouching returns the changes that the head still has and that touched any of the paths.
+func changesTouching(h *Head, paths []string) []Change {
 	var out []Change
 	for _, c := range h.Recent {
 		if slices.ContainsFunc(c.Paths, func(p string) bool { return slices.Contains(paths, p) }) {
@@ -177,8 +175,8 @@
 	return out
 }
 
-// pathsOf returns the paths of edits as they are remembered.
-func pathsOf(edits []settings.Edit) ([]string, int) {
+// limitedPaths returns the paths of edits that a head keeps, and the number of the others.
+func limitedPaths(edits []settings.Edit) ([]string, int) {
 	n := min(len(edits), maxPaths)
 	paths := make([]string, n)
 	for i := range paths {
@@ -187,16 +185,16 @@
 	return paths, len(edits) - n
 }
 
-// write stores the new chunks of a part and then the head, and deletes chunks
-// long retired.
-func (s *Store) write(ctx context.Context, h *Head, version uint64, d settings.Declaration, in part, c Change) error {
+// writeRevision stores the new chunks of the selected shards and then the head, and deletes chunks
+// that were retired long ago.
+func (s *Store) writeRevision(ctx context.Context, h *Head, version uint64, d settings.Declaration, include shardFilter, c Change) error {
 	chunks, err := Chunks(d)
 	if err != nil {
 		return err
 	}
 	next := &Head{Revision: c.Revision}
 	for _, ref := range h.Chunks {
-		if !in(ref.Shard) {
+		if !include(ref.Shard) {
 			next.Chunks = append(next.Chunks, ref)
 		}
 	}
@@ -211,7 +209,7 @@
 	}
 	slices.SortFunc(next.Chunks, func(a, b ChunkRef) int { return a.Shard - b.Shard })
 	next.Recent = append([]Change{c}, h.Recent[:min(len(h.Recent), maxRecent-1)]...)
-	dead := s.retire(ctx, h, next)
+	expired := s.retire(ctx, h, next)
 	b, err := json.Marshal(next)
 	if err != nil {
 		return err
@@ -219,15 +217,15 @@
 	if _, err := s.KV.Swap(ctx, KeyHead, version, b, 0); err != nil {
 		return err
 	}
-	for _, it := range dead {
-		// What cannot be deleted now stays as litter of a few kilobytes.
+	for _, it := range expired {
+		// What cannot be deleted now remains as a few kilobytes of garbage.
 		_ = s.KV.Delete(ctx, it.Key, it.Version)
 	}
 	return nil
 }
 
-// writeChunk stores a chunk. One that exists is written again, so that its
-// version rises and a writer that is about to delete it fails.
+// writeChunk stores a chunk. An existing chunk is written again, so that its version rises and a
+// writer that is about to delete it fails.
 func (s *Store) writeChunk(ctx context.Context, ch Chunk) error {
 	key := KeyChunk + ch.Digest
 	_, err := s.KV.Swap(ctx, key, 0, ch.Content, 0)
@@ -242,22 +240,22 @@
 	return err
 }
 
-// retire notes in next which chunks it no longer names, and returns those
-// retired long enough ago to be deleted, with the versions they have now:
-// before the head that forgets them is written.
+// retire lists in next the chunks that next no longer names. It returns the chunks that were retired
+// long enough ago to be deleted, with their versions as they are before the head that forgets them is
+// written.
 func (s *Store) retire(ctx context.Context, h, next *Head) []keyval.Item {
 	named := func(digest string) bool {
 		return slices.ContainsFunc(next.Chunks, func(r ChunkRef) bool { return r.Digest == digest })
 	}
-	var dead []keyval.Item
+	var expired []keyval.Item
 	for _, r := range h.Retired {
 		switch {
 		case named(r.Digest):
-		case next.Revision-r.Revision < keepRetired:
+		case next.Revision-r.Revision < retiredRevisions:
 			next.Retired = append(next.Retired, r)
 		default:
 			if it, err := s.KV.Get(ctx, KeyChunk+r.Digest); err == nil {
-				dead = append(dead, it)
+				expired = append(expired, it)
 			}
 		}
 	}
@@ -266,5 +264,5 @@
 			next.Retired = append(next.Retired, Retired{ref.Digest, next.Revision})
 		}
 	}
-	return dead
+	return expired
 }
