--- a/outlier/doc.go
+++ b/outlier/doc.go
@@ -2,16 +2,17 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package outlier judges from the outcomes of requests which endpoints of a pool fail, and leaves these alone for
-// a time: outlier ejection, as service meshes have it, with circuit breaking (closed, open, half open) for each endpoint.
-// A Record holds what one host knows of one life of an endpoint: its own outcomes, and the sums that other hosts tell
-// of theirs. It does no I/O and reads no clock; times are since the scheduler's start.
+// Package outlier detects from the outcomes of requests which endpoints of a pool fail, and ejects them for a
+// time: outlier ejection, as in service meshes, with a circuit breaker (closed, open, half-open) for each
+// endpoint. A Record holds what one host knows about one incarnation of an endpoint: its own outcomes and the
+// sums that other hosts report of theirs. The package does no I/O and reads no clock; times are relative to the
+// scheduler's start.
 //
-// Two things eject an endpoint:
+// Two conditions eject an endpoint:
 //
-//   - failures in a row of this host's own requests, how many depends on their kind; and
-//   - a part of failures in the latest requests of all hosts that leaves nothing to hope for.
+//   - consecutive failures of this host's own requests; the threshold depends on the kind of failure; and
+//   - a failure ratio in the latest requests of all hosts so high that further requests are expected to fail.
 //
-// After its time an ejected endpoint is half open: it gets one request at a time, and only such as may be repeated,
-// until one is answered. Each failure of such a probe doubles the time.
+// After its ejection time an endpoint is half-open: it gets one request at a time, and only repeatable
+// requests, until one is answered. Each failed probe doubles the ejection time.
 package outlier
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -9,35 +9,39 @@
 	"time"
 )
 
-// half is the time in which an outcome loses half of its weight. An endpoint that gets 7 requests a second
-// and dies is known to fail 6 in 10 after 0.7 s with 1 s, after 1.1 s with 2 s; with 0.5 s, so few requests are
-// left in the sums that one that fails 3 in 100 looks like one that fails 20.
-const half = time.Second
-
-// Evidence is the number of the latest requests that an endpoint answered well, and that it failed, faded by half.
+// evidenceHalfLife is the time in which an outcome loses half of its weight. For an endpoint that gets 7
+// requests per second and dies, the measured failure ratio reaches 0.6 after 0.7 s with a half-life of 1 s, and
+// after 1.1 s with 2 s. With 0.5 s, so few requests are left in the sums that an endpoint that fails 3 % of its
+// requests looks like one that fails 20 %.
+const evidenceHalfLife = time.Second
+
+// Evidence counts the latest requests that an endpoint answered well (Good) and that it failed (Bad). The
+// counts decay with evidenceHalfLife.
 type Evidence struct {
 	Good, Bad float64
 }
 
-// fade lets time pass.
-func (e Evidence) fade(d time.Duration) Evidence {
-	f := math.Exp2(-float64(max(0, d)) / float64(half))
-	return Evidence{e.Good * f, e.Bad * f}
+// decay returns the evidence after d has passed.
+func (e Evidence) decay(d time.Duration) Evidence {
+	factor := math.Exp2(-float64(max(0, d)) / float64(evidenceHalfLife))
+	return Evidence{e.Good * factor, e.Bad * factor}
 }
 
-// mostTold bounds what one host tells: a host that is cut off from an endpoint, or errs, must not eject it for all.
-const mostTold = 3
+// maxSharedWeight limits the number of requests in what one host reports: a host that is cut off from an
+// endpoint, or is faulty, must not eject it for all hosts.
+const maxSharedWeight = 3
 
-// bounded is the evidence as one host may tell it: with the same part of failures and a bounded weight.
-func (e Evidence) bounded() Evidence {
-	if sum := e.Good + e.Bad; sum > mostTold {
-		e.Good, e.Bad = e.Good*mostTold/sum, e.Bad*mostTold/sum
+// capped returns the evidence as one host may report it: with the same ratio of failures and at most
+// maxSharedWeight requests.
+func (e Evidence) capped() Evidence {
+	if sum := e.Good + e.Bad; sum > maxSharedWeight {
+		e.Good, e.Bad = e.Good*maxSharedWeight/sum, e.Bad*maxSharedWeight/sum
 	}
 	return e
 }
 
-// doubt is the number of good answers that an endpoint is taken to have given before any is known.
-const doubt = 2
+// priorSuccesses is the number of successes that an endpoint is assumed to have before any outcome is known.
+const priorSuccesses = 2
 
-// failing is the part of requests that are expected to fail.
-func (e Evidence) failing() float64 { return e.Bad / (e.Good + e.Bad + doubt) }
+// failureRatio returns the fraction of requests that are expected to fail.
+func (e Evidence) failureRatio() float64 { return e.Bad / (e.Good + e.Bad + priorSuccesses) }
--- a/outlier/failure.go
+++ b/outlier/failure.go
@@ -4,30 +4,32 @@
 
 package outlier
 
-// Failure is how an endpoint failed a request.
+// Failure is the kind of an endpoint's failure to serve a request.
 type Failure uint8
 
-// The failures.
+// Kinds of failure.
 const (
-	// Unreachable means that no connection came up.
+	// Unreachable means that no connection could be established.
 	Unreachable Failure = iota
-	// Unanswered means that nothing came back: a reset or a close before the answer, or silence.
+	// Unanswered means that no part of an answer arrived: the connection was reset or closed before the answer,
+	// or the endpoint was silent.
 	Unanswered
-	// Broken means that an answer broke off, or was spoiled.
+	// Broken means that an answer broke off or was corrupt.
 	Broken
-	// Errored means that the endpoint answered with a failure of its own.
+	// Errored means that the endpoint answered with an error of its own.
 	Errored
-	// Rejected means that the endpoint said that it is full.
+	// Rejected means that the endpoint reported that it is full.
 	Rejected
-	failures
+	failureKinds
 )
 
-// inRow is the number of failures of a kind in a row that eject an endpoint.
+// ejectionThresholds holds, for each kind, the number of consecutive failures that eject an endpoint.
 //
-//   - A connection that is refused has one reason only.
-//   - Without an answer to two requests in a row, an endpoint that loses 3 in 100 answers is ejected
-//     once in a thousand requests, and one that has died loses two requests of a host.
-//   - Answers that break off and errors of its own may be the request's fault, and come from an endpoint that does
-//     some work: one that fails 45 in 100 is ejected by three and five of them in 9 and 2 of 100 tries.
-//   - A full endpoint is full for a moment; one that says so four times in a row does not work.
-var inRow = [failures]int{Unreachable: 1, Unanswered: 2, Broken: 3, Errored: 5, Rejected: 4}
+//   - A refused connection has only one cause.
+//   - With a threshold of two unanswered requests, an endpoint that loses 3 % of its answers is ejected once
+//     per thousand requests, and one that has died loses two requests of each host.
+//   - Answers that break off and errors of the endpoint may be caused by the request, and come from an endpoint
+//     that does some work: one that fails 45 % of its requests is ejected by three broken answers in 9 % and by
+//     five errors in 2 % of the tries.
+//   - A full endpoint is full for a moment; one that rejects four requests in a row does not work.
+var ejectionThresholds = [failureKinds]int{Unreachable: 1, Unanswered: 2, Broken: 3, Errored: 5, Rejected: 4}
--- a/outlier/fleet_test.go
+++ b/outlier/fleet_test.go
@@ -13,73 +13,73 @@
 	"github.com/shoenig/test/must"
 )
 
-// fleet is hosts that send requests to endpoints which fail by a plan, and tell each other of it with a delay. A
-// request goes to the endpoint of three drawn that has the fewest under way: one that fails at once looks idle.
+// fleet simulates hosts that send requests to endpoints that fail as given, and that report outcomes to each
+// other with a delay. A request goes to the endpoint with the fewest requests in flight among the candidates
+// drawn: an endpoint that fails at once looks idle.
 type fleet struct {
-	rand    *rand.Rand
-	now     time.Duration
-	hosts   [][]Record // by host and endpoint
-	running []int      // by endpoint
-	told    [][]Evidence
-	delay   time.Duration
-	ends    []ending
-	// fails tells whether a request at an endpoint fails now, and takes how long a request takes.
-	fails func(endpoint int, now time.Duration) bool
-	lost  []int // by endpoint, requests that may not be repeated
-	sent  []int
+	rand     *rand.Rand
+	now      time.Duration
+	hosts    [][]Record // by host and endpoint
+	inFlight []int      // requests by endpoint
+	shared   [][]Evidence
+	delay    time.Duration
+	pending  []pendingRequest
+	// fails reports whether a request sent to an endpoint now fails.
+	fails    func(endpoint int, now time.Duration) bool
+	lostOnce []int // by endpoint, failed requests that are not repeatable
+	sent     []int
 }
 
-// ending is a request that ends at a time.
-type ending struct {
-	at, sent       time.Duration
-	host, endpoint int
-	failed, once   bool
+// pendingRequest is a request in flight.
+type pendingRequest struct {
+	endsAt, sentAt        time.Duration
+	host, endpoint        int
+	failed, nonRepeatable bool
 }
 
 const (
 	tick = 10 * ms
-	// aRequest is the time of a request, and a failure comes at once.
-	aRequest = 400 * ms
-	// perEndpoint is the rate of requests for each endpoint, a second.
-	perEndpoint = 8
+	// requestTime is the duration of a request; failures come at once.
+	requestTime = 400 * ms
+	// requestRate is the number of requests per second for each endpoint.
+	requestRate = 8
 )
 
-// newFleet makes a fleet.
 func newFleet(hosts, endpoints int, seed uint64, delay time.Duration, fails func(int, time.Duration) bool) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 0)), running: make([]int, endpoints), lost: make([]int, endpoints), sent: make([]int, endpoints), delay: delay, fails: fails}
+	f := &fleet{rand: rand.New(rand.NewPCG(seed, 0)), inFlight: make([]int, endpoints), lostOnce: make([]int, endpoints), sent: make([]int, endpoints), delay: delay, fails: fails}
 	for range hosts {
 		f.hosts = append(f.hosts, make([]Record, endpoints))
 	}
 	return f
 }
 
-// step lets a tick pass.
+// step advances the simulation by one tick.
 func (f *fleet) step() {
 	f.now += tick
-	rest := f.ends[:0]
-	for _, e := range f.ends {
-		if e.at > f.now {
-			rest = append(rest, e)
+	remaining := f.pending[:0]
+	for _, e := range f.pending {
+		if e.endsAt > f.now {
+			remaining = append(remaining, e)
 			continue
 		}
-		f.running[e.endpoint]--
+		f.inFlight[e.endpoint]--
 		r := &f.hosts[e.host][e.endpoint]
 		r.Inconclusive()
 		switch {
 		case !e.failed:
 			r.Succeed(f.now)
 		default:
-			r.Fail(f.now, e.sent, Unanswered, f.rand.Float64())
-			if e.once {
-				f.lost[e.endpoint]++
+			r.Fail(f.now, e.sentAt, Unanswered, f.rand.Float64())
+			if e.nonRepeatable {
+				f.lostOnce[e.endpoint]++
 			}
 		}
 	}
-	f.ends = rest
+	f.pending = remaining
 	f.share()
-	mean := perEndpoint * float64(len(f.running)) * tick.Seconds()
-	n := int(mean)
-	if f.rand.Float64() < mean-float64(n) {
+	expected := requestRate * float64(len(f.inFlight)) * tick.Seconds()
+	n := int(expected)
+	if f.rand.Float64() < expected-float64(n) {
 		n++
 	}
 	for range n {
@@ -87,23 +87,23 @@
 	}
 }
 
-// share tells all hosts the sum of what the others told a delay ago.
+// share gives all hosts the sum of what the others reported one delay ago.
 func (f *fleet) share() {
 	if f.now%(200*ms) != 0 || len(f.hosts) == 1 {
 		return
 	}
-	sum := make([]Evidence, len(f.running))
+	sum := make([]Evidence, len(f.inFlight))
 	for h := range f.hosts {
 		for e := range sum {
-			told := f.hosts[h][e].LocalEvidence(f.now)
-			sum[e].Good += told.Good
-			sum[e].Bad += told.Bad
+			local := f.hosts[h][e].LocalEvidence(f.now)
+			sum[e].Good += local.Good
+			sum[e].Bad += local.Bad
 		}
 	}
-	f.told = append(f.told, sum)
-	if back := int(f.delay / (200 * ms)); len(f.told) > back {
+	f.shared = append(f.shared, sum)
+	if lag := int(f.delay / (200 * ms)); len(f.shared) > lag {
 		for h := range f.hosts {
-			for e, s := range f.told[len(f.told)-1-back] {
+			for e, s := range f.shared[len(f.shared)-1-lag] {
 				own := f.hosts[h][e].LocalEvidence(f.now)
 				f.hosts[h][e].SetPeerEvidence(f.now, Evidence{max(0, s.Good-own.Good), max(0, s.Bad-own.Bad)})
 			}
@@ -111,16 +111,16 @@
 	}
 }
 
-// send sends a request.
-func (f *fleet) send(host int, once bool) {
+// send sends one request.
+func (f *fleet) send(host int, nonRepeatable bool) {
 	best := -1
-	for range 12 { // of three that admit it
-		e := f.rand.IntN(len(f.running))
-		ok, probe := f.hosts[host][e].Admits(f.now, !once)
+	for range 12 { // draws; endpoints that do not admit the request are skipped
+		e := f.rand.IntN(len(f.inFlight))
+		ok, probe := f.hosts[host][e].Admits(f.now, !nonRepeatable)
 		if !ok || (probe && f.rand.Float64()*float64(len(f.hosts)) >= 4) {
 			continue
 		}
-		if best < 0 || f.running[e] < f.running[best] {
+		if best < 0 || f.inFlight[e] < f.inFlight[best] {
 			best = e
 		}
 	}
@@ -128,31 +128,32 @@
 		return
 	}
 	f.hosts[host][best].Begin(f.now)
-	f.running[best]++
+	f.inFlight[best]++
 	f.sent[best]++
-	e := ending{at: f.now + aRequest, sent: f.now, host: host, endpoint: best, once: once}
+	e := pendingRequest{endsAt: f.now + requestTime, sentAt: f.now, host: host, endpoint: best, nonRepeatable: nonRepeatable}
 	if f.fails(best, f.now) {
-		e.at, e.failed = f.now+tick, true
+		e.endsAt, e.failed = f.now+tick, true
 	}
-	f.ends = append(f.ends, e)
+	f.pending = append(f.pending, e)
 }
 
-// TestFleetEjects plays fleets before endpoints of which some die, flap, or fail in part: how many requests that may not be
-// repeated each costs, and whether it is used again. On a played day of 85 hosts before 60 engines 2,351 tries ended without an answer while each host
-// left a failing endpoint alone for 30 ms, and 381 with ejections.
+// TestFleetEjects simulates fleets with endpoints that die, flap or fail in part, and checks how many requests
+// that are not repeatable each of them loses, and whether an endpoint that recovers is used again. In a
+// recorded day with 85 hosts and 60 engines, 2,351 attempts ended without an answer while each host avoided a
+// failing endpoint for only 30 ms, and 381 with ejections.
 func TestFleetEjects(t *testing.T) {
-	const bad = 3 // endpoints that fail
-	type play struct {
+	const failingEndpoints = 3
+	type scenario struct {
 		name     string
-		fails    func(r *rand.Rand, now time.Duration) bool // of the endpoints that fail
+		fails    func(r *rand.Rand, now time.Duration) bool // of the failing endpoints
 		recovers bool
-		// most is the number of lost requests, for each endpoint that fails.
-		most int
+		// maxLost limits the number of lost requests per failing endpoint.
+		maxLost int
 	}
 	within := func(now, from, to time.Duration) bool { return now >= from && now < to }
-	plays := []play{
+	scenarios := []scenario{
 		{"dies", func(_ *rand.Rand, now time.Duration) bool { return now >= 2*time.Second }, false, 30},
-		{"fails nine of ten", func(r *rand.Rand, now time.Duration) bool { return now >= 2*time.Second && r.IntN(10) > 0 }, false, 60},
+		{"fails 9 of 10", func(r *rand.Rand, now time.Duration) bool { return now >= 2*time.Second && r.IntN(10) > 0 }, false, 60},
 		{"goes down and up", func(_ *rand.Rand, now time.Duration) bool {
 			return within(now, 2*time.Second, 8*time.Second) && (now/(1400*ms))%2 == 0
 		}, true, 60},
@@ -162,50 +163,50 @@
 		hosts, endpoints int
 		delay            time.Duration
 	}{{6, 18, 0}, {85, 60, 400 * ms}, {300, 160, 400 * ms}} {
-		for _, p := range plays {
-			t.Run(fmt.Sprint(size.hosts, " hosts, ", p.name), func(t *testing.T) {
+		for _, sc := range scenarios {
+			t.Run(fmt.Sprint(size.hosts, " hosts, ", sc.name), func(t *testing.T) {
 				var f *fleet
 				f = newFleet(size.hosts, size.endpoints, 1, size.delay, func(e int, now time.Duration) bool {
-					return e < bad && p.fails(f.rand, now)
+					return e < failingEndpoints && sc.fails(f.rand, now)
 				})
-				var before []int
+				var sentBefore []int
 				for f.now < 16*time.Second {
 					f.step()
 					if f.now == 15*time.Second {
-						before = append(before, f.sent...)
+						sentBefore = append(sentBefore, f.sent...)
 					}
 				}
-				lost, back := 0, 0
-				for e := range bad {
-					lost += f.lost[e]
-					back += f.sent[e] - before[e]
+				lost, sentAfter := 0, 0
+				for e := range failingEndpoints {
+					lost += f.lostOnce[e]
+					sentAfter += f.sent[e] - sentBefore[e]
 				}
-				t.Logf("lost for each %d, sent to each in the last second %d", lost/bad, back/bad)
-				must.LessEq(t, p.most, lost/bad)
-				if p.recovers {
-					must.GreaterEq(t, perEndpoint/2, back/bad) // it is used again
+				t.Logf("lost per endpoint %d, sent to each in the last second %d", lost/failingEndpoints, sentAfter/failingEndpoints)
+				must.LessEq(t, sc.maxLost, lost/failingEndpoints)
+				if sc.recovers {
+					must.GreaterEq(t, requestRate/2, sentAfter/failingEndpoints) // it is used again
 				}
 			})
 		}
 	}
 }
 
-// TestFleetKeeps plays what must eject nothing for long: answers lost at random, 45 in 100 failing everywhere, and a
-// third of the hosts cut off from some endpoints.
-func TestFleetKeeps(t *testing.T) {
+// TestFleetKeepsEndpoints simulates conditions that must not eject endpoints for long: answers lost at random,
+// 45 % of the requests failing at all endpoints, and a third of the hosts cut off from some endpoints.
+func TestFleetKeepsEndpoints(t *testing.T) {
 	cases := []struct {
-		name  string
-		part  float64 // of requests that fail at all endpoints
-		least float64 // of the requests to an endpoint that are sent on
+		name         string
+		failureRatio float64 // of requests at all endpoints
+		minSentRatio float64 // of the requests for an endpoint that are sent
 	}{
-		{"3 in 100 are lost", 0.03, 0.97},
-		{"45 in 100 fail everywhere", 0.45, 0.8},
+		{"3 % are lost", 0.03, 0.97},
+		{"45 % fail at all endpoints", 0.45, 0.8},
 	}
 	for _, size := range []struct{ hosts, endpoints int }{{6, 18}, {85, 60}} {
 		for _, tc := range cases {
 			t.Run(fmt.Sprint(size.hosts, " hosts, ", tc.name), func(t *testing.T) {
 				var f *fleet
-				f = newFleet(size.hosts, size.endpoints, 2, 400*ms, func(int, time.Duration) bool { return f.rand.Float64() < tc.part })
+				f = newFleet(size.hosts, size.endpoints, 2, 400*ms, func(int, time.Duration) bool { return f.rand.Float64() < tc.failureRatio })
 				for f.now < 10*time.Second {
 					f.step()
 				}
@@ -213,7 +214,7 @@
 				for _, n := range f.sent {
 					sent += n
 				}
-				must.GreaterEq(t, tc.least, float64(sent)/(perEndpoint*10*float64(size.endpoints)))
+				must.GreaterEq(t, tc.minSentRatio, float64(sent)/(requestRate*10*float64(size.endpoints)))
 			})
 		}
 	}
@@ -230,10 +231,10 @@
 		}
 		var sum Evidence
 		for h := range records {
-			told := records[h].LocalEvidence(0)
-			sum.Good, sum.Bad = sum.Good+told.Good, sum.Bad+told.Bad
+			local := records[h].LocalEvidence(0)
+			sum.Good, sum.Bad = sum.Good+local.Good, sum.Bad+local.Bad
 		}
-		var r Record // of a host that has sent nothing
+		var r Record // a host that has sent nothing
 		r.SetPeerEvidence(0, sum)
 		must.EqOp(t, Closed, r.State(0))
 		must.True(t, r.Healthy(0))
--- a/outlier/record.go
+++ b/outlier/record.go
@@ -6,139 +6,145 @@
 
 import "time"
 
-// State is how an endpoint is used.
+// State is the state of an endpoint's circuit breaker.
 type State uint8
 
-// The states.
+// Circuit breaker states.
 const (
-	// Closed is an endpoint that gets work: the circuit is closed.
+	// Closed means that the endpoint gets requests.
 	Closed State = iota
-	// HalfOpen is one that gets a request at a time to see whether it has recovered.
+	// HalfOpen means that the endpoint gets one request at a time, to probe whether it has recovered.
 	HalfOpen
-	// Open is one that is left alone.
+	// Open means that the endpoint is ejected and gets no requests.
 	Open
 )
 
-// Figures of ejection.
+// Parameters of ejection.
 const (
-	// firstEjection is the time for which an endpoint is left alone at first: a few steps of a slow engine more than the
-	// 0.45 s in which hosts of a large fleet hear of each other's failures.
+	// firstEjection is the first ejection time: a few steps of a slow engine more than the 0.45 s in which
+	// hosts of a large fleet learn of each other's failures.
 	firstEjection = time.Second
-	// longestEjection bounds that time as it doubles. An endpoint that has died loses its entry in the list within 4 s.
-	longestEjection = 8 * time.Second
-	// ejectionSpread is the part by which the time is drawn longer, so that hosts do not all try again at one moment.
-	ejectionSpread = 0.5
-	// deadFrom is the part of failures in the evidence of all hosts from which an endpoint is ejected: more than the 45
-	// in 100 of a bad storm, and less than what six failures without a good answer make, 6/8.
-	deadFrom = 0.7
-	// leastBad is the number of failures that this takes: more than one host may tell.
-	leastBad = 4
-	// probeWait is the time in which no request that may be repeated came for a probe, after which any is one: a pool may
-	// have no such requests.
+	// maxEjection limits the ejection time as it doubles. An endpoint that has died loses its entry in the
+	// endpoint list within 4 s.
+	maxEjection = 8 * time.Second
+	// ejectionJitter is the maximum fraction by which the ejection time is randomly extended, so that hosts do
+	// not all retry at the same moment.
+	ejectionJitter = 0.5
+	// ejectionFailureRatio is the failure ratio in the evidence of all hosts at which an endpoint is ejected:
+	// higher than the 0.45 of a severe burst of failures, and lower than the 6/8 that six failures without a
+	// success yield.
+	ejectionFailureRatio = 0.7
+	// minEjectionFailures is the number of failures that such an ejection needs: more than one host may report.
+	minEjectionFailures = 4
+	// probeWait is the time after which any request may be a probe if no repeatable request came: a pool may
+	// have no repeatable requests.
 	probeWait = 2 * time.Second
-	// riskyFrom is the part of failures from which requests that may not be repeated are sent elsewhere, or refused:
-	// more than half would be lost, and a caller who is refused may come back.
-	riskyFrom = 0.5
+	// riskyFailureRatio is the failure ratio from which requests that are not repeatable are sent elsewhere or
+	// refused: more than half of them would be lost, and a refused caller may retry.
+	riskyFailureRatio = 0.5
 )
 
-// Record is what a host knows of one life of an endpoint. The zero value knows nothing.
+// Record is what a host knows about one incarnation of an endpoint. The zero value knows nothing.
 type Record struct {
-	row    [failures]int // failures of its kind in a row
-	streak int           // ejections without a good answer since
-	since  time.Duration // when it was ejected last
-	until  time.Duration // until when it is left alone
-	probe  bool          // a probe is under way
-	own    Evidence      // as of at
-	at     time.Duration
-	others Evidence // as of othersAt
-	heard  time.Duration
+	consecutive  [failureKinds]int // consecutive failures by kind
+	ejections    int               // ejections since the last success
+	ejectedAt    time.Duration     // start of the last ejection
+	ejectedUntil time.Duration     // end of the ejection
+	probing      bool              // a probe is in flight
+	own          Evidence          // evidence of this host as of ownAt
+	ownAt        time.Duration
+	peers        Evidence // evidence of other hosts as of peersAt
+	peersAt      time.Duration
 }
 
-// Fail notes a failure of a request that was sent at a moment, and reports whether the endpoint is ejected for it.
-// draw is a number from 0 to 1 drawn at random.
-func (r *Record) Fail(now, sent time.Duration, f Failure, draw float64) bool {
-	r.probe = false
+// Fail records a failure at time now of a request that was sent at sentAt, and reports whether it ejects the
+// endpoint. random is a random number from 0 to 1.
+func (r *Record) Fail(now, sentAt time.Duration, f Failure, random float64) bool {
+	r.probing = false
 	if f != Rejected {
-		r.own = r.own.fade(now - r.at)
+		r.own = r.own.decay(now - r.ownAt)
 		r.own.Bad++
-		r.at = now
+		r.ownAt = now
 	}
-	if sent < r.since && r.streak > 0 {
-		return false // it was under way when the endpoint was ejected
+	if sentAt < r.ejectedAt && r.ejections > 0 {
+		return false // in flight when the endpoint was ejected
 	}
-	r.row[f]++
-	if r.streak == 0 && r.row[f] < inRow[f] {
+	r.consecutive[f]++
+	if r.ejections == 0 && r.consecutive[f] < ejectionThresholds[f] {
 		return false
 	}
-	r.eject(now, draw)
+	r.eject(now, random)
 	return true
 }
 
-// eject leaves the endpoint alone for a time that doubles with each ejection in a row.
-func (r *Record) eject(now time.Duration, draw float64) {
-	hold := min(firstEjection<<min(r.streak, 8), longestEjection)
-	r.row = [failures]int{}
-	r.streak++
-	r.since, r.until = now, now+time.Duration((1+ejectionSpread*draw)*float64(hold))
+// eject ejects the endpoint for a time that doubles with each consecutive ejection.
+func (r *Record) eject(now time.Duration, random float64) {
+	duration := min(firstEjection<<min(r.ejections, 8), maxEjection)
+	r.consecutive = [failureKinds]int{}
+	r.ejections++
+	r.ejectedAt, r.ejectedUntil = now, now+time.Duration((1+ejectionJitter*random)*float64(duration))
 }
 
-// AnswerStarted notes the first sign of an answer: the endpoint is there.
+// AnswerStarted records the first part of an answer, which shows that the endpoint is running.
 func (r *Record) AnswerStarted() {
-	r.row[Unreachable], r.row[Unanswered], r.row[Rejected] = 0, 0, 0
+	r.consecutive[Unreachable], r.consecutive[Unanswered], r.consecutive[Rejected] = 0, 0, 0
 }
 
-// Succeed notes a request that was answered well.
+// Succeed records a successful request.
 func (r *Record) Succeed(now time.Duration) {
-	r.own = r.own.fade(now - r.at)
+	r.own = r.own.decay(now - r.ownAt)
 	r.own.Good++
-	r.at = now
-	r.row = [failures]int{}
-	r.streak, r.until, r.probe = 0, 0, false
+	r.ownAt = now
+	r.consecutive = [failureKinds]int{}
+	r.ejections, r.ejectedUntil, r.probing = 0, 0, false
 }
 
-// NoteLoadReport notes that the endpoint itself gave an account of its load: it is there.
+// NoteLoadReport records that the endpoint sent a load report, which shows that it is running.
 func (r *Record) NoteLoadReport() {
 	r.AnswerStarted()
-	r.until = 0
+	r.ejectedUntil = 0
 }
 
-// Inconclusive notes the end of a request that tells nothing of the endpoint, such as one whose caller left.
-func (r *Record) Inconclusive() { r.probe = false }
+// Inconclusive records the end of a request that says nothing about the endpoint, such as one whose caller
+// left.
+func (r *Record) Inconclusive() { r.probing = false }
 
-// SetPeerEvidence takes the sum of what other hosts tell: they may eject the endpoint for this host, too, and a good answer that
-// one of them had while it was half open is as good as an own one.
+// SetPeerEvidence stores the sum of other hosts' evidence. It may eject the endpoint for this host, too, and a
+// success that another host had while the endpoint was half-open counts like a success of this host.
 func (r *Record) SetPeerEvidence(now time.Duration, e Evidence) {
-	r.others, r.heard = e, now
-	all := r.all(now)
+	r.peers, r.peersAt = e, now
+	total := r.total(now)
 	switch r.State(now) {
 	case Open:
 	case Closed, HalfOpen:
-		if all.Bad >= leastBad && all.failing() >= deadFrom {
+		if total.Bad >= minEjectionFailures && total.failureRatio() >= ejectionFailureRatio {
 			r.eject(now, 0)
-		} else if r.streak > 0 && e.Good >= 1 && all.failing() < riskyFrom {
-			r.row, r.streak, r.probe = [failures]int{}, 0, false
+		} else if r.ejections > 0 && e.Good >= 1 && total.failureRatio() < riskyFailureRatio {
+			r.consecutive, r.ejections, r.probing = [failureKinds]int{}, 0, false
 		}
 	}
 }
 
-// LocalEvidence is what this host tells others.
-func (r *Record) LocalEvidence(now time.Duration) Evidence { return r.own.fade(now - r.at).bounded() }
+// LocalEvidence returns the evidence that this host reports to others.
+func (r *Record) LocalEvidence(now time.Duration) Evidence {
+	return r.own.decay(now - r.ownAt).capped()
+}
 
-// all is the evidence of all hosts.
-func (r *Record) all(now time.Duration) Evidence {
-	own, others := r.own.fade(now-r.at), r.others.fade(now-r.heard)
-	return Evidence{own.Good + others.Good, own.Bad + others.Bad}
+// total returns the evidence of all hosts.
+func (r *Record) total(now time.Duration) Evidence {
+	own, peers := r.own.decay(now-r.ownAt), r.peers.decay(now-r.peersAt)
+	return Evidence{own.Good + peers.Good, own.Bad + peers.Bad}
 }
 
-// FailureRatio is the part of requests that are expected to fail, 0 to 1.
-func (r *Record) FailureRatio(now time.Duration) float64 { return r.all(now).failing() }
+// FailureRatio returns the fraction of requests that are expected to fail, 0 to 1.
+func (r *Record) FailureRatio(now time.Duration) float64 { return r.total(now).failureRatio() }
 
-// State tells how the endpoint is used now.
+// State returns the state of the circuit breaker.
 func (r *Record) State(now time.Duration) State {
-	if now < r.until {
+	if now < r.ejectedUntil {
 		return Open
 	}
-	if r.streak > 0 {
+	if r.ejections > 0 {
 		return HalfOpen
 	}
 	return Closed
@@ -146,23 +152,23 @@
 
 // Healthy reports whether requests of all kinds may be sent now.
 func (r *Record) Healthy(now time.Duration) bool {
-	return r.State(now) == Closed && r.FailureRatio(now) < riskyFrom
+	return r.State(now) == Closed && r.FailureRatio(now) < riskyFailureRatio
 }
 
-// Admits reports whether a request may be sent now, and whether it would be a probe; repeatable says that it may run
-// twice.
+// Admits reports whether a request may be sent now, and whether it would be a probe; repeatable says that the
+// request may run twice.
 func (r *Record) Admits(now time.Duration, repeatable bool) (ok, probe bool) {
 	switch r.State(now) {
 	case Open:
 		return false, false
 	case HalfOpen:
-		return (repeatable || now-r.until > probeWait) && !r.probe, true
+		return (repeatable || now-r.ejectedUntil > probeWait) && !r.probing, true
 	}
-	if failing := r.FailureRatio(now); failing >= riskyFrom {
+	if ratio := r.FailureRatio(now); ratio >= riskyFailureRatio {
 		return repeatable, true
 	}
 	return true, false
 }
 
-// Begin notes that a request is sent.
-func (r *Record) Begin(now time.Duration) { r.probe = r.State(now) != Closed }
+// Begin records that a request is sent.
+func (r *Record) Begin(now time.Duration) { r.probing = r.State(now) != Closed }
--- a/outlier/record_test.go
+++ b/outlier/record_test.go
@@ -13,14 +13,14 @@
 
 const ms = time.Millisecond
 
-// fail lets n requests fail at a moment.
+// fail records n failures at the same time.
 func fail(r *Record, at time.Duration, f Failure, n int) {
 	for range n {
 		r.Fail(at, at, f, 0)
 	}
 }
 
-// TestState tells what an endpoint is taken for after some outcomes.
+// TestState checks the circuit breaker state after sequences of outcomes.
 func TestState(t *testing.T) {
 	cases := []struct {
 		name string
@@ -28,17 +28,17 @@
 		at   time.Duration
 		want State
 	}{
-		{"nothing known", func(*Record) {}, 0, Closed},
+		{"no outcomes", func(*Record) {}, 0, Closed},
 		{"a refused connection", func(r *Record) { fail(r, 0, Unreachable, 1) }, 0, Open},
-		{"one answer that did not come", func(r *Record) { fail(r, 0, Unanswered, 1) }, 0, Closed},
-		{"two in a row", func(r *Record) { fail(r, 0, Unanswered, 2) }, 0, Open},
-		{"two with a sign of life between", func(r *Record) {
+		{"one unanswered request", func(r *Record) { fail(r, 0, Unanswered, 1) }, 0, Closed},
+		{"two consecutive unanswered requests", func(r *Record) { fail(r, 0, Unanswered, 2) }, 0, Open},
+		{"two with the start of an answer in between", func(r *Record) {
 			fail(r, 0, Unanswered, 1)
 			r.AnswerStarted()
 			fail(r, 0, Unanswered, 1)
 		}, 0, Closed},
-		{"two answers that broke off", func(r *Record) { fail(r, 0, Broken, 2) }, 0, Closed},
-		{"three, with signs of life between", func(r *Record) {
+		{"two broken answers", func(r *Record) { fail(r, 0, Broken, 2) }, 0, Closed},
+		{"three broken answers, each started", func(r *Record) {
 			for range 3 {
 				r.AnswerStarted()
 				fail(r, 0, Broken, 1)
@@ -46,47 +46,47 @@
 		}, 0, Open},
 		{"four errors", func(r *Record) { fail(r, 0, Errored, 4) }, 0, Closed},
 		{"five errors", func(r *Record) { fail(r, 0, Errored, 5) }, 0, Open},
-		{"three times full", func(r *Record) { fail(r, 0, Rejected, 3) }, 0, Closed},
-		{"four times full", func(r *Record) { fail(r, 0, Rejected, 4) }, 0, Open},
-		{"failures among good answers", func(r *Record) {
+		{"three rejections", func(r *Record) { fail(r, 0, Rejected, 3) }, 0, Closed},
+		{"four rejections", func(r *Record) { fail(r, 0, Rejected, 4) }, 0, Open},
+		{"failures among successes", func(r *Record) {
 			for range 20 {
 				fail(r, 0, Unanswered, 1)
 				r.Succeed(0)
 			}
 		}, 0, Closed},
-		{"the time is over", func(r *Record) { fail(r, 0, Unanswered, 2) }, firstEjection, HalfOpen},
-		{"answered again", func(r *Record) {
+		{"ejection time has passed", func(r *Record) { fail(r, 0, Unanswered, 2) }, firstEjection, HalfOpen},
+		{"success after the ejection", func(r *Record) {
 			fail(r, 0, Unanswered, 2)
 			r.Succeed(firstEjection)
 		}, firstEjection, Closed},
-		{"it tells its load again", func(r *Record) {
+		{"load report during the ejection", func(r *Record) {
 			fail(r, 0, Unreachable, 1)
 			r.NoteLoadReport()
 		}, 0, HalfOpen},
-		{"requests that were under way count once", func(r *Record) {
+		{"requests in flight at the ejection do not extend it", func(r *Record) {
 			fail(r, 0, Unreachable, 1)
 			for range 9 {
 				r.Fail(500*ms, -time.Second, Broken, 0)
 			}
-		}, firstEjection + 2*half, HalfOpen},
-		{"a probe fails: twice as long", func(r *Record) {
+		}, firstEjection + 2*evidenceHalfLife, HalfOpen},
+		{"a failed probe doubles the ejection time", func(r *Record) {
 			fail(r, 0, Unreachable, 1)
 			fail(r, firstEjection, Unreachable, 1)
 		}, 2*firstEjection + 900*ms, Open},
-		{"never longer than the bound", func(r *Record) {
+		{"ejection time is limited", func(r *Record) {
 			for i := range 20 {
 				fail(r, time.Duration(i)*time.Minute, Unreachable, 1)
 			}
-		}, 19*time.Minute + longestEjection, HalfOpen},
-		{"other hosts saw it fail only", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, 0, Open},
-		{"one other host", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 9}.bounded()) }, 0, Closed},
-		{"some saw it answer", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6, Good: 6}) }, 0, Closed},
-		{"it was a while ago", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, firstEjection, HalfOpen},
-		{"and one of them had an answer since", func(r *Record) {
+		}, 19*time.Minute + maxEjection, HalfOpen},
+		{"other hosts saw only failures", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, 0, Open},
+		{"one other host saw only failures", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 9}.capped()) }, 0, Closed},
+		{"other hosts saw failures and successes", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6, Good: 6}) }, 0, Closed},
+		{"ejected by other hosts, time has passed", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 6}) }, firstEjection, HalfOpen},
+		{"ejected by other hosts, then one had a success", func(r *Record) {
 			r.SetPeerEvidence(0, Evidence{Bad: 6})
 			r.SetPeerEvidence(2*firstEjection, Evidence{Bad: 1, Good: 1})
 		}, 2 * firstEjection, Closed},
-		{"and it fails them still", func(r *Record) {
+		{"ejected by other hosts, still fails", func(r *Record) {
 			r.SetPeerEvidence(0, Evidence{Bad: 6})
 			r.SetPeerEvidence(2*firstEjection, Evidence{Bad: 6})
 		}, 2*firstEjection + 1900*ms, Open},
@@ -100,52 +100,52 @@
 	}
 }
 
-// TestAdmits tells which requests an endpoint gets.
+// TestAdmits checks which requests an endpoint gets in each state.
 func TestAdmits(t *testing.T) {
-	type answer struct{ once, repeatable bool }
-	half := func(r *Record) { fail(r, 0, Unreachable, 1) }
+	type admitted struct{ nonRepeatable, repeatable bool }
+	halfOpen := func(r *Record) { fail(r, 0, Unreachable, 1) }
 	cases := []struct {
 		name string
 		do   func(r *Record)
 		at   time.Duration
-		want answer
+		want admitted
 	}{
-		{"sound", func(*Record) {}, 0, answer{true, true}},
-		{"ejected", half, 500 * ms, answer{false, false}},
-		{"half open", half, firstEjection + 100*ms, answer{false, true}},
-		{"half open, and nothing that may be repeated came", half, firstEjection + probeWait + 100*ms, answer{true, true}},
-		{"a probe is under way", func(r *Record) {
-			half(r)
+		{"sound", func(*Record) {}, 0, admitted{true, true}},
+		{"ejected", halfOpen, 500 * ms, admitted{false, false}},
+		{"half-open circuit", halfOpen, firstEjection + 100*ms, admitted{false, true}},
+		{"half-open, and no repeatable request came", halfOpen, firstEjection + probeWait + 100*ms, admitted{true, true}},
+		{"a probe is in flight", func(r *Record) {
+			halfOpen(r)
 			r.Begin(firstEjection + 100*ms)
-		}, firstEjection + 200*ms, answer{false, false}},
-		{"the probe was given up", func(r *Record) {
-			half(r)
+		}, firstEjection + 200*ms, admitted{false, false}},
+		{"the probe was inconclusive", func(r *Record) {
+			halfOpen(r)
 			r.Begin(firstEjection + 100*ms)
 			r.Inconclusive()
-		}, firstEjection + 200*ms, answer{false, true}},
-		{"half of it fails elsewhere", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 5, Good: 3}) }, 0, answer{false, true}},
-		{"a third of it fails elsewhere", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 4, Good: 6}) }, 0, answer{true, true}},
+		}, firstEjection + 200*ms, admitted{false, true}},
+		{"half of the requests of other hosts fail", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 5, Good: 3}) }, 0, admitted{false, true}},
+		{"a third of the requests of other hosts fails", func(r *Record) { r.SetPeerEvidence(0, Evidence{Bad: 4, Good: 6}) }, 0, admitted{true, true}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var r Record
 			tc.do(&r)
-			once, _ := r.Admits(tc.at, false)
+			nonRepeatable, _ := r.Admits(tc.at, false)
 			again, _ := r.Admits(tc.at, true)
-			must.EqOp(t, tc.want, answer{once, again})
+			must.EqOp(t, tc.want, admitted{nonRepeatable, again})
 		})
 	}
 }
 
-// TestTold bounds what one host tells, with the part that failed unchanged.
-func TestTold(t *testing.T) {
+// TestLocalEvidence checks that the weight that one host reports is limited, with the failure ratio unchanged.
+func TestLocalEvidence(t *testing.T) {
 	var r Record
 	for range 30 {
 		r.Fail(0, 0, Errored, 0)
 		r.Succeed(0)
 	}
 	e := r.LocalEvidence(0)
-	must.InDelta(t, mostTold, e.Good+e.Bad, 1e-9)
+	must.InDelta(t, maxSharedWeight, e.Good+e.Bad, 1e-9)
 	must.InDelta(t, e.Good, e.Bad, 1e-9)
 	must.Less(t, 0.1, r.LocalEvidence(20*time.Second).Bad)
 }
