--- a/quota/book.go
+++ b/quota/book.go
@@ -6,159 +6,158 @@
 
 import "time"
 
-// Figures of the shares.
+// Parameters of the shares.
 const (
-	// startShare is the level with which accounts begin, as a part of that debt, when what
-	// was used before is not known.
-	startShare = 0.5
-	// deepest is how far below zero an account may go, in seconds of its rate.
-	deepest = 4
-	// silentAfter is the number of times between two words of a peer after which it is
-	// taken to serve on alone, and defaultEvery that time where none is given.
-	silentAfter  = 2.25
-	defaultEvery = 200 * time.Millisecond
+	// initialLevelRatio is the initial level of accounts, as a fraction of the allowed debt, when what was used
+	// before is not known.
+	initialLevelRatio = 0.5
+	// maxDebtSeconds limits how far below zero a level may go, in seconds of the account's rate.
+	maxDebtSeconds = 4
+	// silenceIntervals is the number of report intervals after which a silent peer is assumed to continue
+	// serving on its own, and defaultInterval is the interval where none is given.
+	silenceIntervals = 2.25
+	defaultInterval  = 200 * time.Millisecond
 )
 
-// Book keeps the accounts of one host. It is not safe for concurrent use. The exported
-// fields must be set before the first call.
+// Book keeps the accounts of one host. It is not safe for concurrent use. The exported fields must be set
+// before the first call.
 //
-// The level of an account is this host's view of what all hosts together have left: it
-// fills at Rate up to Burst and sinks by own use, by the use that peers tell, and by an
-// equal share of the rate for each host that has not told yet. A request passes while
-// the level is above a part of the tolerance below zero, whatever its size, so that
-// large ones are not starved by small ones, and while the host has used less than an
-// equal share of the level since it heard of all others. A peer that falls silent
-// is taken to use an equal share of the level and then its share of the rate; what it really
-// used sets that right when it is heard again. So hosts that lose sight of each other
-// use no more together than they would have done.
+// The level of an account is this host's estimate of what all hosts together have left. It is refilled at Rate
+// up to Burst, and decreases by this host's use, by the use that peers report, and by an equal share of the
+// rate for each host that has not reported yet. A request passes if two conditions hold. The level plus the
+// allowed debt is above zero, whatever the size of the request, so that large requests are not starved by small
+// ones. And since all other hosts last reported, this host has used less than an equal share of the level. A
+// peer that becomes silent is assumed to use an equal share of the level and then its share of the rate; its
+// next report replaces the assumed use by the real one. So hosts that lose contact use together no more than
+// they would have used otherwise.
 type Book struct {
-	// Tolerance is what the hosts together may get wrong.
+	// Tolerance is how far the hosts together may exceed a limit.
 	Tolerance Tolerance
-	// StartFull says that nothing was used before, as at the first start of all hosts:
-	// accounts begin full. Else they begin with a part of the tolerance, or at what peers tell.
+	// StartFull says that nothing was used before, as at the first start of all hosts: accounts begin full.
+	// Otherwise they begin with a fraction of the allowed debt, or at the levels that peers report.
 	StartFull bool
 
-	accounts map[string]*account
-	peers    map[string]*peer
-	left     map[string]float64 // the least that peers told in the first time
-	first    time.Duration
-	hosts    int
-	silence  time.Duration
+	accounts       map[string]*account
+	peers          map[string]*peer
+	startLevels    map[string]float64 // lowest levels reported by peers in the learning period
+	startedAt      time.Duration
+	hosts          int
+	silenceTimeout time.Duration
 }
 
-// account is what is known of a workspace.
+// account is the state of one workspace.
 type account struct {
-	bound  Limit
-	at     time.Duration
-	level  float64
-	used   float64
-	recent float64 // own use since all others were heard
+	limit     Limit
+	updatedAt time.Duration
+	level     float64
+	used      float64
+	recentUse float64 // this host's use since all others last reported
 }
 
-// peer is another host, or a relay that speaks of several.
+// peer is another host, or a relay that reports for several hosts.
 type peer struct {
-	life   uint64
-	hosts  int
-	heard  time.Duration
-	used   map[string]float64
-	taken  map[string]float64 // taken as used since it was heard
-	told   bool               // heard since the last time that all were
-	silent bool
+	incarnation uint64
+	hosts       int
+	reportedAt  time.Duration
+	used        map[string]float64
+	assumed     map[string]float64 // use assumed since its last report
+	reported    bool               // since the last time that all peers had reported
+	silent      bool
 }
 
 // NewBook returns an empty book.
 func NewBook(now time.Duration) *Book {
 	return &Book{
-		accounts: make(map[string]*account), peers: make(map[string]*peer), left: make(map[string]float64),
-		first: now, hosts: 1, silence: time.Duration(silentAfter * float64(defaultEvery)),
+		accounts: make(map[string]*account), peers: make(map[string]*peer), startLevels: make(map[string]float64),
+		startedAt: now, hosts: 1, silenceTimeout: time.Duration(silenceIntervals * float64(defaultInterval)),
 	}
 }
 
-// SetHosts sets the number of hosts that share the amounts, this one included, and the
-// time between two words of one of them, which grows with their number.
-func (b *Book) SetHosts(n int, every time.Duration) {
+// SetHosts sets the number of hosts that share the amounts, including this one, and the interval between two
+// reports of a host, which grows with their number.
+func (b *Book) SetHosts(n int, interval time.Duration) {
 	b.hosts = max(1, n)
-	b.silence = time.Duration(silentAfter * float64(max(every, defaultEvery)))
+	b.silenceTimeout = time.Duration(silenceIntervals * float64(max(interval, defaultInterval)))
 }
 
-// account returns an account, filled up to now.
-func (b *Book) account(now time.Duration, name string, bound Limit) *account {
+// account returns an account, refilled up to now.
+func (b *Book) account(now time.Duration, name string, limit Limit) *account {
 	a := b.accounts[name]
 	if a == nil {
-		a = &account{bound: bound, at: b.first, level: startShare * b.Tolerance.debt(bound)}
+		a = &account{limit: limit, updatedAt: b.startedAt, level: initialLevelRatio * b.Tolerance.allowedDebt(limit)}
 		if b.StartFull {
-			a.level = bound.Burst
+			a.level = limit.Burst
 		}
-		if left, ok := b.left[name]; ok {
-			a.level, a.at = left, now
+		if left, ok := b.startLevels[name]; ok {
+			a.level, a.updatedAt = left, now
 		}
 		b.accounts[name] = a
 	}
-	if a.bound != bound {
-		a.level = min(a.level, bound.Burst)
-		a.bound = bound
+	if a.limit != limit {
+		a.level = min(a.level, limit.Burst)
+		a.limit = limit
 	}
-	b.fill(now, name, a)
+	b.refill(now, name, a)
 	return a
 }
 
-// Open begins an account. What peers used before an account was begun is not counted in it, and it would be full for a host that is
-// asked for something for the first time.
-func (b *Book) Open(now time.Duration, name string, bound Limit) {
-	if bound.Rate > 0 {
-		b.account(now, name, bound)
+// Open begins an account. An account does not count what peers used before it was begun; if it were begun with
+// a host's first request, it would be full.
+func (b *Book) Open(now time.Duration, name string, limit Limit) {
+	if limit.Rate > 0 {
+		b.account(now, name, limit)
 	}
 }
 
-// fill lets an account rise to now. Hosts that were never heard use their shares too.
-func (b *Book) fill(now time.Duration, name string, a *account) {
-	dt := (now - a.at).Seconds()
+// refill refills an account up to now. Hosts that have never reported are assumed to use their shares, too.
+func (b *Book) refill(now time.Duration, name string, a *account) {
+	dt := (now - a.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	a.at = now
-	share := a.bound.Rate / float64(b.hosts) * dt
-	a.level += a.bound.Rate * dt
-	unheard := b.hosts - 1
+	a.updatedAt = now
+	share := a.limit.Rate / float64(b.hosts) * dt
+	a.level += a.limit.Rate * dt
+	unreported := b.hosts - 1
 	for _, p := range b.peers {
-		part := share * float64(p.hosts)
-		p.taken[name] += part
-		a.level -= part
-		unheard -= p.hosts
+		assumed := share * float64(p.hosts)
+		p.assumed[name] += assumed
+		a.level -= assumed
+		unreported -= p.hosts
 	}
-	a.level -= share * float64(max(0, unheard))
+	a.level -= share * float64(max(0, unreported))
 	a.clamp()
 }
 
-// clamp keeps the level within its bounds.
+// clamp keeps the level within its limits.
 func (a *account) clamp() {
-	a.level = min(max(a.level, -deepest*a.bound.Rate), a.bound.Burst)
+	a.level = min(max(a.level, -maxDebtSeconds*a.limit.Rate), a.limit.Burst)
 }
 
-// Take lets an amount through, or tells when to come back.
-func (b *Book) Take(now time.Duration, name string, bound Limit, amount float64) (bool, time.Duration) {
-	if bound.Rate <= 0 {
+// Take takes an amount, or returns false and the time after which to retry.
+func (b *Book) Take(now time.Duration, name string, limit Limit, amount float64) (bool, time.Duration) {
+	if limit.Rate <= 0 {
 		return true, 0
 	}
-	a := b.account(now, name, bound)
-	b.doubt(now)
-	free := a.level + b.Tolerance.debt(bound)
-	if free <= 0 {
-		return false, time.Duration(-free / bound.Rate * float64(time.Second))
+	a := b.account(now, name, limit)
+	b.markSilentPeers(now)
+	available := a.level + b.Tolerance.allowedDebt(limit)
+	if available <= 0 {
+		return false, time.Duration(-available / limit.Rate * float64(time.Second))
 	}
-	if a.recent > 0 && a.recent >= (free+a.recent)/float64(b.hosts) {
-		return false, b.silence / 2
+	if a.recentUse > 0 && a.recentUse >= (available+a.recentUse)/float64(b.hosts) {
+		return false, b.silenceTimeout / 2
 	}
 	a.level -= amount
 	a.used += amount
-	a.recent += amount
+	a.recentUse += amount
 	return true, 0
 }
 
-// Return gives back an amount that was taken and surely not used.
+// Return gives back an amount that was taken and certainly not used.
 func (b *Book) Return(name string, amount float64) {
 	if a := b.accounts[name]; a != nil {
-		a.level = min(a.level+amount, a.bound.Burst)
+		a.level = min(a.level+amount, a.limit.Burst)
 		a.used -= amount
 	}
 }
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -13,28 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is some hosts that tell each other what they used, with losses.
+// fleet simulates hosts that report to each other what they used, with losses.
 type fleet struct {
-	tol   Tolerance
-	now   time.Duration
-	books []*Book
-	lives []uint64
-	cut   []bool          // hears and is heard by nobody
-	up    []time.Duration // when the host's process has started
-	ends  []use
+	tolerance    Tolerance
+	now          time.Duration
+	books        []*Book
+	incarnations []uint64
+	isolated     []bool          // sends and receives nothing
+	upAt         []time.Duration // when the host's process has started
+	uses         []use
 }
 
-// use is an amount that was let through.
+// use is an amount that was taken.
 type use struct {
 	at     time.Duration
 	amount float64
 }
 
-// step is the time between two looks of the simulation.
+// step is the time step of the simulation.
 const step = 20 * time.Millisecond
 
-func newFleet(n int, tol Tolerance) *fleet {
-	f := &fleet{tol: tol, books: make([]*Book, n), lives: make([]uint64, n), cut: make([]bool, n), up: make([]time.Duration, n)}
+func newFleet(n int, tolerance Tolerance) *fleet {
+	f := &fleet{tolerance: tolerance, books: make([]*Book, n), incarnations: make([]uint64, n), isolated: make([]bool, n), upAt: make([]time.Duration, n)}
 	for i := range n {
 		f.restart(i, n)
 		f.books[i].StartFull = true
@@ -42,110 +42,109 @@
 	return f
 }
 
-// restart begins a new life of a host, which knows nothing.
+// restart replaces a host by a new incarnation, which knows nothing.
 func (f *fleet) restart(i, n int) {
 	f.books[i] = NewBook(f.now)
-	f.books[i].Tolerance = f.tol
+	f.books[i].Tolerance = f.tolerance
 	f.books[i].SetHosts(n, 0)
-	f.lives[i]++
+	f.incarnations[i]++
 }
 
-// startTime is the time from a process's end to the start of the next: 0.52 s where
-// it was seen.
-const startTime = 500 * time.Millisecond
+// restartTime is the time from a process's end to the start of the next; real processes took 0.52 s.
+const restartTime = 500 * time.Millisecond
 
-// kill ends a host's process, which starts again.
+// kill ends a host's process, which starts again after restartTime.
 func (f *fleet) kill(i, n int) {
-	f.up[i] = f.now + startTime
-	f.now += startTime
+	f.upAt[i] = f.now + restartTime
+	f.now += restartTime
 	f.restart(i, n)
-	f.now -= startTime
+	f.now -= restartTime
 }
 
-// tell lets all hosts tell all others; lost says which words do not arrive.
-func (f *fleet) tell(lost func() bool) {
+// report sends the reports of all hosts to all others; lost says which reports do not arrive.
+func (f *fleet) report(lost func() bool) {
 	for i := range f.books {
-		told := f.books[i].Report(f.now)
+		r := f.books[i].Report(f.now)
 		for j := range f.books {
-			if i != j && !f.cut[i] && !f.cut[j] && f.now >= f.up[i] && f.now >= f.up[j] && !lost() {
-				f.books[j].ApplyReport(f.now, fmt.Sprint(i), f.lives[i], told)
+			if i != j && !f.isolated[i] && !f.isolated[j] && f.now >= f.upAt[i] && f.now >= f.upAt[j] && !lost() {
+				f.books[j].ApplyReport(f.now, fmt.Sprint(i), f.incarnations[i], r)
 			}
 		}
 	}
 }
 
-// most is the largest use within any window.
-func (f *fleet) most(window time.Duration) float64 {
-	most, sum, from := 0.0, 0.0, 0
-	for _, u := range f.ends {
+// maxUse returns the maximum use within any window.
+func (f *fleet) maxUse(window time.Duration) float64 {
+	peak, sum, first := 0.0, 0.0, 0
+	for _, u := range f.uses {
 		sum += u.amount
-		for f.ends[from].at <= u.at-window {
-			sum -= f.ends[from].amount
-			from++
+		for f.uses[first].at <= u.at-window {
+			sum -= f.uses[first].amount
+			first++
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	return most
+	return peak
 }
 
-// TestBoundHolds lets several hosts be asked for many times the rate, while words
-// are lost, hosts are cut off and restarted, and holds the use of any 8 s against
-// the bound: burst and rate of the window, a tenth more, and one second of the rate.
-// The slack of the users' sites is of that size.
-func TestBoundHolds(t *testing.T) {
+// TestUseWithinLimit requests up to ten times the rate from several hosts, while reports are lost and hosts are
+// isolated and restarted. It checks that the use in any 8 s stays within the limit plus tolerance: burst and
+// rate of the window, 10 % more, and a slack of one second of the rate, which is about the slack of the users'
+// sites.
+func TestUseWithinLimit(t *testing.T) {
 	const window = 8 * time.Second
-	bound := Limit{Rate: 1000, Burst: 1000}
+	limit := Limit{Rate: 1000, Burst: 1000}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "hosts")
 		load := rapid.Float64Range(0.3, 10).Draw(t, "load")
 		loss := rapid.IntRange(0, 50).Draw(t, "loss")
-		chance := rapid.Uint64().Draw(t, "seed") | 1
-		next := func(m int) int {
-			chance ^= chance << 13
-			chance ^= chance >> 7
-			chance ^= chance << 17
-			return int(chance % uint64(m))
+		state := rapid.Uint64().Draw(t, "seed") | 1
+		randN := func(m int) int {
+			state ^= state << 13
+			state ^= state >> 7
+			state ^= state << 17
+			return int(state % uint64(m))
 		}
-		f := newFleet(n, Tolerance{Window: window, Overshoot: 0.1, Slack: bound.Rate})
+		f := newFleet(n, Tolerance{Window: window, Overshoot: 0.1, Slack: limit.Rate})
 		for ; f.now < 40*time.Second; f.now += step {
 			if f.now%(200*time.Millisecond) == 0 {
-				f.tell(func() bool { return next(100) < loss })
+				f.report(func() bool { return randN(100) < loss })
 			}
-			switch next(500) {
+			switch randN(500) {
 			case 0:
-				f.cut[next(n)] = true
+				f.isolated[randN(n)] = true
 			case 1, 2:
-				f.cut[next(n)] = false
+				f.isolated[randN(n)] = false
 			case 3, 4:
-				f.kill(next(n), n)
+				f.kill(randN(n), n)
 			}
-			asked := load * bound.Rate * step.Seconds()
-			for asked > 0 {
-				amount := float64(1 + next(20))
-				i := next(n)
-				if f.now < f.up[i] {
-					asked -= amount
+			demand := load * limit.Rate * step.Seconds()
+			for demand > 0 {
+				amount := float64(1 + randN(20))
+				i := randN(n)
+				if f.now < f.upAt[i] {
+					demand -= amount
 					continue
 				}
-				if ok, _ := f.books[i].Take(f.now, "w", bound, amount); ok {
-					f.ends = append(f.ends, use{f.now, amount})
+				if ok, _ := f.books[i].Take(f.now, "w", limit, amount); ok {
+					f.uses = append(f.uses, use{f.now, amount})
 				}
-				asked -= amount
+				demand -= amount
 			}
 		}
-		must.LessEq(t, 1.1*(bound.Burst+bound.Rate*window.Seconds())+bound.Rate, f.most(window))
+		must.LessEq(t, 1.1*(limit.Burst+limit.Rate*window.Seconds())+limit.Rate, f.maxUse(window))
 	})
 }
 
-// TestShareIsUsed checks that most of what is allowed can be used in calm, also if
-// one host gets most of the demand.
-func TestShareIsUsed(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 1000}
+// TestMostOfLimitIsUsable checks that most of the limit can be used without faults, even if one host gets most
+// of the demand.
+func TestMostOfLimitIsUsable(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 1000}
 	cases := []struct {
-		name  string
-		load  float64
-		to    func(i int) int
-		least float64
+		name         string
+		load         float64
+		to           func(i int) int
+		minUsedRatio float64
 	}{
 		{"even demand under the rate", 0.9, func(i int) int { return i % 6 }, 0.89},
 		{"even demand over the rate", 4, func(i int) int { return i % 6 }, 0.95},
@@ -154,39 +153,39 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := newFleet(6, Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: bound.Rate})
+			f := newFleet(6, Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: limit.Rate})
 			used, i := 0.0, 0
 			for ; f.now < 30*time.Second; f.now += step {
 				if f.now%(200*time.Millisecond) == 0 {
-					f.tell(func() bool { return false })
+					f.report(func() bool { return false })
 				}
-				for asked := tc.load * bound.Rate * step.Seconds(); asked > 0; asked -= 5 {
-					if ok, _ := f.books[tc.to(i)].Take(f.now, "w", bound, 5); ok {
+				for demand := tc.load * limit.Rate * step.Seconds(); demand > 0; demand -= 5 {
+					if ok, _ := f.books[tc.to(i)].Take(f.now, "w", limit, 5); ok {
 						used += 5
 					}
 					i++
 				}
 			}
-			must.GreaterEq(t, tc.least*bound.Rate*30, used)
+			must.GreaterEq(t, tc.minUsedRatio*limit.Rate*30, used)
 		})
 	}
 }
 
-func TestTakeTellsWhenToComeBack(t *testing.T) {
-	bound := Limit{Rate: 100, Burst: 100}
+func TestTakeReturnsRetryDelay(t *testing.T) {
+	limit := Limit{Rate: 100, Burst: 100}
 	b := NewBook(0)
-	ok, _ := b.Take(2*time.Second, "w", bound, 500) // larger than the burst: it must pass once
+	ok, _ := b.Take(2*time.Second, "w", limit, 500) // larger than the burst: it must pass once
 	must.True(t, ok)
-	ok, wait := b.Take(2*time.Second, "w", bound, 10)
+	ok, wait := b.Take(2*time.Second, "w", limit, 10)
 	must.False(t, ok)
 	must.Greater(t, 0, wait)
-	ok, _ = b.Take(2*time.Second+wait+10*time.Second, "w", bound, 10)
+	ok, _ = b.Take(2*time.Second+wait+10*time.Second, "w", limit, 10)
 	must.True(t, ok)
-	free, _ := b.Take(0, "free", Limit{}, 1e12)
-	must.True(t, free)
+	unlimited, _ := b.Take(0, "free", Limit{}, 1e12)
+	must.True(t, unlimited)
 }
 
-func TestRetries(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	r := RetryBudget{Ratio: 0.1, MaxCredit: 3}
 	taken := 0
 	for range 1000 {
@@ -198,15 +197,15 @@
 	must.Between(t, 100, taken, 104)
 }
 
-// TestStart holds what passes at once, at the first start of all hosts and at a
-// later one, of which nothing is known.
-func TestStart(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 2000}
+// TestInitialLevel checks how much passes immediately at the first start of all hosts, and at a later start,
+// when earlier use is not known.
+func TestInitialLevel(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 2000}
 	cases := []struct {
-		name        string
-		full        bool
-		tolerance   Tolerance
-		least, most float64
+		name           string
+		full           bool
+		tolerance      Tolerance
+		minUse, maxUse float64
 	}{
 		{"first start", true, Tolerance{}, 2000, 2010},
 		{"first start with tolerance", true, Tolerance{Slack: 1000}, 2200, 2210},
@@ -217,69 +216,69 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
 			b.StartFull, b.Tolerance = tc.full, tc.tolerance
-			must.Between(t, tc.least, passes(b, 0, bound, 10), tc.most)
+			must.Between(t, tc.minUse, takeUntilRefused(b, 0, limit, 10), tc.maxUse)
 		})
 	}
 }
 
-// passes takes amounts until one is refused and returns what passed.
-func passes(b *Book, now time.Duration, bound Limit, amount float64) float64 {
-	sum := 0.0
+// takeUntilRefused takes amounts until one is refused and returns their sum.
+func takeUntilRefused(b *Book, now time.Duration, limit Limit, amount float64) float64 {
+	total := 0.0
 	for {
-		if ok, _ := b.Take(now, "w", bound, amount); !ok {
-			return sum
+		if ok, _ := b.Take(now, "w", limit, amount); !ok {
+			return total
 		}
-		sum += amount
+		total += amount
 	}
 }
 
-// TestShareUntilHeard checks that a host uses no more than an equal share of the
-// level until it has heard of all others again.
-func TestShareUntilHeard(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 6000}
+// TestEqualShareUntilAllReport checks that a host uses no more than an equal share of the level until all
+// others have reported again.
+func TestEqualShareUntilAllReport(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 6000}
 	b := NewBook(0)
 	b.StartFull = true
 	b.SetHosts(3, 0)
-	hear := func(at time.Duration) {
+	reportAll := func(at time.Duration) {
 		for _, p := range []string{"a", "b"} {
 			b.ApplyReport(at, p, 1, Report{Used: map[string]float64{"w": 0}})
 		}
 	}
-	hear(0)
-	first := passes(b, 0, bound, 10)
+	reportAll(0)
+	first := takeUntilRefused(b, 0, limit, 10)
 	must.Between(t, 2000, first, 2010)
 	b.ApplyReport(0, "a", 1, Report{})
-	must.EqOp(t, 0, passes(b, 0, bound, 10)) // not all were heard
+	must.EqOp(t, 0, takeUntilRefused(b, 0, limit, 10)) // not all have reported
 	b.ApplyReport(0, "b", 1, Report{})
-	must.Between(t, 1330, passes(b, 0, bound, 10), 1340)
+	must.Between(t, 1330, takeUntilRefused(b, 0, limit, 10), 1340)
 }
 
-// TestEndedLife checks that what a host was taken to use while it was silent stays
-// used when it comes back in a new life: what the ended life did is not known.
-func TestEndedLife(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 4000}
-	level := func(life uint64) float64 {
+// TestSilentPeerRestarts checks that the use assumed for a silent host remains counted if the host returns with
+// a new incarnation: what the ended incarnation used is not known.
+func TestSilentPeerRestarts(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 4000}
+	level := func(incarnation uint64) float64 {
 		b := NewBook(0)
 		b.StartFull = true
 		b.SetHosts(2, 0)
 		b.ApplyReport(0, "a", 1, Report{Used: map[string]float64{"w": 0}})
-		_, _ = b.Take(0, "w", bound, 1000)
-		b.ApplyReport(time.Second, "a", life, Report{Used: map[string]float64{"w": 0}})
+		_, _ = b.Take(0, "w", limit, 1000)
+		b.ApplyReport(time.Second, "a", incarnation, Report{Used: map[string]float64{"w": 0}})
 		return b.accounts["w"].level
 	}
-	must.EqOp(t, 4000, level(1)) // it told that it used nothing
+	must.EqOp(t, 4000, level(1)) // it reported that it used nothing
 	must.EqOp(t, 1250, level(2)) // it had half of the second's rate, and may have used its half of the rest
 }
 
-// TestSizesPassAlike asks for large and small amounts in turn, beyond the rate, and
-// checks that the large ones pass about as often as the small ones.
-func TestSizesPassAlike(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 1000}
+// TestLargeAmountsAreNotStarved requests large and small amounts alternately, beyond the rate, and checks that
+// the large ones pass about as often as the small ones.
+func TestLargeAmountsAreNotStarved(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 1000}
 	b := NewBook(0)
 	passed := [2]int{}
 	for i := range 10000 {
 		now := time.Duration(i) * 7 * time.Millisecond
-		if ok, _ := b.Take(now, "w", bound, []float64{500, 10}[i%2]); ok {
+		if ok, _ := b.Take(now, "w", limit, []float64{500, 10}[i%2]); ok {
 			passed[i%2]++
 		}
 	}
@@ -287,79 +286,79 @@
 	must.GreaterEq(t, passed[1]*7/10, passed[0])
 }
 
-// TestGoneHost checks that a host that goes for good leaves its share to the others.
-func TestGoneHost(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 1000}
+// TestDepartedHost checks that a host that leaves for good leaves its share to the others.
+func TestDepartedHost(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 1000}
 	cases := []struct {
 		name  string
-		keep  bool
+		drop  bool
 		least float64
 	}{
 		{"silent", false, 0.45},
-		{"surely gone", true, 0.95},
+		{"certainly gone", true, 0.95},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
 			b.SetHosts(2, 0)
 			b.ApplyReport(0, "a", 1, Report{})
-			passes(b, 10*time.Second, bound, 10)
-			if tc.keep {
+			takeUntilRefused(b, 10*time.Second, limit, 10)
+			if tc.drop {
 				b.RetainPeers(nil)
 				b.SetHosts(1, 0)
 			}
 			used := 0.0
 			for now := 10 * time.Second; now < 20*time.Second; now += step {
-				used += passes(b, now, bound, 10)
+				used += takeUntilRefused(b, now, limit, 10)
 			}
 			must.Between(t, tc.least*10000, used, 1.05*10000*(tc.least+0.05))
 		})
 	}
 }
 
-// TestNewHostLearns checks that a host that starts beside others takes their levels.
-func TestNewHostLearns(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 5000}
+// TestNewHostAdoptsLevels checks that a host that starts while others run adopts their levels.
+func TestNewHostAdoptsLevels(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 5000}
 	b := NewBook(0)
 	b.SetHosts(2, 0)
 	b.ApplyReport(0, "a", 1, Report{Left: map[string]float64{"w": -900}})
-	must.EqOp(t, 0, passes(b, 0, bound, 10))
-	b.ApplyReport(3*time.Second, "a", 1, Report{Left: map[string]float64{"w": -4000}}) // no longer young
-	must.Greater(t, 0, passes(b, 3*time.Second, bound, 10))
+	must.EqOp(t, 0, takeUntilRefused(b, 0, limit, 10))
+	b.ApplyReport(3*time.Second, "a", 1, Report{Left: map[string]float64{"w": -4000}}) // the learning period is over
+	must.Greater(t, 0, takeUntilRefused(b, 3*time.Second, limit, 10))
 }
 
-// TestYoungTeachNobody checks that hosts that started together do not lower each
-// other's levels: none of them knows what was used before.
-func TestYoungTeachNobody(t *testing.T) {
-	bound := Limit{Rate: 1000, Burst: 5000}
-	young := NewBook(0)
-	_, _ = young.Take(time.Second, "w", bound, 2000)
-	must.MapEmpty(t, young.Report(time.Second).Left)
-	must.EqOp(t, 1000, young.Report(3 * time.Second).Left["w"])
+// TestLearningHostsReportNoLevels checks that hosts that started together do not lower each other's levels:
+// none of them knows what was used before.
+func TestLearningHostsReportNoLevels(t *testing.T) {
+	limit := Limit{Rate: 1000, Burst: 5000}
+	learning := NewBook(0)
+	_, _ = learning.Take(time.Second, "w", limit, 2000)
+	must.MapEmpty(t, learning.Report(time.Second).Left)
+	must.EqOp(t, 1000, learning.Report(3 * time.Second).Left["w"])
 	first := NewBook(0)
 	first.StartFull = true
-	_, _ = first.Take(0, "w", bound, 4000)
-	must.EqOp(t, 1000, first.Report(0).Left["w"]) // the first start knows that nothing was used
+	_, _ = first.Take(0, "w", limit, 4000)
+	must.EqOp(t, 1000, first.Report(0).Left["w"]) // at the first start it is known that nothing was used
 }
 
-// TestSilenceGrows checks that hosts of a large fleet, which hear of each other seldom,
-// do not take each other for silent between two words.
-func TestSilenceGrows(t *testing.T) {
+// TestSilenceTimeoutGrows checks that hosts of a large fleet, which receive each other's reports seldom, do not
+// consider each other silent between two reports.
+func TestSilenceTimeoutGrows(t *testing.T) {
 	cases := []struct {
-		name   string
-		every  time.Duration
-		at     time.Duration
-		silent bool
+		name     string
+		interval time.Duration
+		at       time.Duration
+		silent   bool
 	}{
-		{"small fleet, a word missed", 200 * time.Millisecond, 400 * time.Millisecond, false},
+		{"small fleet, one report missed", 200 * time.Millisecond, 400 * time.Millisecond, false},
 		{"small fleet, silent", 200 * time.Millisecond, 500 * time.Millisecond, true},
-		{"large fleet, a word missed", 1600 * time.Millisecond, 3200 * time.Millisecond, false},
+		{"large fleet, one report missed", 1600 * time.Millisecond, 3200 * time.Millisecond, false},
 		{"large fleet, silent", 1600 * time.Millisecond, 3700 * time.Millisecond, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewBook(0)
-			b.SetHosts(2, tc.every)
+			b.SetHosts(2, tc.interval)
 			b.ApplyReport(0, "a", 1, Report{})
 			_, _ = b.Take(tc.at, "w", Limit{Rate: 10, Burst: 10}, 1)
 			must.EqOp(t, tc.silent, b.peers["a"].silent)
@@ -367,20 +366,20 @@
 	}
 }
 
-// TestStartAmongMany holds that a host which starts among others that start, too, and has
-// heard nobody uses one share of what may be left, however often it is asked.
-func TestStartAmongMany(t *testing.T) {
+// TestEqualShareBeforeReports checks that a host that starts together with many others and has received no
+// report uses one share of what may be left, however many requests it gets.
+func TestEqualShareBeforeReports(t *testing.T) {
 	const hosts = 60
-	bound := Limit{Rate: 1000, Burst: 2000}
-	tol := Tolerance{Slack: 100000}
+	limit := Limit{Rate: 1000, Burst: 2000}
+	tolerance := Tolerance{Slack: 100000}
 	b := NewBook(0)
-	b.Tolerance = tol
+	b.Tolerance = tolerance
 	b.SetHosts(hosts, 0)
 	sum := 0.0
 	for now := time.Duration(0); now < time.Second; now += 20 * time.Millisecond {
-		sum += passes(b, now, bound, 10)
+		sum += takeUntilRefused(b, now, limit, 10)
 	}
-	share := ((1+startShare)*tol.debt(bound) + bound.Rate) / hosts
+	share := ((1+initialLevelRatio)*tolerance.allowedDebt(limit) + limit.Rate) / hosts
 	must.LessEq(t, share+10, sum)
 	must.GreaterEq(t, share/2, sum)
 }
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -6,28 +6,28 @@
 
 import "time"
 
-// debtShare is the part of the tolerance that requests may use; the rest covers what
-// hosts use before they hear of each other, and restarts.
-const debtShare = 0.2
+// debtRatio is the fraction of the tolerance that requests may use; the rest covers restarts and what hosts use
+// before they receive each other's reports.
+const debtRatio = 0.2
 
-// Tolerance is how far beyond its bound a workspace may get in a window:
-// Overshoot·(Rate·Window + Burst) + Slack. The zero value tolerates nothing.
+// Tolerance is how far a workspace may exceed its limit in a window: Overshoot·(Rate·Window + Burst) + Slack.
+// The zero value tolerates nothing.
 type Tolerance struct {
 	// Window is the span over which use is counted.
 	Window time.Duration
-	// Overshoot is a part of what the bound allows in a window.
+	// Overshoot is a fraction of what the limit allows in a window.
 	Overshoot float64
 	// Slack is in units.
 	Slack float64
 }
 
-// debt is how far below zero a level may go and requests still pass.
-func (t Tolerance) debt(b Limit) float64 {
-	return debtShare * (t.Overshoot*(b.Rate*t.Window.Seconds()+b.Burst) + t.Slack)
+// allowedDebt returns how far below zero a level may be for requests to pass, in units.
+func (t Tolerance) allowedDebt(limit Limit) float64 {
+	return debtRatio * (t.Overshoot*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack)
 }
 
-// Limit is what a workspace may use.
+// Limit is the rate limit of a workspace.
 type Limit struct {
-	// Rate is in units a second and Burst in units, over all hosts.
+	// Rate is in units per second and Burst in units, over all hosts.
 	Rate, Burst float64
 }
--- a/quota/main_test.go
+++ b/quota/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed and size of property tests, so that every run gives
-// the same verdict; flags on the command line go first.
+// TestMain sets the seed and the number of checks of property tests, so that every run gives the same result;
+// command-line flags take precedence.
 func TestMain(m *testing.M) {
 	for _, f := range []struct{ name, value string }{
 		{"rapid.seed", "1"}, {"rapid.checks", "1500"}, {"rapid.nofailfile", "true"},
--- a/quota/retries.go
+++ b/quota/retries.go
@@ -4,26 +4,26 @@
 
 package quota
 
-// RetryBudget bounds the repeated sends of one service on one host.
+// RetryBudget limits the retries of one service on one host.
 type RetryBudget struct {
-	// Ratio is the credit that each first send earns.
+	// Ratio is the credit that each first attempt earns.
 	Ratio float64
-	// MaxCredit is the largest credit.
+	// MaxCredit is the maximum credit, which is also the initial one.
 	MaxCredit float64
 
-	credit float64
-	begun  bool
+	credit      float64
+	initialized bool
 }
 
-// NoteFirstAttempt notes a first send.
+// NoteFirstAttempt adds the credit of a first attempt.
 func (r *RetryBudget) NoteFirstAttempt() {
-	r.begin()
+	r.initialize()
 	r.credit = min(r.credit+r.Ratio, r.MaxCredit)
 }
 
-// Take takes the credit for one repeated send, or tells that there is none.
+// Take takes the credit for one retry, or returns false if there is none.
 func (r *RetryBudget) Take() bool {
-	r.begin()
+	r.initialize()
 	if r.credit < 1 {
 		return false
 	}
@@ -31,10 +31,10 @@
 	return true
 }
 
-// begin gives the credit that a host starts with.
-func (r *RetryBudget) begin() {
-	if !r.begun {
-		r.begun = true
+// initialize sets the initial credit.
+func (r *RetryBudget) initialize() {
+	if !r.initialized {
+		r.initialized = true
 		r.credit = r.MaxCredit
 	}
 }
--- a/quota/told.go
+++ b/quota/told.go
@@ -9,80 +9,84 @@
 	"time"
 )
 
-// Figures of what hosts tell each other.
+// Parameters of the reports that hosts exchange.
 const (
-	// tellBelow is the part of the burst below which a level is told to new hosts.
-	tellBelow = 0.5
-	// learnFor is the time from a book's start in which it takes levels from peers.
-	learnFor = 2 * time.Second
+	// lowLevelRatio is the fraction of the burst below which a level is reported to new hosts.
+	lowLevelRatio = 0.5
+	// learningPeriod is the time from a book's start during which it adopts levels that peers report.
+	learningPeriod = 2 * time.Second
 )
 
-// Report is what a host tells of its accounts, or a relay of those of several hosts, by workspace.
+// Report holds the use and the low levels of a host's accounts, or a relay's sum over several hosts, by
+// workspace.
 type Report struct {
-	// Hosts is the number of hosts that it speaks of; 0 means 1.
+	// Hosts is the number of hosts that the report covers; 0 means 1.
 	Hosts int
-	// Used is what they used in the life of the one that tells.
+	// Used is what these hosts used in the current incarnation of the sender.
 	Used map[string]float64
-	// Left is the level of those accounts that are low.
+	// Left is the level of each account that is low.
 	Left map[string]float64
 }
 
-// young tells whether peers know better than this book what was used of late.
-func (b *Book) young(now time.Duration) bool { return !b.StartFull && now-b.first < learnFor }
+// learning reports whether peers know the recent use better than this book does.
+func (b *Book) learning(now time.Duration) bool {
+	return !b.StartFull && now-b.startedAt < learningPeriod
+}
 
-// Report tells what this host used in its life and, once it knows, which levels are low.
+// Report returns what this host used in its incarnation and, after the learning period, the levels that are
+// low.
 func (b *Book) Report(now time.Duration) Report {
-	t := Report{Used: make(map[string]float64, len(b.accounts)), Left: make(map[string]float64)}
+	r := Report{Used: make(map[string]float64, len(b.accounts)), Left: make(map[string]float64)}
 	for name, a := range b.accounts {
-		b.fill(now, name, a)
+		b.refill(now, name, a)
 		if a.used != 0 {
-			t.Used[name] = a.used
+			r.Used[name] = a.used
 		}
-		if !b.young(now) && a.level < tellBelow*a.bound.Burst {
-			t.Left[name] = math.Floor(a.level)
+		if !b.learning(now) && a.level < lowLevelRatio*a.limit.Burst {
+			r.Left[name] = math.Floor(a.level)
 		}
 	}
-	return t
+	return r
 }
 
-// ApplyReport takes what a peer told. The first tell of a life is where the counting starts.
-// After a silence, a peer's further words set right what was taken as used meanwhile.
-func (b *Book) ApplyReport(now time.Duration, name string, life uint64, told Report) {
-	b.learn(now, told.Left)
-	p := b.peers[name]
+// ApplyReport applies a peer's report. Counting starts with the first report of an incarnation. The first
+// report after a silence replaces the use that was assumed meanwhile.
+func (b *Book) ApplyReport(now time.Duration, source string, incarnation uint64, r Report) {
+	b.adoptLevels(now, r.Left)
+	p := b.peers[source]
 	if p == nil {
-		p = &peer{life: life, heard: now, hosts: max(1, told.Hosts), used: told.Used, taken: make(map[string]float64)}
-		b.peers[name] = p
+		p = &peer{incarnation: incarnation, reportedAt: now, hosts: max(1, r.Hosts), used: r.Used, assumed: make(map[string]float64)}
+		b.peers[source] = p
 		return
 	}
-	p.hosts = max(1, told.Hosts)
+	p.hosts = max(1, r.Hosts)
 	for ws, a := range b.accounts {
-		b.fill(now, ws, a)
+		b.refill(now, ws, a)
 	}
-	if p.life != life {
-		// What the ended life used and did not tell is not known.
-		b.lose(p)
-		clear(p.taken)
-		p.life, p.used = life, nil
+	if p.incarnation != incarnation {
+		// What the ended incarnation used and did not report is not known.
+		b.chargeSilentPeer(p)
+		clear(p.assumed)
+		p.incarnation, p.used = incarnation, nil
 	}
 	for ws, a := range b.accounts {
-		a.level -= max(0, told.Used[ws]-p.used[ws]) - p.taken[ws]
+		a.level -= max(0, r.Used[ws]-p.used[ws]) - p.assumed[ws]
 		a.clamp()
 	}
-	clear(p.taken)
-	p.heard, p.used, p.told, p.silent = now, told.Used, true, false
-	b.refresh(now)
+	clear(p.assumed)
+	p.reportedAt, p.used, p.reported, p.silent = now, r.Used, true, false
+	b.resetRecentUse(now)
 }
 
-// learn takes the levels that peers tell while the book is young: what was used before
-// its start is known to them only.
-func (b *Book) learn(now time.Duration, left map[string]float64) {
-	if !b.young(now) {
+// adoptLevels adopts levels that peers report during the learning period: only they know what was used before
+// this book started.
+func (b *Book) adoptLevels(now time.Duration, left map[string]float64) {
+	if !b.learning(now) {
 		return
 	}
 	for ws, level := range left {
-		if old, ok := b.left[ws]; !ok || level < old {
-			b.left[ws] = level
+		if old, ok := b.startLevels[ws]; !ok || level < old {
+			b.startLevels[ws] = level
 		}
 		if a := b.accounts[ws]; a != nil {
 			a.level = min(a.level, level)
@@ -90,61 +94,61 @@
 	}
 }
 
-// doubt finds peers that have fallen silent; nobody waits for their words.
-func (b *Book) doubt(now time.Duration) {
+// markSilentPeers finds peers that have become silent; nobody waits for their reports.
+func (b *Book) markSilentPeers(now time.Duration) {
 	for _, p := range b.peers {
-		if !p.silent && now-p.heard > b.silence {
-			b.lose(p)
+		if !p.silent && now-p.reportedAt > b.silenceTimeout {
+			b.chargeSilentPeer(p)
 		}
 	}
-	b.refresh(now)
+	b.resetRecentUse(now)
 }
 
-// lose takes a peer that is not heard any more to use its equal share of what was left
-// when it was heard last.
-func (b *Book) lose(p *peer) {
+// chargeSilentPeer assumes that a peer that has become silent uses its equal share of what was left at its last
+// report.
+func (b *Book) chargeSilentPeer(p *peer) {
 	if p.silent {
 		return
 	}
 	p.silent = true
-	heard := 1 + float64(p.hosts) // with this host
-	for _, q := range b.peers {
-		if !q.silent {
-			heard += float64(q.hosts)
+	reporting := 1 + float64(p.hosts) // p and this host
+	for _, other := range b.peers {
+		if !other.silent {
+			reporting += float64(other.hosts)
 		}
 	}
 	for ws, a := range b.accounts {
-		free := max(0, a.level+b.Tolerance.debt(a.bound))
-		part := free - max(0, (free+a.recent)*(heard-float64(p.hosts))/heard-a.recent)
-		a.level -= part
-		p.taken[ws] += part
+		available := max(0, a.level+b.Tolerance.allowedDebt(a.limit))
+		assumed := available - max(0, (available+a.recentUse)*(reporting-float64(p.hosts))/reporting-a.recentUse)
+		a.level -= assumed
+		p.assumed[ws] += assumed
 	}
 }
 
-// refresh begins the count of recent use anew once all others have been heard. A host that has
-// just started and heard nobody knows nothing of the others' use, and keeps to one share.
-func (b *Book) refresh(now time.Duration) {
-	if len(b.peers) == 0 && b.hosts > 1 && b.young(now) {
+// resetRecentUse starts the count of recent use anew once all other hosts have reported. A host that has just
+// started and has no report yet knows nothing of the others' use, and stays within one share.
+func (b *Book) resetRecentUse(now time.Duration) {
+	if len(b.peers) == 0 && b.hosts > 1 && b.learning(now) {
 		return
 	}
 	for _, p := range b.peers {
-		if !p.told && !p.silent {
+		if !p.reported && !p.silent {
 			return
 		}
 	}
 	for _, p := range b.peers {
-		p.told = false
+		p.reported = false
 	}
 	for _, a := range b.accounts {
-		a.recent = 0
+		a.recentUse = 0
 	}
 }
 
-// RetainPeers drops the peers that are surely gone: those not named.
-func (b *Book) RetainPeers(names map[string]bool) {
-	for name := range b.peers {
-		if !names[name] {
-			delete(b.peers, name)
+// RetainPeers drops the peers that are not in sources: those that are certainly gone.
+func (b *Book) RetainPeers(sources map[string]bool) {
+	for source := range b.peers {
+		if !sources[source] {
+			delete(b.peers, source)
 		}
 	}
 }
