--- a/peers/agent.go
+++ b/peers/agent.go
@@ -18,38 +18,36 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Figures of the agent.
+// Parameters of the agent.
 const (
 	// DefaultInterval is the time between heartbeats.
 	DefaultInterval = 200 * time.Millisecond
-	// fanout is the number of members that get a heartbeat directly. In larger fleets
-	// heartbeats go to a relay.
+	// fanout is the number of members that are sent heartbeats directly. In larger fleets heartbeats go to a
+	// relay.
 	fanout = 8
-	// minInterval is the least time between two heartbeats: when all hosts start at once, each seed is
-	// asked by all of them within 0.3 s.
+	// minInterval is the minimum time between two heartbeats: when all hosts start at once, each of them
+	// queries every seed within 0.3 s.
 	minInterval = 20 * time.Millisecond
-	// updateInterval is the time between two looks for loads that changed: about the time in
-	// which a request more or less comes to an endpoint of a busy fleet, and more than the
-	// datagrams of a zone take.
+	// updateInterval is the time between two checks for changed loads: about the time between changes of the
+	// number of requests at an endpoint of a busy fleet, and longer than datagrams take within a zone.
 	updateInterval = 25 * time.Millisecond
-	// heartbeatsPerSeed is how many heartbeats pass between two to the seeds.
+	// heartbeatsPerSeed is the number of heartbeats between two that are sent to the seeds.
 	heartbeatsPerSeed = 5
-	// heartbeatsPerKnown is how many heartbeats pass between two that name other hosts, where
-	// hosts hear each other directly.
+	// heartbeatsPerKnown is the number of heartbeats between two that name other hosts, where hosts send
+	// heartbeats to each other directly.
 	heartbeatsPerKnown = 5
-	// gossipFanout is the number of hosts that a host of a large fleet tells directly of
-	// others it knows, with each such heartbeat, so that parts that lost sight of each
-	// other meet again; as many are drawn from the hosts' entries in the store.
+	// gossipFanout is the number of members to which a host of a large fleet sends such a heartbeat directly,
+	// so that partitions that lost contact find each other again. The same number of hosts is drawn from the
+	// hosts' entries in the store.
 	gossipFanout = 2
-	// maxNewcomers bounds the hosts that are answered with a heartbeat because they know few
-	// others: some 200 KB.
+	// maxNewcomers limits the hosts that one heartbeat answers because they know few others, to about 200 KB.
 	maxNewcomers = 64
-	// maxDatagramSize bounds a datagram, in bytes.
+	// maxDatagramSize limits the size of a datagram, in bytes.
 	maxDatagramSize = 60 << 10
 )
 
-// ReportInterval is the longest usual time between two words of a host that reach another one
-// where n hosts run: by way of two relays, three heartbeats.
+// ReportInterval returns the longest usual time between two reports of a host that reach another one in a fleet
+// of n hosts: through two relays it takes three heartbeats.
 func ReportInterval(n int) time.Duration {
 	if n <= fanout+1 {
 		return DefaultInterval
@@ -57,86 +55,87 @@
 	return 3 * DefaultInterval
 }
 
-// Host is what an agent tells and asks of the program it runs in.
+// Host is the program that an agent runs in.
 type Host interface {
-	// Fill adds the host's own words to a heartbeat, but for its stamps.
+	// Fill adds the host's report to a heartbeat, without its stamps.
 	Fill(b *Heartbeat)
-	// Stamps tells what the host knows of the settings and of the endpoints now, and how old that is.
+	// Stamps returns the versions of the settings and of the endpoints that the host knows now, with their
+	// ages.
 	Stamps() (settings, endpoints Stamp)
 	// UsageReceived is called with what other hosts used of shared amounts.
 	UsageReceived(u Usage)
-	// LoadChanges gives the loads that changed since its last call and what waits, and false
-	// if nothing did.
+	// LoadChanges returns the loads that changed since its last call and the waiting requests, or false if
+	// nothing changed.
 	LoadChanges() (map[string]Load, map[string][]int, bool)
-	// LoadsReceived is called soon after other hosts told of changed loads.
+	// LoadsReceived is called soon after other hosts reported changed loads.
 	LoadsReceived()
 	// ProofReceived is called when a peer proved what it knows.
 	ProofReceived(p Proof)
-	// Crashes tells of requests under which endpoints crashed.
+	// Crashes returns evidence about requests under which endpoints crashed.
 	Crashes(to quarantine.Scope) quarantine.Evidence
-	// CrashesReceived is called with what a peer knows of requests under which endpoints crashed. It returns true if some of it
-	// is new.
+	// CrashesReceived is called with a peer's evidence about requests under which endpoints crashed. It returns
+	// true if some of it is new.
 	CrashesReceived(t *quarantine.Evidence) bool
 }
 
 // Usage is what one or several other hosts used of shared amounts.
 type Usage struct {
-	// Source names who told, Life one run of its process.
+	// Source is the name of the host that reported it; Life identifies one run of that host's process.
 	Source string
 	Life   uint64
-	// Hosts is the number of hosts whose use it is.
+	// Hosts is the number of hosts whose use is included.
 	Hosts int
-	// Used is what they used since the life began, by workspace, and Left the level of
-	// those workspaces whose amount is nearly used up.
+	// Used is what they used since that run began, by workspace, and Left the level of each workspace whose
+	// amount is nearly used up.
 	Used, Left map[string]float64
 }
 
-// Agent sends and hears heartbeats. The fields must be set before Run.
+// Agent sends and receives heartbeats. The exported fields must be set before Run.
 type Agent struct {
-	// Table is what is known of the others; the agent guards it.
+	// Table is what is known about the others; the agent guards it.
 	Table *Table
-	// Conn sends and receives.
+	// Conn sends and receives datagrams.
 	Conn net.PacketConn
 	// Seeds are addresses of some hosts.
 	Seeds []string
-	// Host is the program.
+	// Host is the program that the agent runs in.
 	Host Host
-	// Places is the program as an owner of places and one that asks for them, or nil.
+	// Places is the program as an owner of slots and as a host that asks for them, or nil.
 	Places SlotHost
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it includes the time in which the host is suspended.
 	Now func() time.Duration
-	// CheckGap looks whether the process did not run for a while, which Woke is then told, or nil. It is called before what was
-	// received is taken.
+	// CheckGap checks whether the process did not run for a while and, if so, calls NoteGap; it may be nil. It
+	// is called before a received datagram is handled.
 	CheckGap func()
-	// Interval is the time between heartbeats; 0 means DefaultEvery.
+	// Interval is the time between heartbeats; 0 means DefaultInterval.
 	Interval time.Duration
-	// Rand is the source of chance.
+	// Rand is the source of random numbers.
 	Rand *rand.Rand
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
 	mu             sync.Mutex
-	loadsReceived  bool // loads of others were heard since the last look
+	loadsReceived  bool // loads of others were received since the last check
 	extraSeeds     []string
 	newcomers      []newcomer // hosts that know few others
 	trigger        chan struct{}
 	heartbeats     int
-	loggedLive     map[string]bool // as it was logged last
+	loggedLive     map[string]bool // live hosts as last logged
 	logBudget      outcome.Budget
-	info           HostInfo // what this host told last of itself
-	relay          Relay    // what this host passes on
-	uplink         uplink   // the relay that passes on what this host tells
-	staleDatagrams bool     // what lies in the socket came while the process did not run
-	sentWords      history  // what this host told
+	info           HostInfo // what this host last reported about itself
+	relay          Relay    // this host as a relay
+	uplink         uplink   // the relay that this host uses
+	staleDatagrams bool     // waiting datagrams arrived while the process did not run
+	sentWords      history  // what this host reported
 	askTrigger     chan struct{}
 	askSeq         uint32
 	owners         owners
 }
 
-// newcomer is a host that is to be told of the others.
+// newcomer is a host that needs to learn of the others.
 type newcomer struct{ host, address string }
 
-// Init makes the agent ready; call it before Run.
+// Init initializes the agent; call it before Run.
 func (a *Agent) Init() {
 	a.trigger = make(chan struct{}, 1)
 	a.askTrigger = make(chan struct{}, 1)
@@ -148,7 +147,7 @@
 	}
 }
 
-// TriggerHeartbeat sends a heartbeat at once.
+// TriggerHeartbeat makes the agent send a heartbeat at once.
 func (a *Agent) TriggerHeartbeat() {
 	select {
 	case a.trigger <- struct{}{}:
@@ -156,21 +155,21 @@
 	}
 }
 
-// SetSeeds replaces the given addresses of some hosts.
+// SetSeeds replaces the seeds.
 func (a *Agent) SetSeeds(s []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Seeds = s
 }
 
-// SetExtraSeeds adds addresses of hosts that were learned elsewhere.
+// SetExtraSeeds replaces the addresses of hosts that were found elsewhere, such as in the store.
 func (a *Agent) SetExtraSeeds(s []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.extraSeeds = s
 }
 
-// Live returns copies of the members heard of lately.
+// Live returns copies of the members heard from recently.
 func (a *Agent) Live() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -184,7 +183,7 @@
 	return copyMembers(a.Table.Unexpired(a.Now()))
 }
 
-// copyMembers copies members.
+// copyMembers returns copies of members.
 func copyMembers(ms []*Member) []Member {
 	out := make([]Member, len(ms))
 	for i, m := range ms {
@@ -193,7 +192,7 @@
 	return out
 }
 
-// UsageSources names who tells this host what the others used.
+// UsageSources returns the names of the hosts that report to this host what the others used.
 func (a *Agent) UsageSources() map[string]bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -209,10 +208,10 @@
 	return out
 }
 
-// usesRelays tells whether there are too many hosts to tell all of them directly; mu must be held.
+// usesRelays reports whether there are too many hosts for direct reports to all of them. mu must be held.
 func (a *Agent) usesRelays() bool { return a.Table.Size() > fanout }
 
-// Run sends and hears until ctx ends.
+// Run sends and receives datagrams until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	go a.receive(ctx)
 	go a.shareLoadChanges(ctx)
@@ -229,14 +228,14 @@
 			return
 		case <-t.C:
 		case <-a.trigger:
-			// A series of causes makes one heartbeat, not one each.
+			// Triggers in quick succession make one heartbeat, not one each.
 			time.Sleep(minInterval - (a.Now() - sent))
 		}
 	}
 }
 
-// sendHeartbeat sends one heartbeat: to all others, or to the relay, and now and then to the seeds
-// and to some hosts that it names others to.
+// sendHeartbeat sends one heartbeat: to all others, or to the relay; and at intervals to the seeds and to some
+// hosts, with the hosts that it knows.
 func (a *Agent) sendHeartbeat() {
 	b := Heartbeat{Host: a.Table.Host, Life: a.Table.Life}
 	a.Host.Fill(&b)
@@ -244,7 +243,7 @@
 	a.info = b.Info
 	now := a.Now()
 	relayed := a.usesRelays()
-	// Without a relay that tells of the others, hosts find each other as in small fleets.
+	// Without a relay that reports the others, hosts find each other as in small fleets.
 	viaRelay := relayed && a.uplink.isFresh(now, b.Host)
 	to := a.Table.Targets(now, fanout, a.Rand)
 	if viaRelay {
@@ -268,7 +267,7 @@
 		for _, nc := range a.newcomers[:n] {
 			addresses = append(addresses, nc.address)
 			if seq := a.Table.lastSeqOf(nc.host); seq > 0 {
-				b.Echo[nc.host] = seq // without it, the words prove nothing to the host
+				b.Echo[nc.host] = seq // without it, the report proves nothing to the host
 			}
 		}
 		a.newcomers = a.newcomers[n:]
@@ -284,12 +283,13 @@
 	}
 }
 
-// addStamps adds to words what this host knows of settings and endpoints. It is to be called when it is settled which datagrams they echo: an
-// echo tells the receiver that the words were written after it, and a process may stand still between any two steps. Ages that
-// were read first and sent with an echo that was heard seconds later would make old settings young.
+// addStamps adds what this host knows about settings and endpoints to a report. It must be called after the
+// echoes are fixed: an echo tells the receiver that the report was written after the echoed datagram, and a
+// process may stall between any two steps. Ages read earlier and sent with an echo of a datagram received
+// seconds later would make old settings look recent.
 func (a *Agent) addStamps(w *Words) { w.Settings, w.Endpoints = a.Host.Stamps() }
 
-// randomExtraSeeds draws some addresses of hosts' entries in the store; mu must be held.
+// randomExtraSeeds returns random addresses from the hosts' entries in the store. mu must be held.
 func (a *Agent) randomExtraSeeds() []string {
 	n := min(gossipFanout, len(a.extraSeeds))
 	out := make([]string, 0, n)
@@ -299,7 +299,7 @@
 	return out
 }
 
-// addressesOf are where members hear heartbeats.
+// addressesOf returns the addresses at which members receive heartbeats.
 func addressesOf(ms []*Member) []string {
 	out := make([]string, 0, len(ms))
 	for _, m := range ms {
@@ -308,14 +308,14 @@
 	return out
 }
 
-// sendTo sends a message to each of some addresses once.
+// sendTo sends a message to each distinct address.
 func (a *Agent) sendTo(msg any, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
 	data, err := encode(msg)
 	if err != nil || len(data) > maxDatagramSize {
-		a.Log.Info("datagram not sent: too large or not to be written", "bytes", len(data))
+		a.Log.Info("datagram not sent: encoding failed or it is too large", "bytes", len(data))
 		return
 	}
 	sent := make(map[string]bool, len(addresses))
@@ -325,21 +325,23 @@
 		}
 		sent[address] = true
 		if to, err := net.ResolveUDPAddr("udp", address); err == nil {
-			// A lost datagram is followed by the next.
+			// A lost datagram is followed by the next one.
 			_, _ = a.Conn.WriteTo(data, to)
 		}
 	}
 }
 
-// Bounds of the lines on hosts that come and go, in lines a second and lines: where processes are short of processor hosts seem to go and come
-// all the time, and a line for each would keep the processor busy.
+// Limits of the log lines about hosts that come and go: the rate in lines per second, the burst in lines, and
+// the number of hosts named per line. If processes lack CPU time, hosts seem to come and go all the time, and a
+// line for each change would keep the CPU busy.
 const (
 	peerLogRate    = 0.5
 	peerLogBurst   = 20
 	maxLoggedPeers = 10
 )
 
-// logPeerChanges logs hosts that came and went, in one line; mu must be held. What there is no line for is told by a later one.
+// logPeerChanges logs in one line which hosts came and went. mu must be held. Changes that exceed the limit of
+// lines are logged in a later line.
 func (a *Agent) logPeerChanges(now time.Duration) {
 	live := make(map[string]bool, len(a.loggedLive))
 	for _, m := range a.Table.Live(now) {
@@ -358,7 +360,7 @@
 		"seen_count", len(seen), "lost_count", len(lost), "live", len(live), "later", dropped)
 }
 
-// difference names the hosts of one set that are not in another.
+// difference returns the hosts that are in a and not in b, sorted.
 func difference(a, b map[string]bool) []string {
 	var out []string
 	for h := range a {
@@ -370,7 +372,7 @@
 	return out
 }
 
-// shareLoadChanges tells the others of changed loads, and the program of theirs, until ctx ends.
+// shareLoadChanges sends changed loads to the others and notifies the program of theirs, until ctx ends.
 func (a *Agent) shareLoadChanges(ctx context.Context) {
 	t := time.NewTicker(updateInterval)
 	defer t.Stop()
@@ -391,7 +393,7 @@
 	}
 }
 
-// sendLoadChanges sends an update where all others can be told directly and something changed.
+// sendLoadChanges sends an update if all others can be reached directly and something changed.
 func (a *Agent) sendLoadChanges() {
 	a.mu.Lock()
 	var to []string
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -10,106 +10,108 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Heartbeat is a heartbeat. It is one datagram of JSON.
+// Heartbeat is the periodic report of a host. It is one datagram of JSON.
 type Heartbeat struct {
-	// Host names the sender, Life one run of its process.
+	// Host is the name of the sender; Life identifies one run of its process.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
 	// Seq numbers the sender's heartbeats and digests.
 	Seq uint32 `json:"s"`
-	// Echo is the newest Seq heard of each receiver.
+	// Echo is the newest Seq received from each receiver.
 	Echo map[string]uint32 `json:"e,omitempty"`
-	// Info is what the sender tells of itself.
+	// Info is the sender's information about itself.
 	Info HostInfo `json:"r"`
-	// Known are other hosts that the sender heard of lately, and Size the number of those
-	// that it knows.
+	// Known lists other hosts that the sender heard from recently, and Size is the number of hosts that it
+	// knows.
 	Known []KnownHost `json:"k,omitempty"`
 	Size  int         `json:"m,omitempty"`
 	Words
 }
 
-// Words are what a host tells of its requests and of what it knows.
+// Words is what a host reports about its requests and about what it knows.
 type Words struct {
-	// Load is what runs, by endpoint, and Waiting the number of requests that wait, by
-	// service and tier. LoadSeq numbers them together with those of updates.
+	// Load is what runs, by endpoint, and Waiting the number of waiting requests, by service and tier. LoadSeq
+	// numbers them together with those of updates.
 	Load    map[string]Load  `json:"o,omitempty"`
 	Waiting map[string][]int `json:"t,omitempty"`
 	LoadSeq uint32           `json:"n,omitempty"`
-	// Used is what was used in the sender's life, by workspace.
+	// Used is what was used in the sender's current run, by workspace.
 	Used map[string]float64 `json:"u,omitempty"`
-	// Left is the level of workspaces whose amount is nearly used up.
+	// Left is the level of each workspace whose amount is nearly used up.
 	Left map[string]float64 `json:"q,omitempty"`
-	// Crashes is what the sender saw of requests under which endpoints crashed; relays tell each other all that they know, and their
-	// members what concerns all hosts.
+	// Crashes is what the sender observed about requests under which endpoints crashed. Relays send each other
+	// all that they know, and their members what concerns all hosts.
 	Crashes quarantine.Evidence `json:"x,omitzero"`
-	// Settings and Endpoints tell what the sender knows of either, and its age.
+	// Settings and Endpoints are the versions that the sender knows, with their ages.
 	Settings  Stamp `json:"v"`
 	Endpoints Stamp `json:"w"`
 }
 
-// HostInfo is where a host is and whether it takes requests.
+// HostInfo holds the addresses and the location of a host, and whether it takes requests.
 type HostInfo struct {
-	// Address is where it hears heartbeats, Front where callers connect and
-	// Control where other hosts ask it.
+	// Address is where the host receives heartbeats, Front where callers connect, and Control where other hosts
+	// send queries.
 	Address string `json:"a"`
 	Front   string `json:"f"`
 	Control string `json:"c"`
-	// Zone and Region tell where it stands.
+	// Zone and Region are the location of the host.
 	Zone   string `json:"z"`
 	Region string `json:"g"`
-	// Capacity is what it can carry beside callers' requests, in cores; 0 is unknown.
+	// Capacity is what the host can carry besides callers' requests, in cores; 0 means unknown.
 	Capacity float64 `json:"p,omitempty"`
-	// Ready says that it takes requests; a host that stops says so first.
+	// Ready says that the host takes requests; a host that stops clears it first.
 	Ready bool `json:"y"`
-	// Fresh says that its settings are young enough for requests with keys.
+	// Fresh says that the host's settings are recent enough for requests with keys.
 	Fresh bool `json:"w"`
 }
 
 // KnownHost is another host as the sender knows it.
 type KnownHost struct {
-	// Host and Life name it.
+	// Host and Life identify the host and one run of its process.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
-	// Info is what it told.
+	// Info is what the host reported about itself.
 	Info HostInfo `json:"r"`
-	// Age is the time in milliseconds since it was heard.
+	// Age is the time since the host was heard from, in milliseconds.
 	Age int64 `json:"a"`
 }
 
 // Load is what runs at an endpoint.
 type Load struct {
-	// Running counts requests; Prefill is prompt tokens without a first token.
+	// Running is the number of requests; Prefill is the number of prompt tokens of requests without a first
+	// token.
 	Running int `json:"r"`
 	Prefill int `json:"p,omitempty"`
-	// Step is the seen time of a token, or of a request at a plain service, in microseconds; 0 is unknown.
+	// Step is the measured time per token, or per request at a plain service, in microseconds; 0 means unknown.
 	Step int64 `json:"s,omitempty"`
-	// Good and Bad are the latest requests that it answered well, and that it failed, in tenths, as outlier.Evidence
-	// counts them.
+	// Good and Bad are the numbers of latest requests that the endpoint answered well and that it failed, in
+	// tenths, counted as in outlier.Evidence.
 	Good int `json:"g,omitempty"`
 	Bad  int `json:"b,omitempty"`
 }
 
-// Stamp names a version of something and its age when it was sent.
+// Stamp identifies a version of something, with its age when it was sent.
 type Stamp struct {
-	// Revision is the store's revision, and Sum tells versions of different content apart
-	// where the revision does not.
+	// Revision is the store's revision; Sum distinguishes versions with different content and the same
+	// revision.
 	Revision uint64 `json:"v,omitempty"`
 	Sum      uint64 `json:"x,omitempty"`
-	// AgeMS is the time in milliseconds since it was surely the newest, -1 for none known.
+	// AgeMS is the time since the version was certainly the newest, in milliseconds; -1 means that none is
+	// known.
 	AgeMS int64 `json:"a"`
 }
 
-// Version is a stamp in the receiver's own time.
+// Version is a Stamp converted to the receiver's clock.
 type Version struct {
-	// Known says that the sender had one.
+	// Known says that the sender knew a version.
 	Known bool
-	// Revision and Sum name it.
+	// Revision and Sum identify the version, as in Stamp.
 	Revision, Sum uint64
-	// At is a moment of the receiver's clock at which it was the newest.
+	// At is a time on the receiver's clock at which the version was the newest.
 	At time.Duration
 }
 
-// since gives the version that a stamp names, if it was sent at a moment or later.
+// since converts a stamp that was written at time sent or later.
 func (s Stamp) since(sent time.Duration) Version {
 	return Version{Known: s.AgeMS >= 0, Revision: s.Revision, Sum: s.Sum, At: sent - time.Duration(s.AgeMS)*time.Millisecond}
 }
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// deflaters are reused: a new one allocates more than a heartbeat's worth.
+// deflaters reuses writers: a new one allocates more memory than a heartbeat needs.
 var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
@@ -23,20 +23,20 @@
 	return w
 }}
 
-// The first byte of a datagram tells what follows.
+// Kinds of datagrams; the first byte of a datagram is its kind.
 const (
-	kindHeartbeat = 'b' // deflated JSON of a Beat
+	kindHeartbeat = 'b' // deflated JSON of a Heartbeat
 	kindMember    = 'm' // the same, to be passed on by the receiver
 	kindDigest    = 'd' // deflated JSON of a Digest
-	kindUpdate    = 'u' // JSON of an Update, too short to be worth deflating
+	kindUpdate    = 'u' // JSON of an Update, too short for deflating to pay
 	kindAsks      = 'a' // JSON of Asks
 	kindGrants    = 'g' // JSON of Grants
 )
 
-// memberHeartbeat is a heartbeat to a relay, which is to pass on its words.
+// memberHeartbeat is a heartbeat to a relay, which passes on its content.
 type memberHeartbeat struct{ Heartbeat }
 
-// encode writes a *Beat, *member, *Digest, *Update, *Asks or *Grants.
+// encode encodes a *Heartbeat, *memberHeartbeat, *Digest, *Update, *Asks or *Grants.
 func encode(msg any) ([]byte, error) {
 	switch msg := msg.(type) {
 	case *Heartbeat:
@@ -55,13 +55,13 @@
 	return nil, errUnknownKind
 }
 
-// encodeJSON writes JSON.
+// encodeJSON encodes a message as JSON.
 func encodeJSON(kind byte, msg any) ([]byte, error) {
 	b, err := json.Marshal(msg)
 	return append([]byte{kind}, b...), err
 }
 
-// encodeDeflated writes deflated JSON: bytes between zones are paid for.
+// encodeDeflated encodes a message as deflated JSON, because traffic between zones is paid for.
 func encodeDeflated(kind byte, msg any) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteByte(kind)
@@ -77,13 +77,13 @@
 	return out.Bytes(), nil
 }
 
-// maxInflatedSize bounds a datagram before it was deflated.
+// maxInflatedSize limits the size of an inflated datagram, in bytes.
 const maxInflatedSize = 1 << 20
 
-// errUnknownKind means that a datagram is of no known kind.
+// errUnknownKind means that a datagram is of an unknown kind.
 var errUnknownKind = eris.New("datagram is of no known kind; its sender may run another version")
 
-// decode reads a datagram: a *Beat, *member, *Digest, *Update, *Asks or *Grants.
+// decode decodes a datagram: a *Heartbeat, *memberHeartbeat, *Digest, *Update, *Asks or *Grants.
 func decode(data []byte) (any, error) {
 	if len(data) == 0 {
 		return nil, errUnknownKind
@@ -111,7 +111,7 @@
 	return nil, errUnknownKind
 }
 
-// decodeDeflated reads deflated JSON.
+// decodeDeflated decodes deflated JSON.
 func decodeDeflated(data []byte, msg any) error {
 	r := flate.NewReader(bytes.NewReader(data))
 	defer r.Close()
--- a/peers/digest.go
+++ b/peers/digest.go
@@ -4,26 +4,25 @@
 
 package peers
 
-// Digest is what a relay passes on: the sum of what several hosts told it. It is one
-// datagram of JSON.
+// Digest is what a relay passes on: the sum of the reports of several hosts. It is one datagram of JSON.
 type Digest struct {
-	// Host names the relay, Life one run of its process.
+	// Host is the name of the relay; Life identifies one run of its process.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
 	// Seq numbers the relay's heartbeats and digests.
 	Seq uint32 `json:"s"`
-	// Partial says that it is the sum of the relay's own members, for other relays; else it
-	// is the sum of all hosts, for the members.
+	// Partial says that the digest is the sum of the relay's own members, for other relays; otherwise it is the
+	// sum of all hosts, for the members.
 	Partial bool `json:"b,omitempty"`
-	// Hosts is the number of hosts whose words are in it.
+	// Hosts is the number of hosts whose reports are included.
 	Hosts int `json:"m"`
-	// Echo is the newest Seq of each receiver whose words are in it.
+	// Echo is the newest Seq of each receiver whose report is included.
 	Echo map[string]uint32 `json:"e,omitempty"`
-	// Info is what the relay tells of itself.
+	// Info is the relay's information about itself.
 	Info HostInfo `json:"r"`
-	// Known are hosts that were heard of lately, and Lost those that fell silent.
+	// Known lists hosts heard from recently, and Lost those that became silent.
 	Known []KnownHost `json:"k,omitempty"`
 	Lost  []string    `json:"d,omitempty"`
-	// Words are sums; Used counts from the relay's start.
+	// Words holds sums; Used counts from the relay's start.
 	Words
 }
--- a/peers/others.go
+++ b/peers/others.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// Mean ages of what is known of other hosts' loads: half an updateEvery until they are
-// told, a datagram, and half of one until it is looked at; by way of relays two
-// heartbeats and what a relay waits.
+// Mean ages of the loads known of other hosts. Directly: half an updateInterval until they are sent, the time
+// of a datagram, and half an updateInterval until they are read. By relays: two heartbeats and the relays'
+// waiting times.
 const (
 	directAge  = 30 * time.Millisecond
 	relayedAge = 450 * time.Millisecond
@@ -16,17 +16,16 @@
 
 // PeerLoads is what the other hosts have running and waiting.
 type PeerLoads struct {
-	// Load is what runs, by endpoint, and Waiting the number of requests that wait, by
-	// service and tier.
+	// Load is what runs, by endpoint, and Waiting the number of waiting requests, by service and tier.
 	Load    map[string]Load
 	Waiting map[string][]int
-	// Age is how old that is in the mean.
+	// Age is the mean age of these numbers.
 	Age time.Duration
-	// Unreported is the number of hosts that may be serving and whose words are not in it.
+	// Unreported is the number of hosts that may be serving and whose loads are not included.
 	Unreported int
 }
 
-// PeerLoads sums up what the other hosts have running and waiting.
+// PeerLoads returns the sum of what the other hosts have running and waiting.
 func (a *Agent) PeerLoads() PeerLoads {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/peers/places.go
+++ b/peers/places.go
@@ -11,56 +11,57 @@
 	"github.com/heathkeel/heathkeel/places"
 )
 
-// Figures of asking for places.
+// Parameters of asking for slots.
 const (
-	// askDelay is the time in which causes to ask are gathered into one datagram for each owner: a thousandth and more
-	// of what requests to engines take, and so few datagrams that a small host bears them.
+	// askDelay is the time for which triggers are gathered into one datagram per owner: one thousandth or more
+	// of the duration of requests to engines, and few enough datagrams for a small host.
 	askDelay = 3 * time.Millisecond
-	// askInterval is the time after which a host asks again while something waits, less than places.askLife.
+	// askInterval is the time after which a host asks again while something waits; it is less than the time for
+	// which an owner keeps a request.
 	askInterval = 40 * time.Millisecond
-	// ownersInterval is the time after which owners are worked out anew: a heartbeat.
+	// ownersInterval is the time after which owners are computed anew: one heartbeat.
 	ownersInterval = 200 * time.Millisecond
 )
 
-// Asks is what a host tells the owner of some endpoints' places. It is one datagram of JSON.
+// Asks is what a host asks the owner of some endpoints' slots. It is one datagram of JSON.
 type Asks struct {
-	// Host names the sender, Life one run of its process; Seq numbers its asks.
+	// Host is the name of the sender; Life identifies one run of its process; Seq numbers its asks.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
 	Seq  uint32 `json:"s"`
-	// Asks are by the life of the endpoint.
+	// Asks holds the requests by incarnation of the endpoint.
 	Asks map[string]places.Request `json:"a"`
 }
 
-// Grants is what an owner answers, and tells hosts when places get free. It is one datagram of JSON.
+// Grants is what an owner answers, and sends to hosts when slots become free. It is one datagram of JSON.
 type Grants struct {
-	// Host names the owner, To the run of the receiver's process that asked.
+	// Host is the name of the owner; To identifies the run of the receiver's process that asked.
 	Host string `json:"h"`
 	To   uint64 `json:"t"`
-	// Grants are by the life of the endpoint.
+	// Grants holds the grants by incarnation of the endpoint.
 	Grants map[string]places.Grant `json:"g"`
 }
 
-// SlotHost is what an agent asks of the program about places.
+// SlotHost is what an agent needs from the program for sharing slots.
 type SlotHost interface {
-	// ZoneOf names the zone of an endpoint, by its life.
+	// ZoneOf returns the zone of an endpoint, given its incarnation.
 	ZoneOf(endpoint string) string
-	// Asks gives what is to be told to owners, and whether something waits.
+	// Asks returns what to ask the owners, and whether something waits.
 	Asks() (asks map[string]places.Request, waits bool)
-	// HandleAsks takes what a host tells this one as an owner and returns the grants, by host.
+	// HandleAsks handles what a host asks this one as an owner, and returns the grants by host.
 	HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
-	// HandleGrants takes what an owner answers.
+	// HandleGrants handles an owner's answer.
 	HandleGrants(grants map[string]places.Grant)
 }
 
-// owners remembers who owns the places of endpoints.
+// owners caches the owners of endpoints' slots.
 type owners struct {
 	computedAt time.Duration
 	byEndpoint map[string]string
 	candidates []places.Candidate
 }
 
-// owner names the owner of an endpoint's places; mu must be held.
+// owner returns the owner of an endpoint's slots. mu must be held.
 func (a *Agent) owner(now time.Duration, endpoint string) string {
 	owners := &a.owners
 	if owners.byEndpoint == nil || now-owners.computedAt >= ownersInterval {
@@ -82,7 +83,7 @@
 	return name
 }
 
-// TriggerAsks makes the agent ask for places soon.
+// TriggerAsks makes the agent ask for slots after askDelay.
 func (a *Agent) TriggerAsks() {
 	select {
 	case a.askTrigger <- struct{}{}:
@@ -90,8 +91,8 @@
 	}
 }
 
-// askLoop asks for places, soon after each cause and as long as something waits, until ctx ends. Where all others are
-// told of changes directly, nobody owns places.
+// askLoop asks for slots soon after each trigger, and repeatedly while something waits, until ctx ends. In
+// fleets without relays changes are sent to all hosts directly, and slots have no owners.
 func (a *Agent) askLoop(ctx context.Context) {
 	t := time.NewTicker(askInterval)
 	defer t.Stop()
@@ -119,7 +120,7 @@
 	}
 }
 
-// sendAsks tells each owner what concerns it.
+// sendAsks sends each owner the requests for its endpoints.
 func (a *Agent) sendAsks(asks map[string]places.Request) {
 	if len(asks) == 0 {
 		return
@@ -152,7 +153,7 @@
 	}
 }
 
-// sendGrants tells hosts what they were granted.
+// sendGrants sends grants to hosts.
 func (a *Agent) sendGrants(grants map[string]map[string]places.Grant) {
 	for host, part := range grants {
 		if host == a.Table.Host {
--- a/peers/receive.go
+++ b/peers/receive.go
@@ -12,7 +12,7 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// receive hears datagrams until ctx ends.
+// receive reads and handles datagrams until ctx ends.
 func (a *Agent) receive(ctx context.Context) {
 	go func() {
 		<-ctx.Done()
@@ -35,15 +35,15 @@
 			a.discardPending(buf)
 			continue
 		}
-		// One that cannot be read is passed over: it may be damaged or of another
-		// version, and the next full heartbeat tells all.
+		// A datagram that cannot be decoded is ignored: it may be damaged or of another version, and the next
+		// full heartbeat has all information.
 		if msg, err := decode(buf[:n]); err == nil {
 			a.handle(msg)
 		}
 	}
 }
 
-// handle takes one message.
+// handle handles one message.
 func (a *Agent) handle(msg any) {
 	switch msg := msg.(type) {
 	case *Heartbeat:
@@ -70,14 +70,14 @@
 	}
 }
 
-// markAlive notes a sign of life of a host.
+// markAlive records that a host sent something.
 func (a *Agent) markAlive(host string, life uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Table.MarkAlive(a.Now(), host, life)
 }
 
-// receiveHeartbeat takes one heartbeat.
+// receiveHeartbeat handles one heartbeat.
 func (a *Agent) receiveHeartbeat(b *Heartbeat) {
 	if b.Host == a.Table.Host {
 		return
@@ -97,23 +97,24 @@
 	a.receiveCrashes(&b.Crashes)
 }
 
-// receiveCrashes takes what a peer knows of requests under which endpoints crashed. What concerns all hosts a relay passes on at once: its
-// members would else hear of it with the next two heartbeats.
+// receiveCrashes handles a peer's evidence about requests under which endpoints crashed. A relay passes on new
+// evidence that concerns all hosts immediately; otherwise its members would get it with the next two
+// heartbeats.
 func (a *Agent) receiveCrashes(ev *quarantine.Evidence) {
 	if !ev.Empty() && a.Host.CrashesReceived(ev) && a.isRelay() {
 		a.TriggerHeartbeat()
 	}
 }
 
-// isRelay tells whether this host is a relay.
+// isRelay reports whether this host is a relay.
 func (a *Agent) isRelay() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.usesRelays() && a.uplink.host == a.Table.Host
 }
 
-// noteNewcomer lets a host be answered with the next heartbeat that knows less than half of the
-// hosts that this one knows, so that it learns of the others; mu must be held.
+// noteNewcomer makes the next heartbeat answer a host that knows less than half of the hosts that this one
+// knows, so that it learns of the others. mu must be held.
 func (a *Agent) noteNewcomer(b *Heartbeat) {
 	nc := newcomer{b.Host, b.Info.Address}
 	if nc.address == "" || 2*b.Size >= a.Table.Size() || slices.Contains(a.newcomers, nc) {
@@ -123,7 +124,7 @@
 	a.TriggerHeartbeat()
 }
 
-// receiveUpdate takes changed loads.
+// receiveUpdate handles changed loads.
 func (a *Agent) receiveUpdate(u *Update) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// receiveDigest takes what a relay passes on.
+// receiveDigest handles a relay's digest.
 func (a *Agent) receiveDigest(d *Digest) {
 	if d.Host == a.Table.Host {
 		return
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -10,34 +10,32 @@
 	"time"
 )
 
-// sourceLife is the silence after which what a host told is left out of sums: three
-// heartbeats and a part of one. What a relay told counts for two heartbeats more, since a
-// whole zone would be missing.
+// sourceTimeout is the silence after which a host's report is left out of sums: three and a half heartbeats. A
+// relay's report counts for two heartbeats longer, because a whole zone would be missing.
 const (
 	sourceTimeout = 700 * time.Millisecond
 	relayTimeout  = 1100 * time.Millisecond
 )
 
-// Relay adds up what hosts tell it. In fleets where not every host can be told by every
-// other one, the hosts of a zone send their heartbeats to one of them, the relay; relays
-// tell each other the sums of their zones, and their members the sum of all. Every host
-// then sends and hears one datagram at a time, whatever the size of the fleet. A relay
-// holds nothing that its successor does not hear anew within a heartbeat. It is pure and not
-// safe for concurrent use.
+// Relay adds up the reports of hosts. In fleets where not every host can report to every other one, the hosts
+// of a zone send their heartbeats to one of them, the relay; relays send each other the sums of their zones,
+// and their members the sum of all. Each host then sends and receives one datagram per heartbeat, whatever the
+// size of the fleet. A relay holds nothing that its successor does not receive anew within one heartbeat. It
+// does no I/O, and it is not safe for concurrent use.
 type Relay struct {
-	// Host and Life name this host.
+	// Host and Life identify this host and one run of its process.
 	Host string
 	Life uint64
 
 	members map[string]*source
 	relays  map[string]*source
-	lost    map[string]time.Duration // members that fell silent, and when that was seen
-	// partialUsed and wholeUsed are what members, and all hosts, used since the relay began
-	// to hear them.
+	lost    map[string]time.Duration // members that became silent, and when that was noticed
+	// partialUsed and fullUsed are what members, and all hosts, used since the relay first received their
+	// reports.
 	partialUsed, fullUsed map[string]float64
 }
 
-// source is what a host or a relay told last.
+// source is the last report of a host or a relay.
 type source struct {
 	life       uint64
 	seq        uint32
@@ -48,7 +46,7 @@
 	words      Words
 }
 
-// init makes the maps.
+// init creates the maps.
 func (r *Relay) init() {
 	if r.members != nil {
 		return
@@ -58,7 +56,7 @@
 	r.partialUsed, r.fullUsed = make(map[string]float64), make(map[string]float64)
 }
 
-// ReceiveHeartbeat takes a member's heartbeat.
+// ReceiveHeartbeat stores a member's heartbeat.
 func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
@@ -72,7 +70,7 @@
 	}
 }
 
-// ReceivePartial takes another relay's part.
+// ReceivePartial stores another relay's partial digest.
 func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
 	used, ok := updateSource(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
@@ -84,9 +82,8 @@
 	}
 }
 
-// updateSource notes what a source told and returns what was used there since its last words. The
-// first words of a life are where the counting starts. It returns false for words that
-// were overtaken.
+// updateSource stores a source's report and returns what was used there since its previous report. Counting
+// starts with the first report of a run. It returns false for a report that arrives after a newer one.
 func updateSource(sources map[string]*source, name string, s *source) (map[string]float64, bool) {
 	old := sources[name]
 	if old != nil && old.life == s.life && s.seq <= old.seq {
@@ -105,7 +102,7 @@
 	return used, true
 }
 
-// MemberAddresses are the addresses of the other hosts that send their heartbeats here.
+// MemberAddresses returns the addresses of the other hosts that send their heartbeats to this relay.
 func (r *Relay) MemberAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
@@ -117,7 +114,7 @@
 	return out
 }
 
-// RelayAddresses are the addresses of the relays that sent their parts here.
+// RelayAddresses returns the addresses of the relays that sent their partial digests to this one.
 func (r *Relay) RelayAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
@@ -140,11 +137,11 @@
 	maps.DeleteFunc(r.lost, func(_ string, at time.Duration) bool { return now-at > lostPeriod })
 }
 
-// lostPeriod is the time for which a relay tells that a member fell silent: enough for some
-// digests to be lost on the way.
+// lostPeriod is the time for which a relay reports that a member became silent: long enough for some digests to
+// be lost.
 const lostPeriod = 2 * time.Second
 
-// PartialDigest is the sum of the members, for other relays.
+// PartialDigest returns the sum of the members, for other relays.
 func (r *Relay) PartialDigest(now time.Duration) Digest {
 	r.expire(now)
 	d := Digest{Host: r.Host, Life: r.Life, Partial: true, Echo: make(map[string]uint32)}
@@ -161,7 +158,7 @@
 	return d
 }
 
-// FullDigest is the sum of all hosts, for the members.
+// FullDigest returns the sum of all hosts, for the members.
 func (r *Relay) FullDigest(now time.Duration) Digest {
 	r.expire(now)
 	d := Digest{Host: r.Host, Life: r.Life, Echo: make(map[string]uint32)}
@@ -185,11 +182,11 @@
 // loadSum adds up loads; the zero value holds none.
 type loadSum struct {
 	sum        map[string]Load
-	stepCounts map[string]int64 // number of times of a token in the sum of load
+	stepCounts map[string]int64 // number of times per token in the sum, by endpoint
 	waiting    map[string][]int
 }
 
-// add adds the loads of some words.
+// add adds the loads of a report.
 func (s *loadSum) add(w *Words) {
 	if s.sum == nil {
 		s.sum, s.stepCounts = make(map[string]Load), make(map[string]int64)
@@ -217,7 +214,7 @@
 	}
 }
 
-// loads gives the sums, with the mean time of a token.
+// loads returns the sums, with the mean time per token.
 func (s *loadSum) loads() map[string]Load {
 	for name, n := range s.stepCounts {
 		l := s.sum[name]
--- a/peers/relayed.go
+++ b/peers/relayed.go
@@ -10,10 +10,10 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// sendRelayed gives a heartbeat to the relay of this host's zone, which may be this host,
-// and sends the digests that this host owes as a relay.
+// sendRelayed sends a heartbeat to the relay of this host's zone, which may be this host, and the digests that
+// this host sends as a relay.
 func (a *Agent) sendRelayed(b Heartbeat) {
-	b.Known = nil // relays name hosts to their members
+	b.Known = nil // relays send known hosts to their members
 	a.mu.Lock()
 	now := a.Now()
 	a.sentWords.add(&b)
@@ -34,8 +34,8 @@
 	a.sendDigests(now, &b)
 }
 
-// sendDigests sends the sum of the members to the other relays, and that of all hosts to
-// the members, if this host has any.
+// sendDigests sends the sum of the members to the other relays, and the sum of all hosts to the members, if
+// this host has any.
 func (a *Agent) sendDigests(now time.Duration, b *Heartbeat) {
 	a.mu.Lock()
 	members := a.relay.MemberAddresses(now)
@@ -67,8 +67,7 @@
 	a.sendTo(&full, members)
 }
 
-// otherRelays are the addresses of the first choices of all zones, but for this host; mu
-// must be held.
+// otherRelays returns the addresses of the preferred relays of all zones, without this host. mu must be held.
 func (a *Agent) otherRelays(now time.Duration, b *Heartbeat) []string {
 	self := &Member{Host: b.Host, Life: b.Life, Info: b.Info}
 	all := append(a.Table.Live(now), self)
--- a/peers/table.go
+++ b/peers/table.go
@@ -14,82 +14,82 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Figures of the table.
+// Parameters of the table.
 const (
-	// DefaultSilenceTimeout is the silence after which a host is not given to callers, in
-	// fleets of up to directHosts hosts; it grows with the fleet, as a relay then names
-	// each host more seldom, up to longestSilent. Relays tell at once of hosts that fell
-	// silent, so that this time only counts where a relay went with them.
+	// DefaultSilenceTimeout is the silence after which a host is not given to callers, in fleets of up to
+	// silenceBaseHosts hosts. It grows with the fleet up to maxSilenceTimeout, because a relay then names each
+	// host less often. Relays report silent hosts immediately, so that this timeout matters only if a relay is
+	// lost together with them.
 	DefaultSilenceTimeout = 1200 * time.Millisecond
 	silenceBaseHosts      = 50
 	maxSilenceTimeout     = 12 * time.Second
 	// DefaultForgetTimeout is the silence after which a host is dropped.
 	DefaultForgetTimeout = 20 * time.Second
-	// minKnownHosts is the number of hosts passed on in a heartbeat or a digest, if that many
-	// are known; in large fleets it is more, so that knownRound of them name all.
+	// minKnownHosts is the number of hosts passed on in a heartbeat or digest, if that many are known. In large
+	// fleets the number is higher, so that knownHostsRounds of them name all hosts.
 	minKnownHosts    = 24
 	knownHostsRounds = 20
-	// seqWindow is the number of own heartbeats whose sending times are kept.
+	// seqWindow is the number of own heartbeats and digests whose sending times are kept.
 	seqWindow = 64
 )
 
 // Member is another host.
 type Member struct {
-	// Host and Life name it.
+	// Host and Life identify the host and one run of its process.
 	Host string
 	Life uint64
-	// Info is what it told.
+	// Info is what the host reported about itself.
 	Info HostInfo
-	// LastHeard is when it was last known to live.
+	// LastHeard is when the host was last known to be live.
 	LastHeard time.Duration
-	// Load is what it has running, by endpoint, and Waiting the number of requests that
-	// wait there, by service and tier.
+	// Load is what the host has running, by endpoint, and Waiting the number of requests that wait there, by
+	// service and tier.
 	Load    map[string]Load
 	Waiting map[string][]int
 
-	lastDirect  time.Duration
-	infoChanged time.Duration // when its row changed last
+	lastDirect  time.Duration // when it last sent something to this host
+	infoChanged time.Duration // when Info changed last, or the member returned
 	lastSeq     uint32
 	loadSeq     uint32
 }
 
-// Proof says what a peer knew to be the newest at a moment of this host's clock.
+// Proof says which versions a peer knew to be the newest at a time on this host's clock.
 type Proof struct {
-	// Host is the peer, Control where it can be asked.
+	// Host is the name of the peer, Control the address where it can be queried.
 	Host, Control string
-	// Settings and Endpoints are what it knew.
+	// Settings and Endpoints are the versions that the peer knew.
 	Settings, Endpoints Version
 }
 
-// Table is what a host knows of the others. It is pure and not safe for concurrent use.
+// Table is what a host knows about the others. It does no I/O, and it is not safe for concurrent use.
 type Table struct {
-	// Host and Life name this host.
+	// Host and Life identify this host and one run of its process.
 	Host string
 	Life uint64
-	// SilenceTimeout and Forget are silences; see the defaults.
+	// SilenceTimeout and ForgetTimeout are described at their defaults, which are used for 0.
 	SilenceTimeout, ForgetTimeout time.Duration
 
 	members   map[string]*Member
 	seq       uint32
 	loadSeq   uint32
-	lastNamed map[string]string // the last host that was passed on, by the zone asked for
-	sentAt    [seqWindow]time.Duration
+	lastNamed map[string]string        // last host that was passed on, by the zone that was asked for
+	sentAt    [seqWindow]time.Duration // by Seq modulo seqWindow
 }
 
-// NextSeq numbers a heartbeat that is sent now.
+// NextSeq returns the number of a heartbeat or digest that is sent now.
 func (t *Table) NextSeq(now time.Duration) uint32 {
 	t.seq++
 	t.sentAt[t.seq%seqWindow] = now
 	return t.seq
 }
 
-// NextLoadSeq numbers loads that are told now.
+// NextLoadSeq returns the number of a load report that is sent now.
 func (t *Table) NextLoadSeq() uint32 {
 	t.loadSeq++
 	return t.loadSeq
 }
 
-// Echo gives the newest numbers heard of the given members.
+// Echo returns the newest Seq received from each of the members.
 func (t *Table) Echo(members []*Member) map[string]uint32 {
 	out := make(map[string]uint32, len(members))
 	for _, m := range members {
@@ -100,9 +100,9 @@
 	return out
 }
 
-// ReceiveHeartbeat takes a heartbeat. The proof is valid if the peer told an age and had
-// heard of a heartbeat whose sending time is still known: the peer's words were
-// written after that time, so its age can only be counted from there.
+// ReceiveHeartbeat applies a heartbeat. The proof is valid if the peer echoes a heartbeat of this host whose
+// sending time is still known: the peer's report was written after that time, so its ages can only be counted
+// from there.
 func (t *Table) ReceiveHeartbeat(now time.Duration, b *Heartbeat) (Proof, bool) {
 	if b.Host == t.Host || b.Host == "" {
 		return Proof{}, false
@@ -124,7 +124,8 @@
 	return t.proof(b.Host, &b.Info, b.Echo, &b.Words)
 }
 
-// ReceiveDigest takes a relay's digest of all hosts. The hosts that it lost are silent from now.
+// ReceiveDigest applies a relay's digest of all hosts. The hosts listed as lost are silent from now on, unless
+// they sent something to this host within sourceTimeout.
 func (t *Table) ReceiveDigest(now time.Duration, d *Digest) (Proof, bool) {
 	if d.Host == t.Host || d.Host == "" {
 		return Proof{}, false
@@ -147,8 +148,9 @@
 	return t.proof(d.Host, &d.Info, d.Echo, &d.Words)
 }
 
-// MarkAlive notes that a known member, in one life of its process or in the one that is known if life is 0, sent something but a heartbeat. A relay that
-// lost some heartbeats takes it for silent; who hears from it knows better.
+// MarkAlive records that a known member sent something other than a heartbeat, in the given run of its process,
+// or in the known one if life is 0. A relay that lost some heartbeats may report the member as silent; a host
+// that hears from it knows better.
 func (t *Table) MarkAlive(now time.Duration, host string, life uint64) {
 	if m := t.members[host]; m != nil && (life == 0 || life == m.Life) {
 		t.noteReturn(now, m)
@@ -156,8 +158,8 @@
 	}
 }
 
-// proof gives what a peer's words prove: they were written after it had heard the datagram
-// of this host that it echoes.
+// proof returns what a peer's report proves: it was written after the peer had received the datagram of this
+// host that it echoes.
 func (t *Table) proof(host string, info *HostInfo, echoes map[string]uint32, words *Words) (Proof, bool) {
 	echo, ok := echoes[t.Host]
 	if !ok || echo > t.seq || t.seq-echo >= seqWindow {
@@ -167,17 +169,17 @@
 	return Proof{Host: host, Control: info.Control, Settings: words.Settings.since(sentAt), Endpoints: words.Endpoints.since(sentAt)}, true
 }
 
-// Relays lists the hosts of a zone that may relay, the first choice first. self is this
-// host, which counts like the others.
+// Relays returns the hosts of a zone that may relay, in order of preference. self is this host, which counts
+// like the others.
 func (t *Table) Relays(now time.Duration, zone string, self *Member) []*Member {
 	return relayCandidates(append(t.Live(now), self), zone)
 }
 
-// relayCapacityRatio is the part of the largest capacity of a zone from which a host may relay.
+// relayCapacityRatio is the fraction of the largest capacity in a zone that a host needs to relay.
 const relayCapacityRatio = 0.75
 
-// relayCandidates lists the hosts of a zone that may relay: those with about the largest
-// capacity of the zone, in an order drawn from their names, so that all hosts name the same.
+// relayCandidates returns the hosts of a zone that may relay: those with about the largest capacity in the
+// zone, in the order of the hashes of their names, so that all hosts choose the same.
 func relayCandidates(all []*Member, zone string) []*Member {
 	var out []*Member
 	largest := 0.0
@@ -194,7 +196,7 @@
 	return out
 }
 
-// zonesOf lists the availability zones of some hosts.
+// zonesOf returns the availability zones of the members.
 func zonesOf(all []*Member) []string {
 	var out []string
 	for _, m := range all {
@@ -205,21 +207,21 @@
 	return out
 }
 
-// setInfo takes what a member tells of itself.
+// setInfo stores what a member reports about itself.
 func (m *Member) setInfo(now time.Duration, info HostInfo) {
 	if m.Info != info {
 		m.Info, m.infoChanged = info, now
 	}
 }
 
-// noteReturn notes that a member which was silent is heard again: that is passed on before others.
+// noteReturn records that a silent member is heard from again; such members are passed on before others.
 func (t *Table) noteReturn(now time.Duration, m *Member) {
 	if now-m.LastHeard > t.silenceTimeout() {
 		m.infoChanged = now
 	}
 }
 
-// member returns a member, made when it is first heard of.
+// member returns a member, which is created if necessary.
 func (t *Table) member(host string) *Member {
 	if t.members == nil {
 		t.members = make(map[string]*Member)
@@ -232,7 +234,7 @@
 	return m
 }
 
-// mergeKnownHost takes what a peer says of another host.
+// mergeKnownHost applies a peer's information about another host.
 func (t *Table) mergeKnownHost(now time.Duration, k KnownHost) {
 	heard := now - time.Duration(k.Age)*time.Millisecond
 	if k.Host == t.Host || k.Host == "" || now-heard > t.silenceTimeout() {
@@ -264,17 +266,17 @@
 	return DefaultForgetTimeout
 }
 
-// Live returns the members heard of lately, sorted by name.
+// Live returns the members heard from within the silence timeout, sorted by name.
 func (t *Table) Live(now time.Duration) []*Member {
 	return t.heardWithin(now, t.silenceTimeout())
 }
 
-// Unexpired returns the members that may still run: those not silent for long.
+// Unexpired returns the members that may still run: those heard from within the forget timeout.
 func (t *Table) Unexpired(now time.Duration) []*Member {
 	return t.heardWithin(now, t.forgetTimeout())
 }
 
-// ServingCount counts the members that may be serving: those that may still run and did not say
+// ServingCount returns the number of members that may be serving: those that may still run and did not report
 // that they stop.
 func (t *Table) ServingCount(now time.Duration) int {
 	n := 0
@@ -286,7 +288,7 @@
 	return n
 }
 
-// heardWithin returns the members heard of within a time, and drops those that are to be forgotten.
+// heardWithin returns the members heard from within limit, and drops those beyond the forget timeout.
 func (t *Table) heardWithin(now, limit time.Duration) []*Member {
 	out := make([]*Member, 0, len(t.members))
 	for name, m := range t.members {
@@ -301,16 +303,15 @@
 	return out
 }
 
-// Targets picks at most n members to send a heartbeat to.
+// Targets returns at most n random members to send a heartbeat to.
 func (t *Table) Targets(now time.Duration, n int, r *rand.Rand) []*Member {
 	all := t.Unexpired(now)
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// KnownHosts picks members to pass on, of one zone if it is not empty: first those that
-// relay, which a host that knows few others needs most, then those whose row changed
-// lately, and the others in turn.
+// KnownHosts returns members to pass on, of one zone if zone is not empty: first the relays, which a host that
+// knows few others needs most, then members whose Info changed recently, and then the others in turn.
 func (t *Table) KnownHosts(now time.Duration, zone string) []KnownHost {
 	all := slices.DeleteFunc(t.Live(now), func(m *Member) bool { return zone != "" && m.Info.Zone != zone })
 	maxHosts := max(minKnownHosts, len(all)/knownHostsRounds)
@@ -332,7 +333,7 @@
 			add(m)
 		}
 	}
-	// All are sorted by name; go on behind the one that was named last.
+	// Members are sorted by name; continue after the one that was passed on last.
 	if t.lastNamed == nil {
 		t.lastNamed = make(map[string]string)
 	}
@@ -345,15 +346,15 @@
 	return out
 }
 
-// recentChange is the time for which a change of a row is passed on before others.
+// recentChange is the time for which a change of Info is passed on before others.
 const recentChange = time.Second
 
-// knownHost is how a member is passed on.
+// knownHost returns a member in the form in which it is passed on.
 func (m *Member) knownHost(now time.Duration) KnownHost {
 	return KnownHost{m.Host, m.Life, m.Info, (now - m.LastHeard).Milliseconds()}
 }
 
-// lastSeqOf is the number of the newest heartbeat heard of a host, 0 for none.
+// lastSeqOf returns the newest Seq received from a host, 0 for none.
 func (t *Table) lastSeqOf(host string) uint32 {
 	if m := t.members[host]; m != nil {
 		return m.lastSeq
@@ -361,5 +362,5 @@
 	return 0
 }
 
-// Size is the number of members that may still run, as of the last look at them.
+// Size returns the number of members that may still run, as of the last call that dropped expired members.
 func (t *Table) Size() int { return len(t.members) }
--- a/peers/turn.go
+++ b/peers/turn.go
@@ -10,9 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turn is this host's place in the order in which hosts read the store for each other, and far tells
-// whether proofs reach it by way of relays. In small fleets the order is drawn from names. In those with relays these
-// come first, whose words reach all hosts of their zone soonest. A host that hears no other has turn 0.
+// Turn returns this host's position in the order in which hosts read the store for each other; viaRelay reports
+// whether proofs arrive through relays. In small fleets the order is that of the hashes of the names. In fleets
+// with relays the relays come first, because their reports reach all hosts of their zone soonest. A host that
+// hears from no other host has turn 0.
 func (a *Agent) Turn() (turn int, viaRelay bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,7 +39,7 @@
 	return len(relays) + countBefore(live, self.Host), true
 }
 
-// countBefore counts the members before a host in an order drawn from names.
+// countBefore returns the number of members before a host in the order of the hashes of their names.
 func countBefore(ms []*Member, host string) int {
 	hash, n := xxhash.Sum64String(host), 0
 	for _, m := range ms {
@@ -49,7 +50,7 @@
 	return n
 }
 
-// Rank is this host's place among all in an order drawn from names.
+// Rank returns this host's position among all hosts in the order of the hashes of their names.
 func (a *Agent) Rank() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/peers/update.go
+++ b/peers/update.go
@@ -6,29 +6,29 @@
 
 import "maps"
 
-// Update tells what changed in a host's loads since its last update or heartbeat. It is
-// one datagram of JSON. A lost one is made good by the next heartbeat, which tells all.
+// Update holds the changes of a host's loads since its last update or heartbeat. It is one datagram of JSON.
+// The next heartbeat, which has all loads, makes up for a lost update.
 type Update struct {
-	// Host names the sender, Life one run of its process.
+	// Host is the name of the sender; Life identifies one run of its process.
 	Host string `json:"h"`
 	Life uint64 `json:"l"`
-	// LoadSeq numbers the loads that the sender told, in updates and heartbeats.
+	// LoadSeq numbers the sender's load reports, in updates and heartbeats.
 	LoadSeq uint32 `json:"n"`
 	// Load is what the sender has running now at the endpoints where that changed.
 	Load map[string]Load `json:"o,omitempty"`
-	// Waiting is the number of requests that wait, by service and tier.
+	// Waiting is the number of waiting requests, by service and tier.
 	Waiting map[string][]int `json:"t,omitempty"`
 }
 
-// ReceiveUpdate takes an update and reports whether it told anything new: one that was
-// overtaken, or that comes from a host or a life not known yet, does not.
+// ReceiveUpdate applies an update and reports whether it was new: an update that arrives after a newer one, or
+// from a host or a Life that is not known yet, is ignored.
 func (t *Table) ReceiveUpdate(u *Update) bool {
 	m := t.members[u.Host]
 	if m == nil || m.Life != u.Life || u.LoadSeq <= m.loadSeq {
 		return false
 	}
 	m.loadSeq = u.LoadSeq
-	// Copies of members that were given out share the old map.
+	// Copies of members that were returned earlier share the old map.
 	load := maps.Clone(m.Load)
 	if load == nil {
 		load = make(map[string]Load, len(u.Load))
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -6,30 +6,30 @@
 
 import "time"
 
-// Figures of the way to a relay.
+// Parameters of the connection to a relay.
 const (
-	// digestTimeout is the time without a digest after which another relay is taken: three
-	// heartbeats and a part of one.
+	// digestTimeout is the time without a digest after which another relay is chosen: three and a half
+	// heartbeats.
 	digestTimeout = 700 * time.Millisecond
-	// suspectPeriod is the time for which a relay that sent no digest is not taken again.
+	// suspectPeriod is the time for which a relay that sent no digest is not chosen again.
 	suspectPeriod = 2500 * time.Millisecond
-	// maxDigestAge is the age at which a digest tells nothing of loads any more: until then
-	// another relay can be taken and have heard of all hosts.
+	// maxDigestAge is the age at which the loads of a digest are no longer used: by then another relay can have
+	// been chosen and have received the reports of all hosts.
 	maxDigestAge = 2 * time.Second
 )
 
-// uplink is the relay that passes on what this host tells, and what it told last.
+// uplink is the state of the relay that this host uses, and the last digest that it sent.
 type uplink struct {
 	host       string
 	usedSince  time.Duration // when this host began to use it
 	lastDigest time.Duration // when it last sent a digest
 	suspects   map[string]time.Duration
 	digest     *Digest
-	digestAt   time.Duration // when the digest came
+	digestAt   time.Duration // when digest was received
 }
 
-// choose picks the relay to use from the candidates in order of preference: the first that
-// is not suspected, or nil. A relay that has sent no digest for too long is.
+// choose returns the relay to use: the first of the candidates, which are in order of preference, that is not
+// suspected, or nil. A relay that has sent no digest for digestTimeout is suspected.
 func (u *uplink) choose(now time.Duration, self string, candidates []*Member) *Member {
 	if u.suspects == nil {
 		u.suspects = make(map[string]time.Duration)
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// isFresh tells whether the relay in use told of the others lately; a host that relays itself
-// is fresh if other relays or members told it something.
+// isFresh reports whether the relay in use has sent the reports of other hosts recently. If this host is the
+// relay, they are fresh if other relays or members have reported to it.
 func (u *uplink) isFresh(now time.Duration, self string) bool {
 	if u.digest == nil || now-u.digestAt > digestTimeout {
 		return false
@@ -59,15 +59,14 @@
 	return u.host != self || u.digest.Hosts > 1
 }
 
-// receive takes a digest of the relay in use and returns what the other hosts used.
+// receive stores a digest of the relay in use and returns what the other hosts used.
 func (u *uplink) receive(now time.Duration, d *Digest, sent *history) (Usage, bool) {
 	old := u.digest
 	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Life == d.Life && d.Seq <= old.Seq) {
 		return Usage{}, false
 	}
 	u.lastDigest = now
-	// A relay that has just become one knows of some hosts only; what was known before is
-	// better for a while.
+	// A new relay knows some hosts only; the previous digest is better for a while.
 	if old == nil || d.Host == old.Host || 10*d.Hosts >= 9*old.Hosts || now-u.digestAt > maxDigestAge {
 		u.digest, u.digestAt = d, now
 	}
@@ -82,8 +81,8 @@
 	return Usage{Source: d.Host, Life: d.Life, Hosts: d.Hosts - 1, Used: used, Left: d.Left}, true
 }
 
-// peerLoads gives what the other hosts have running and waiting by the last digest: the sum
-// of all but what this host had told of itself; and the number of these hosts.
+// peerLoads returns what the other hosts have running and waiting according to the last digest, which is its
+// sum minus what this host had reported, and the number of these hosts.
 func (u *uplink) peerLoads(now time.Duration, sent *history) (sum PeerLoads, hosts int) {
 	load, waiting := make(map[string]Load), make(map[string][]int)
 	sum = PeerLoads{Load: load, Waiting: waiting}
@@ -116,24 +115,24 @@
 	return sum, hosts
 }
 
-// history holds what this host told in its last heartbeats; the zero value holds nothing.
+// history holds what this host reported in its last heartbeats. The zero value is empty.
 type history struct {
 	host  string
 	words [historySize]Words
 	seqs  [historySize]uint32
 }
 
-// historySize is the number of heartbeats kept: those that may still be under way in
-// digests, which are a second old at most.
+// historySize is the number of heartbeats kept: those that may still be in flight in digests, which are one
+// second old at most.
 const historySize = 16
 
-// add keeps the words of a heartbeat.
+// add stores the content of a heartbeat.
 func (h *history) add(b *Heartbeat) {
 	i := b.Seq % historySize
 	h.host, h.words[i], h.seqs[i] = b.Host, b.Words, b.Seq
 }
 
-// lookup gives the words that a digest contains, and false if they are not known any more.
+// lookup returns the report of this host that a digest includes, and false if it is no longer stored.
 func (h *history) lookup(echo map[string]uint32) (Words, bool) {
 	seq, ok := echo[h.host]
 	if i := seq % historySize; ok && seq > 0 && h.seqs[i] == seq {
--- a/peers/woke.go
+++ b/peers/woke.go
@@ -6,9 +6,10 @@
 
 import "time"
 
-// NoteGap notes that this process did not run for a time that ends now. The hosts that were known to live before are taken to live for as long
-// again as they would have been: most do, and without them this host would know no relay and nobody to tell of itself. What lies in the
-// socket is as old as that time and is passed over.
+// NoteGap records that this process did not run for a time that ends now. The hosts that were live before are
+// considered live for as long as they would have been without the gap: most are, and without them this host
+// would know no relay and nobody to report to. Datagrams waiting in the socket may be as old as the gap and are
+// discarded.
 func (a *Agent) NoteGap(gap time.Duration) {
 	a.mu.Lock()
 	now := a.Now()
@@ -19,7 +20,7 @@
 	a.TriggerHeartbeat()
 }
 
-// NoteGap lets a time pass in which nothing was heard because this host did not run.
+// NoteGap shifts the times of the members by a gap in which this host did not run and received nothing.
 func (t *Table) NoteGap(gap time.Duration) {
 	for _, m := range t.members {
 		m.LastHeard += gap
@@ -28,31 +29,31 @@
 	}
 }
 
-// restart begins to wait for the relay in use anew.
+// restart restarts the wait for the current relay.
 func (u *uplink) restart(now time.Duration) {
 	u.usedSince = now
 	clear(u.suspects)
 }
 
-// hasStaleDatagrams reports whether what lies in the socket is to be passed over.
+// hasStaleDatagrams reports whether the datagrams waiting in the socket are to be discarded.
 func (a *Agent) hasStaleDatagrams() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.staleDatagrams
 }
 
-// discardTime is the time in which what lies in the socket is read and passed over: 8 s of a relay's words in a fleet of hundreds are some
-// thousand datagrams, of which one takes some microseconds.
+// discardTime limits how long waiting datagrams are read and discarded: 8 s of a relay's digests in a fleet of
+// hundreds of hosts are some thousand datagrams, each of which takes a few microseconds.
 const discardTime = 5 * time.Millisecond
 
-// discardPending reads what lies in the socket and passes it over.
+// discardPending reads and discards the datagrams waiting in the socket.
 func (a *Agent) discardPending(buf []byte) {
 	err := a.Conn.SetReadDeadline(time.Now().Add(discardTime))
 	for err == nil {
 		_, _, err = a.Conn.ReadFrom(buf)
 	}
 	if err = a.Conn.SetReadDeadline(time.Time{}); err != nil {
-		a.Log.Error(err, "socket cannot be waited on; heartbeats may not be heard")
+		a.Log.Error(err, "cannot clear the read deadline of the socket; heartbeats may not be received")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
