--- a/peers/amounts_test.go
+++ b/peers/amounts_test.go
@@ -23,8 +23,8 @@
 type quotaHost struct {
 	*node
 	book         *quota.Book
-	initialHosts int           // hosts that the store named at the start
-	startedAt    time.Duration // of this life
+	initialHosts int           // hosts that the store listed at the start
+	startedAt    time.Duration // start of the current run
 	limit        quota.Limit   // of the workspace
 }
 
@@ -42,7 +42,7 @@
 	p.book.ApplyReport(p.now(), u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
-// run starts a life of the host.
+// run starts the host's process.
 func (p *quotaHost) run(ctx context.Context, i int, seed string, tolerance quota.Tolerance, startFull bool) {
 	p.mu.Lock()
 	p.book, p.startedAt = quota.NewBook(p.now()), p.now()
@@ -59,7 +59,7 @@
 	go p.agent.Run(ctx)
 }
 
-// updateHosts tells the book how many hosts there are, as a host does five times a second.
+// updateHosts updates the book's number of hosts, as a host does five times per second.
 func (p *quotaHost) updateHosts() {
 	sources, n := p.agent.UsageSources(), 1+len(p.agent.Unexpired())
 	if p.now()-p.startedAt < 2*time.Second {
@@ -71,7 +71,7 @@
 	p.book.SetHosts(n, ReportInterval(n))
 }
 
-// take asks for an amount.
+// take takes an amount from the book.
 func (p *quotaHost) take(limit quota.Limit, amount float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,14 +79,14 @@
 	return ok
 }
 
-// quotaFleet are a fleet of them.
+// quotaFleet is a fleet of such hosts.
 type quotaFleet struct {
 	net         *network
 	hosts       []*quotaHost
 	tolerance   quota.Tolerance
-	stoppedAt   map[int]time.Duration // since when a host's process is down
-	requestSize float64               // the size of a request, 0 for small ones
-	demand      float64               // what is to be asked for
+	stoppedAt   map[int]time.Duration // by host, while its process is down
+	requestSize float64               // 0 means small requests of random sizes
+	demand      float64               // amount still to be requested
 }
 
 // restartTime is the time from a process's end to the start of the next.
@@ -120,7 +120,7 @@
 	f.stoppedAt[i] = f.hosts[i].now()
 }
 
-// restartStopped starts the processes that have been down for long enough.
+// restartStopped starts the processes that have been down for restartTime.
 func (f *quotaFleet) restartStopped(ctx context.Context) {
 	for i, stoppedAt := range f.stoppedAt {
 		p := f.hosts[i]
@@ -133,7 +133,7 @@
 	}
 }
 
-// updateHosts lets all hosts count each other.
+// updateHosts updates the number of hosts at all running hosts.
 func (f *quotaFleet) updateHosts() {
 	for i, p := range f.hosts {
 		if _, stopped := f.stoppedAt[i]; !stopped {
@@ -142,8 +142,8 @@
 	}
 }
 
-// request asks random hosts for an amount in parts, small ones or all of one size, and tells how much was asked of hosts
-// that run and how much they let through.
+// request requests an amount from random hosts, in small parts or in parts of requestSize. It returns what was
+// requested from running hosts and what passed.
 func (f *quotaFleet) request(random *rand.Rand, limit quota.Limit, amount float64) (requested, passed float64) {
 	for f.demand += amount; f.demand > 0; {
 		size := f.requestSize
@@ -163,7 +163,7 @@
 	return requested, passed
 }
 
-// relays are the hosts that are relays.
+// relays returns the hosts that are relays.
 func (f *quotaFleet) relays() []int {
 	var out []int
 	for i, p := range f.hosts {
@@ -174,7 +174,7 @@
 	return out
 }
 
-// maxWindowSum is the largest sum of so many neighbours.
+// maxWindowSum returns the maximum sum of n consecutive values.
 func maxWindowSum(values []float64, n int) float64 {
 	peak, sum := 0.0, 0.0
 	for i, v := range values {
@@ -187,17 +187,17 @@
 	return peak
 }
 
-// Times of a play.
+// Times of a simulation.
 const (
-	warmup        = 6 * time.Second // in which the hosts find each other; asked from its half on
+	warmup        = 6 * time.Second // in which the hosts find each other; requests start at half of it
 	span          = 14 * time.Second
 	tick          = 20 * time.Millisecond
-	ticksPerCount = 10  // ticks from one count of hosts to the next
-	ticksPerFault = 100 // ticks from one strike to the next
+	ticksPerCount = 10  // between updates of the number of hosts
+	ticksPerFault = 100 // between faults
 )
 
-// simulate asks for a part of the rate while strikes end processes. It gives what passed in each
-// tick, and what was asked and passed after the warm-up.
+// simulate requests load times the rate while faults end processes. It returns what passed in each tick, and
+// what was requested and passed after the warm-up.
 func (f *quotaFleet) simulate(ctx context.Context, limit quota.Limit, load float64, fault func(int, *quotaFleet) []int) (passed []float64, requested, passedTotal float64) {
 	random := rand.New(rand.NewPCG(3, 4))
 	time.Sleep(warmup / 2)
@@ -222,9 +222,9 @@
 	return passed, requested, passedTotal
 }
 
-// TestFleetUseWithinLimit holds what fleets let through of a workspace's amount: never more than
-// its bound and tolerance in any 8 s, whatever hosts are lost, and nearly all that is
-// asked below the bound in calm.
+// TestFleetUseWithinLimit checks how much of a workspace's amount fleets let through: never more than its limit
+// and tolerance in any 8 s, whichever hosts are lost, and without faults nearly all that is requested below the
+// limit.
 func TestFleetUseWithinLimit(t *testing.T) {
 	const window = 8 * time.Second
 	limit := quota.Limit{Rate: 20000, Burst: 20000}
@@ -250,27 +250,27 @@
 	cases := []struct {
 		name  string
 		hosts int
-		load  float64 // asked, as a part of the rate
+		load  float64 // requested, as a fraction of the rate
 		loss  float64
-		// strike names the hosts whose processes end, each 2 s.
+		// fault returns the hosts whose processes end, every 2 s.
 		fault    func(round int, f *quotaFleet) []int
-		minRatio float64 // part of what could pass that must
+		minRatio float64 // minimum ratio of what passed to what could pass
 		big      bool
 	}{
-		{"calm below the bound", 6, 0.9, 0, nil, 0.98, false},
-		{"calm below the bound", 63, 0.9, 0, nil, 0.98, false},
-		{"calm below the bound", 87, 0.9, 0, nil, 0.98, false},
-		{"calm below the bound", 300, 0.9, 0, nil, 0.98, true},
-		{"calm far beyond", 6, 5, 0, nil, 0.9, false},
-		{"calm far beyond", 87, 5, 0, nil, 0.9, false},
-		{"calm far beyond", 300, 5, 0, nil, 0.8, true},
-		{"words are lost", 63, 5, 0.1, nil, 0.5, false},
+		{"below the limit", 6, 0.9, 0, nil, 0.98, false},
+		{"below the limit", 63, 0.9, 0, nil, 0.98, false},
+		{"below the limit", 87, 0.9, 0, nil, 0.98, false},
+		{"below the limit", 300, 0.9, 0, nil, 0.98, true},
+		{"far beyond the limit", 6, 5, 0, nil, 0.9, false},
+		{"far beyond the limit", 87, 5, 0, nil, 0.9, false},
+		{"far beyond the limit", 300, 5, 0, nil, 0.8, true},
+		{"datagrams are lost", 63, 5, 0.1, nil, 0.5, false},
 		{"hosts restart", 63, 5, 0, some, 0.5, false},
 		{"hosts restart", 300, 5, 0.02, some, 0.5, true},
 		{"relays restart", 63, 5, 0, func(_ int, f *quotaFleet) []int { return f.relays() }, 0.3, false},
-		{"all restart, and once more", 6, 5, 0, all, 0.3, false},
-		{"all restart, and once more", 63, 5, 0, all, 0.3, false},
-		{"half of all restart", 63, 5, 0.02, half, 0.3, false},
+		{"all hosts restart twice", 6, 5, 0, all, 0.3, false},
+		{"all hosts restart twice", 63, 5, 0, all, 0.3, false},
+		{"half of the hosts restart", 63, 5, 0.02, half, 0.3, false},
 	}
 	for _, tc := range cases {
 		t.Run(fmt.Sprint(tc.name, " ", tc.hosts), func(t *testing.T) {
@@ -285,7 +285,7 @@
 				peak := maxWindowSum(passed, int(window/tick))
 				maxUse := (1+tolerance.Overshoot)*(limit.Burst+limit.Rate*window.Seconds()) + tolerance.Slack
 				possible := min(requested, limit.Rate*span.Seconds())
-				t.Logf("%.3f of the bound with its tolerance in a window, %.3f of what could pass", peak/maxUse, passedTotal/possible)
+				t.Logf("%.3f of the limit with its tolerance in a window, %.3f of what could pass", peak/maxUse, passedTotal/possible)
 				must.LessEq(t, maxUse, peak)
 				must.GreaterEq(t, tc.minRatio*possible, passedTotal)
 				cancel()
@@ -295,12 +295,14 @@
 	}
 }
 
-// TestFleetUseOfLargeRequests holds the same where a request is a tenth of a second of the workspace's rate and more, so that each host of a fleet is seldom asked for
-// something: those that all let through at first would be several times the tolerance.
+// TestFleetUseOfLargeRequests checks the same where a request is a tenth of a second of the workspace's rate or
+// larger, so that each host of a fleet seldom gets one: if every host let its first request through, the sum
+// would be several times the tolerance.
 //
-// In runs of 60 real processes a workspace got 5,040 to 5,440 tokens in 8 s, 4,360 allowed. Cause: a host began an account with the first request for it, full, and did not count what
-// its peers had told it before. Evidence: here the hosts let twice the rate through for two seconds, each with its first request, and none does if all accounts are begun at the
-// start.
+// In runs of 60 real processes a workspace got 5,040 to 5,440 tokens in 8 s, and 4,360 were allowed: a host
+// began an account, full, with the first request for it, and did not count what its peers had reported before.
+// In this test such hosts let twice the rate through for two seconds, each with its first request; they do not
+// if all accounts are begun at the start.
 func TestFleetUseOfLargeRequests(t *testing.T) {
 	const window = 8 * time.Second
 	relays := func(_ int, f *quotaFleet) []int { return f.relays() }
@@ -313,16 +315,16 @@
 		hosts       int
 		limit       quota.Limit
 		slack       float64
-		requestSize float64 // the size of a request
+		requestSize float64
 		load        float64
 		fault       func(round int, f *quotaFleet) []int
 		minRatio    float64
 	}{
 		{"calm", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, nil, 0.7},
-		{"some restart", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, some, 0.5},
+		{"some hosts restart", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, some, 0.5},
 		{"relays restart", 60, quota.Limit{Rate: 400, Burst: 400}, 400, 40, 2.5, relays, 0.3},
 		{"calm", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, nil, 0.7},
-		{"some restart", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, some, 0.5},
+		{"some hosts restart", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, some, 0.5},
 		{"relays restart", 78, quota.Limit{Rate: 36000, Burst: 36000}, 140000, 6700, 5, relays, 0.3},
 	}
 	for _, tc := range cases {
@@ -336,7 +338,7 @@
 				peak := maxWindowSum(passed, int(window/tick))
 				maxUse := (1+f.tolerance.Overshoot)*(tc.limit.Burst+tc.limit.Rate*window.Seconds()) + f.tolerance.Slack
 				possible := min(requested, tc.limit.Rate*span.Seconds())
-				t.Logf("%.3f of the bound with its tolerance in a window, %.3f of what could pass", peak/maxUse, passedTotal/possible)
+				t.Logf("%.3f of the limit with its tolerance in a window, %.3f of what could pass", peak/maxUse, passedTotal/possible)
 				must.LessEq(t, maxUse, peak)
 				must.GreaterEq(t, tc.minRatio*possible, passedTotal)
 				cancel()
--- a/peers/codec_test.go
+++ b/peers/codec_test.go
@@ -14,7 +14,7 @@
 	"github.com/heathkeel/heathkeel/places"
 )
 
-// fullHeartbeat is a heartbeat with n hosts and endpoints.
+// fullHeartbeat returns a heartbeat with n hosts and endpoints.
 func fullHeartbeat(n int) *Heartbeat {
 	b := &Heartbeat{
 		Host: "edge-a-1", Life: 1 << 50, Seq: 7, Echo: map[string]uint32{},
--- a/peers/crashes_test.go
+++ b/peers/crashes_test.go
@@ -17,7 +17,7 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// crashHost is a host of a fleet that holds requests under which endpoints crash.
+// crashHost is a host of a fleet with a registry of requests under which endpoints crash.
 type crashHost struct {
 	*node
 	registry quarantine.Registry
@@ -42,12 +42,12 @@
 	return h.registry.Merge(h.now(), t)
 }
 
-// crash lets an endpoint crash under a request of this host.
+// crash simulates the crash of an endpoint under a request of this host.
 func (h *crashHost) crash(f quarantine.Fingerprint, incarnation string) {
 	h.noteEnd(f, quarantine.Termination{Incarnation: incarnation, At: h.now(), RequestAge: 100 * time.Millisecond, NoResponse: true})
 }
 
-// noteEnd notes the end of an endpoint under a request of this host.
+// noteEnd records the termination of an endpoint under a request of this host.
 func (h *crashHost) noteEnd(f quarantine.Fingerprint, e quarantine.Termination) {
 	h.mu.Lock()
 	h.registry.Host = h.agent.Table.Host
@@ -56,7 +56,7 @@
 	h.agent.TriggerHeartbeat()
 }
 
-// refuses tells whether a host refuses a request.
+// refuses reports whether the host refuses a request.
 func (h *crashHost) refuses(f quarantine.Fingerprint) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,7 +64,7 @@
 	return held
 }
 
-// crashFleet starts a fleet of them.
+// crashFleet starts a fleet of such hosts.
 func crashFleet(ctx context.Context, n int, loss float64) []*crashHost {
 	var out []*crashHost
 	fleetOf(ctx, n, 3, loss, func(n *node) Host {
@@ -74,14 +74,14 @@
 	return out
 }
 
-// TestCrashesReachAll lets endpoints crash under a request of three hosts, one each, and holds how long it takes until all
-// hosts refuse it, also where datagrams are lost, where relays fall silent at that moment, and at a host that starts later.
-// The contact time of the smallest sites is 3 s.
+// TestCrashesReachAll simulates crashes of three endpoints under the same request at three hosts. It checks how
+// long it takes until all hosts refuse the request, also if datagrams are lost, if the relays become silent at
+// the same time, and at a host that starts later. The contact time of the smallest sites is 3 s.
 func TestCrashesReachAll(t *testing.T) {
 	cases := []struct {
 		hosts   int
 		loss    float64
-		silent  bool // the relays, at that moment
+		silent  bool // the relays become silent at the time of the crashes
 		maxTime time.Duration
 		big     bool
 	}{
@@ -98,7 +98,7 @@
 		{300, 0.1, true, 2 * time.Second, true},
 	}
 	for _, c := range cases {
-		t.Run(fmt.Sprintf("%d hosts, %.0f in 100 lost, relays silent %t", c.hosts, 100*c.loss, c.silent), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, %.0f percent lost, relays silent %t", c.hosts, 100*c.loss, c.silent), func(t *testing.T) {
 			if c.big && os.Getenv("HEATHKEEL_TEST_BIG") == "" {
 				t.Skip("set HEATHKEEL_TEST_BIG to run it")
 			}
@@ -125,7 +125,7 @@
 					live[i*len(live)/3].crash(f, fmt.Sprint("life-", i))
 				}
 				elapsed := timeUntilRefused(live, f, began)
-				t.Logf("all of %d hosts refuse it after %v", len(live), elapsed)
+				t.Logf("all %d hosts refuse the request after %v", len(live), elapsed)
 				must.LessEq(t, c.maxTime, elapsed)
 
 				last := live[len(live)-1]
@@ -137,7 +137,7 @@
 				began = last.now()
 				last.start(ctx, c.hosts-1, live[0].info.Address)
 				elapsed = timeUntilRefused([]*crashHost{last}, f, began)
-				t.Logf("a host that starts refuses it after %v", elapsed)
+				t.Logf("a host that starts refuses the request after %v", elapsed)
 				must.LessEq(t, 2*time.Second, elapsed)
 				cancel()
 				synctest.Wait()
@@ -146,7 +146,7 @@
 	}
 }
 
-// timeUntilRefused waits until all hosts refuse a request, for 5 s at most, and tells how long that took.
+// timeUntilRefused waits up to 5 s until all hosts refuse a request, and returns how long that took.
 func timeUntilRefused(hosts []*crashHost, f quarantine.Fingerprint, began time.Duration) time.Duration {
 	for range 1000 {
 		all := true
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// node is a host of a fleet: its loads tell the time at which they were told.
+// node is a host of a fleet; its loads contain the time at which they were reported.
 type node struct {
 	mu     sync.Mutex
 	agent  *Agent
@@ -29,17 +29,16 @@
 	now    func() time.Duration
 	used   float64
 	usage  map[string]Usage
-	proofs []Proof // the one with the youngest proof of the settings
+	proofs []Proof // the one with the most recent proof of the settings
 	cancel context.CancelFunc
-	host   Host // what the agent runs in
+	host   Host // the program that the agent runs in
 }
 
 func (n *node) Fill(b *Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b.Info = n.info
-	// Prefill holds the time in milliseconds; every host uses an endpoint of its own and
-	// one that all share.
+	// Prefill holds the time in milliseconds. Every host uses an endpoint of its own and one that all share.
 	b.Load = map[string]Load{n.agent.Table.Host: {Running: 1, Prefill: int(n.now().Milliseconds())}, "shared": {Running: 1}}
 	b.Waiting = map[string][]int{"s": {1}}
 	b.Used = map[string]float64{"w": n.used}
@@ -71,8 +70,7 @@
 	}
 }
 
-// relayStatus tells whether the fleet is so large that there are relays, and whether this host
-// is one.
+// relayStatus reports whether the fleet is so large that it has relays, and whether this host is one.
 func (a *Agent) relayStatus() (relays, self bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,12 +78,12 @@
 	return relays, relays && a.uplink.host == a.Table.Host
 }
 
-// fleet starts n hosts in some zones, each of which knows the first.
+// fleet starts n hosts in some zones; the first host is the seed of all.
 func fleet(ctx context.Context, n, zones int, loss float64) []*node {
 	return fleetOf(ctx, n, zones, loss, func(n *node) Host { return n })
 }
 
-// fleetOf starts hosts that are made of nodes.
+// fleetOf starts hosts whose programs are made from nodes.
 func fleetOf(ctx context.Context, n, zones int, loss float64, host func(*node) Host) []*node {
 	start := time.Now()
 	network := &network{loss: loss, conns: make(map[string]*testConn), links: make(map[link]*rand.Rand)}
@@ -102,7 +100,7 @@
 	return nodes
 }
 
-// start begins a life of a host.
+// start starts the host's process.
 func (n *node) start(ctx context.Context, i int, seed string) {
 	ctx, n.cancel = context.WithCancel(ctx)
 	n.usage = make(map[string]Usage)
@@ -114,14 +112,14 @@
 	go n.agent.Run(ctx)
 }
 
-// resume lets a host go on whose agent was stopped: with all that it knew.
+// resume runs a stopped agent again, with all that it knew.
 func (n *node) resume(ctx context.Context) {
 	ctx, n.cancel = context.WithCancel(ctx)
 	go n.agent.Run(ctx)
 }
 
-// ages gives the ages of what a host knows of the loads of some others, and how many of
-// these it knows nothing of.
+// ages returns the sum and the maximum of the ages of what the host knows of others' loads, and the number of
+// hosts whose loads it does not know.
 func (n *node) ages(of []*node) (sum, oldest time.Duration, unknown int) {
 	load := n.agent.PeerLoads().Load
 	for _, o := range of {
@@ -139,15 +137,14 @@
 	return sum, oldest, unknown
 }
 
-// TestFleetLoadAges lets fleets of several sizes run and holds how old the loads
-// are that hosts know of each other, what they add up to, and what that costs in datagrams
-// and bytes. HEATHKEEL_TEST_BIG adds the sizes that take long.
+// TestFleetLoadAges runs fleets of several sizes and checks how old the loads are that hosts know of each
+// other, what they add up to, and the traffic per host. HEATHKEEL_TEST_BIG adds sizes that take long.
 func TestFleetLoadAges(t *testing.T) {
 	cases := []struct {
 		hosts, zones int
 		big          bool
 		mean, oldest time.Duration
-		bytes        int // a second and host, sent and heard, in the mean
+		bytes        int // mean per second and host, sent and received
 	}{
 		{6, 3, false, 150 * time.Millisecond, 400 * time.Millisecond, 18 << 10},
 		{9, 3, false, 150 * time.Millisecond, 400 * time.Millisecond, 24 << 10},
@@ -202,7 +199,7 @@
 				}
 				span := rounds * 0.31
 				mean := sum / time.Duration(known)
-				t.Logf("hosts %d: loads known after %v in the mean, %v at most; a host sends and hears %.0f datagrams and %.1f KB a second, the busiest %.1f KB",
+				t.Logf("hosts %d: load age %v mean, %v maximum; a host sends and receives %.0f datagrams and %.1f KB per second, the busiest %.1f KB",
 					tc.hosts, mean, oldest, float64(packets)/float64(tc.hosts)/span, float64(bytes)/float64(tc.hosts)/span/1024, float64(maxBytes)/span/1024)
 				must.LessEq(t, tc.mean, mean)
 				must.LessEq(t, tc.oldest, oldest)
@@ -214,10 +211,10 @@
 	}
 }
 
-// TestFleetFaults strikes a fleet and holds what its hosts know a while later.
+// TestFleetFaults injects faults into a fleet and checks what its hosts know 3.5 s later.
 func TestFleetFaults(t *testing.T) {
 	const hosts, zones = 30, 3
-	// relays are the hosts that most hosts use.
+	// relays returns the hosts that other hosts use as relays.
 	relays := func(nodes []*node) map[string]bool {
 		out := make(map[string]bool)
 		for _, n := range nodes {
@@ -232,7 +229,7 @@
 	}{
 		{"calm", 0, func([]*node) int { return 0 }},
 		{"a tenth of the datagrams is lost", 0.1, func([]*node) int { return 0 }},
-		{"all relays fall silent", 0, func(nodes []*node) int {
+		{"all relays become silent", 0, func(nodes []*node) int {
 			isolated, isRelay := 0, relays(nodes)
 			for _, n := range nodes {
 				if isRelay[n.agent.Table.Host] {
@@ -242,13 +239,13 @@
 			}
 			return isolated
 		}},
-		{"a zone is dark", 0, func(nodes []*node) int {
+		{"a zone is isolated", 0, func(nodes []*node) int {
 			for i := 0; i < hosts; i += zones {
 				nodes[i].conn.isolate()
 			}
 			return hosts / zones
 		}},
-		{"two thirds are dark", 0, func(nodes []*node) int {
+		{"two thirds of the hosts are isolated", 0, func(nodes []*node) int {
 			for i := range hosts * 2 / 3 {
 				nodes[i].conn.isolate()
 			}
@@ -269,8 +266,8 @@
 						continue
 					}
 					load := n.agent.PeerLoads().Load
-					// The own loads and those of what is dark must be out of the sums; with
-					// losses, one host of ten may be missing for a moment.
+					// The sums must not include the host's own loads and those of isolated hosts. With lost
+					// datagrams, one host of ten may be missing temporarily.
 					got := load["shared"].Running
 					must.LessEq(t, hosts-1-isolated+int(tc.loss*hosts), got)
 					must.GreaterEq(t, hosts-1-isolated-int(tc.loss*hosts), got)
@@ -283,8 +280,8 @@
 	}
 }
 
-// TestRelayedUsage lets hosts use a shared amount while relays come and go, and holds what
-// others were told against what was used: never more, and all of it in calm times.
+// TestRelayedUsage lets hosts use a shared amount, and checks that a host is told through its relay exactly
+// what the others used.
 func TestRelayedUsage(t *testing.T) {
 	const hosts, zones = 24, 3
 	synctest.Test(t, func(t *testing.T) {
@@ -317,9 +314,8 @@
 	})
 }
 
-// TestRelayedProofs checks that a proof by way of a relay is never younger than the truth:
-// every host tells that its settings were newest when it sent, and a proof must lie before
-// the moment at which it is heard.
+// TestRelayedProofs checks that a proof through a relay is never more recent than the truth: every host reports
+// that its settings were the newest when it sent, so a proof must be earlier than its receipt.
 func TestRelayedProofs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/peers/histories_test.go
+++ b/peers/histories_test.go
@@ -22,20 +22,23 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Figures of the histories.
+// Parameters of the simulations.
 const (
-	// contactTime is the time for which a host must have run undisturbed to be held to the bound: the contact time of the smallest sites.
+	// contactTime is the time for which a host must have run undisturbed for the limit to apply to it: the
+	// contact time of the smallest sites.
 	contactTime = 3 * time.Second
-	// maxLateSends is the number of sends of a request by such hosts later than that time after the third crash under it.
+	// maxLateSends limits the number of times that such hosts send a request later than contactTime after the
+	// third crash under it.
 	maxLateSends = 3
-	// faultSpan is the time in which trouble strikes; killTime is that from a send to the crash.
+	// faultSpan is the time in which faults occur; crashDelay is the time from a send to the crash.
 	faultSpan  = 25 * time.Second
 	crashDelay = 100 * time.Millisecond
-	// lateCrashDelay is that of a request which lets endpoints work for a while.
+	// lateCrashDelay is the crash delay of a request that lets endpoints work for a while.
 	lateCrashDelay = 1500 * time.Millisecond
 )
 
-// crashSimulation is a fleet to which a request comes again and again that crashes what runs it, while hosts and network are in trouble.
+// crashSimulation is a fleet that repeatedly gets a request that crashes the endpoint that runs it, while hosts
+// and network have faults.
 type crashSimulation struct {
 	rand  *rand.Rand
 	ctx   context.Context
@@ -44,15 +47,15 @@
 
 	mu              sync.Mutex
 	up              []bool
-	calmSince       []time.Duration // by host: when its last trouble was over, or began if it lasts
+	calmSince       []time.Duration // by host: end of its last trouble, or its start if it lasts
 	store           map[quarantine.Fingerprint]quarantine.Record
 	lateCrash       bool // the request lets endpoints work for a while
-	storeDown       bool // the store
+	storeDown       bool
 	incarnations    int
 	thirdCrash      time.Duration // when the third endpoint crashed, 0 until then
 	crashes         int
 	lateSends       int
-	sendsAfterThird int // sends in all
+	sendsAfterThird int // by all hosts
 }
 
 // newCrashSimulation starts a fleet.
@@ -69,14 +72,14 @@
 	return h
 }
 
-// isUp tells whether a host's process runs.
+// isUp reports whether a host's process runs.
 func (h *crashSimulation) isUp(i int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.up[i]
 }
 
-// setUp notes whether a host's process runs; it returns false if that is known.
+// setUp records whether a host's process runs; it returns false if that is unchanged.
 func (h *crashSimulation) setUp(i int, up bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,14 +88,14 @@
 	return changed
 }
 
-// setStoreDown takes the store away, or gives it back.
+// setStoreDown makes the store unavailable or available again.
 func (h *crashSimulation) setStoreDown(down bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.storeDown = down
 }
 
-// storedRecords gives what the store holds, or nothing while it is down.
+// storedRecords returns the records in the store, or nothing while it is down.
 func (h *crashSimulation) storedRecords() []quarantine.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,10 +105,10 @@
 	return slices.Collect(maps.Values(h.store))
 }
 
-// now is the time of all hosts.
+// now returns the time, which is the same at all hosts.
 func (h *crashSimulation) now() time.Duration { return h.hosts[0].now() }
 
-// noteTrouble notes that hosts are in trouble now.
+// noteTrouble records that hosts have faults now.
 func (h *crashSimulation) noteTrouble(hosts []int) {
 	now := h.now()
 	h.mu.Lock()
@@ -115,7 +118,7 @@
 	}
 }
 
-// randomHosts draws hosts.
+// randomHosts returns each host with probability part.
 func (h *crashSimulation) randomHosts(part float64) []int {
 	var out []int
 	for i := range h.hosts {
@@ -126,7 +129,7 @@
 	return out
 }
 
-// kill ends the processes of hosts, which are back after a second with nothing but what the store holds.
+// kill ends the processes of hosts, which restart after one second with nothing but the records in the store.
 func (h *crashSimulation) kill(hosts []int) {
 	for _, i := range hosts {
 		if h.setUp(i, false) {
@@ -149,13 +152,13 @@
 		o.mu.Unlock()
 		o.conn = h.net.open(i)
 		o.start(h.ctx, i, h.hosts[0].info.Address)
-		o.agent.SetExtraSeeds([]string{h.hosts[1].info.Address, h.hosts[2].info.Address}) // settings name three hosts
+		o.agent.SetExtraSeeds([]string{h.hosts[1].info.Address, h.hosts[2].info.Address}) // settings list three hosts
 		h.setUp(i, true)
 	}
 	h.noteTrouble(hosts)
 }
 
-// suspend lets hosts hear and send nothing for a while, as if suspended or frozen.
+// suspend makes hosts send and receive nothing for a while, as if suspended or frozen.
 func (h *crashSimulation) suspend(hosts []int) {
 	for _, i := range hosts {
 		h.hosts[i].conn.setSuspended(true)
@@ -172,7 +175,7 @@
 	h.noteTrouble(hosts)
 }
 
-// partition parts the fleet in two for a while, or one way.
+// partition partitions the fleet for a while, in both directions or in one.
 func (h *crashSimulation) partition() {
 	side := make(map[string]bool)
 	for _, i := range h.randomHosts(0.5) {
@@ -186,7 +189,7 @@
 	h.noteTrouble(h.randomHosts(1))
 }
 
-// step does one thing.
+// step injects one random fault, or none.
 func (h *crashSimulation) step() {
 	switch h.rand.IntN(8) {
 	case 0:
@@ -207,7 +210,7 @@
 	time.Sleep(time.Duration(h.rand.IntN(2500)) * time.Millisecond)
 }
 
-// saveRecords writes records as hosts do: the first in the order of hosts.
+// saveRecords saves records as hosts do: only the first host by rank saves.
 func (h *crashSimulation) saveRecords() {
 	for i, o := range h.hosts {
 		if !h.isUp(i) || o.agent.Rank() > 0 {
@@ -230,7 +233,8 @@
 	}
 }
 
-// admits tells whether a host may send the request, as ingress does it: a send on trial is granted by the store.
+// admits reports whether a host may send the request, by the same rules as in package ingress: a trial must be
+// granted by the store.
 func (h *crashSimulation) admits(i int, f quarantine.Fingerprint) bool {
 	o := h.hosts[i]
 	o.mu.Lock()
@@ -259,7 +263,7 @@
 	return true
 }
 
-// send lets the request come to a host.
+// send sends the request to a host.
 func (h *crashSimulation) send(i int, f quarantine.Fingerprint) {
 	if !h.isUp(i) || !h.admits(i, f) {
 		return
@@ -291,9 +295,11 @@
 	})
 }
 
-// TestCrashSimulations plays requests that crash what runs them to fleets in which hosts are killed, one, half or all of them, sleep, are cut off and
-// lose datagrams, and the store is down: hosts that have run undisturbed for the contact time send such a request three times at most
-// later than that time after the third crash. HEATHKEEL_SEEDS plays more, HEATHKEEL_TEST_BIG larger fleets.
+// TestCrashSimulations simulates fleets that get requests that crash the endpoints that run them, while one,
+// half or all of the hosts are killed, hosts are suspended or partitioned, datagrams are lost and the store is
+// down. Hosts that have run undisturbed for contactTime may send such a request at most three times later than
+// contactTime after the third crash. HEATHKEEL_SEEDS sets the number of seeds, HEATHKEEL_TEST_BIG adds larger
+// fleets.
 func TestCrashSimulations(t *testing.T) {
 	cases := []struct {
 		hosts, seeds int
@@ -342,7 +348,7 @@
 					cancel()
 					time.Sleep(time.Second)
 					synctest.Wait()
-					t.Logf("%d endpoints crashed, %d sends after the third, %d of them by hosts in touch later than the contact time", h.crashes, h.sendsAfterThird, h.lateSends)
+					t.Logf("%d endpoints crashed, %d sends after the third crash, %d of them by undisturbed hosts later than the contact time", h.crashes, h.sendsAfterThird, h.lateSends)
 					must.LessEq(t, maxLateSends, h.lateSends)
 				})
 			})
--- a/peers/live_test.go
+++ b/peers/live_test.go
@@ -14,8 +14,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPeerLogLimit lets hosts seem to go and come with each heartbeat for a minute, as they do where processes are short of processor: lines are few, and what changed
-// for good is told.
+// TestPeerLogLimit simulates hosts that seem to come and go with each heartbeat for a minute, as if processes
+// lacked CPU time. It checks that there are few log lines, and that a permanent change is logged.
 func TestPeerLogLimit(t *testing.T) {
 	const hosts, heartbeats = 78, 300
 	var lines []string
@@ -29,7 +29,7 @@
 	for n := range heartbeats {
 		now += DefaultInterval
 		for i := range hosts {
-			if i != hosts-1 || n < heartbeats/2 { // the last one goes for good
+			if i != hosts-1 || n < heartbeats/2 { // the last host goes for good
 				setLastHeard(now-time.Duration((i+n)%2)*2*DefaultSilenceTimeout, i)
 			}
 		}
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -14,19 +14,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// network carries datagrams between agents on simulated time.
+// network carries datagrams between agents in simulated time.
 type network struct {
 	mu      sync.Mutex
 	loss    float64
-	blocked func(from, to string) bool // loses what it names, or nil
+	blocked func(from, to string) bool // reports whether datagrams are lost, or nil
 	conns   map[string]*testConn
-	links   map[link]*rand.Rand // what is lost on each way follows its own datagrams only, not the order of goroutines
+	links   map[link]*rand.Rand // losses on a link depend on its own datagrams only, not on the order of goroutines
 }
 
-// link is from one host to another.
+// link is the connection from one host to another.
 type link struct{ from, to string }
 
-// drops draws whether a datagram is lost; mu must be held.
+// drops draws whether a datagram is lost. mu must be held.
 func (n *network) drops(l link) bool {
 	r := n.links[l]
 	if r == nil {
@@ -36,7 +36,7 @@
 	return r.Float64() < n.loss
 }
 
-// setBlocked parts hosts from each other.
+// setBlocked sets which links are blocked.
 func (n *network) setBlocked(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,10 +51,10 @@
 	queue     chan []byte
 	closed    chan struct{}
 	once      sync.Once
-	isolated  bool // it hears and sends nothing
-	suspended bool // it sends nothing, and is not closed
+	isolated  bool // sends and receives nothing
+	suspended bool // sends nothing and ignores Close
 	deadline  time.Time
-	packets   int // sent and heard
+	packets   int // sent and received
 	bytes     int
 }
 
@@ -107,14 +107,14 @@
 	}
 }
 
-// setSuspended lets a host's socket take what comes, and nobody read it.
+// setSuspended suspends a host: its socket takes datagrams, but nobody reads them.
 func (c *testConn) setSuspended(on bool) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	c.suspended = on
 }
 
-// isolate lets a host hear and send nothing any more.
+// isolate makes a host send and receive nothing any more.
 func (c *testConn) isolate() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
--- a/peers/others.go
+++ b/peers/others.go
@@ -32,8 +32,8 @@
 	now := a.Now()
 	serving := a.Table.ServingCount(now)
 	if a.usesRelays() {
-		o, heard := a.uplink.peerLoads(now, &a.sentWords)
-		o.Age, o.Unreported = relayedAge, max(0, serving-heard)
+		o, reporting := a.uplink.peerLoads(now, &a.sentWords)
+		o.Age, o.Unreported = relayedAge, max(0, serving-reporting)
 		return o
 	}
 	var sum loadSum
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -18,20 +18,20 @@
 	"github.com/heathkeel/heathkeel/places"
 )
 
-// slotNode is a host that asks for places, and owns some: it has more requests than there are places.
+// slotNode is a host that asks for slots and owns some; it has more requests than there are slots.
 type slotNode struct {
 	mu          sync.Mutex
 	node        *node
 	rand        *rand.Rand
-	zones       map[string]string // of endpoints
+	zones       map[string]string // by endpoint
 	slots       int
 	requestTime time.Duration
 	running     map[string]int
 	sent        map[string]places.Request
 	allocators  map[string]*places.Allocator
-	returned    map[string]bool // places that were granted and are of no use
+	returned    map[string]bool // endpoints with granted slots that are not needed
 	dead        bool
-	lastFull    time.Duration // when all was told
+	lastFull    time.Duration // when all requests were sent
 	waiting     int
 }
 
@@ -82,7 +82,7 @@
 			}
 			out[to][e] = places.Grant{Slots: 1, Running: p.allocators[e].OthersRunning(now, to)}
 		}
-		if _, granted := out[host][e]; !granted && a.Rank >= 0 { // as a host answers who asks
+		if _, granted := out[host][e]; !granted && a.Rank >= 0 { // a host that asks is always answered
 			if out[host] == nil {
 				out[host] = make(map[string]places.Grant)
 			}
@@ -113,9 +113,9 @@
 	p.node.agent.TriggerAsks()
 }
 
-// TestSlotUse lets fleets that have 1.5 times as many requests as there are places ask owners for them: how many of the
-// places are taken, and that none has more requests than places for long, in calm, with losses, and after a
-// third of the hosts has died.
+// TestSlotUse runs fleets that have 1.5 times as many requests as slots and ask the owners for slots. It checks
+// how many slots are used, and that no endpoint has more requests than slots for long, without faults, with
+// losses, and after a third of the hosts has died.
 func TestSlotUse(t *testing.T) {
 	const slots, requestTime = 8, 400 * time.Millisecond
 	cases := []struct {
@@ -123,7 +123,7 @@
 		loss                    float64
 		dies                    int // one of so many hosts, 0 for none
 		minUsed                 float64
-		maxExcess               int // requests beyond the places
+		maxExcess               int // requests beyond the slots of an endpoint
 	}{
 		{24, 3, 12, 0, 0, 0.93, 0},
 		{24, 3, 12, 0.1, 0, 0.85, 3},
@@ -184,11 +184,11 @@
 					}
 				}
 				share := float64(used) / float64(rounds*tc.endpoints*slots)
-				t.Logf("%.3f of the places are taken, at most %d requests beyond them", share, peak)
+				t.Logf("%.3f of the slots are used, at most %d requests beyond them", share, peak)
 				must.GreaterEq(t, tc.minUsed, share)
 				must.LessEq(t, tc.maxExcess, peak)
 				cancel()
-				time.Sleep(time.Second) // what waits for a time sees the end
+				time.Sleep(time.Second) // lets sleeping goroutines see the end of ctx
 			})
 		})
 	}
--- a/peers/start_test.go
+++ b/peers/start_test.go
@@ -20,7 +20,7 @@
 // startingHost is a host that knows no settings until a peer proves some to it.
 type startingHost struct {
 	*node
-	provenAt time.Duration // when it was told, or -1
+	provenAt time.Duration // -1 until then
 }
 
 func (s *startingHost) Fill(b *Heartbeat) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// run starts it, with the first hosts as seeds; knows says that it has read the settings.
+// run starts the host's process; hasSettings says that it has read the settings.
 func (s *startingHost) run(ctx context.Context, i int, seeds []string, hasSettings bool) {
 	s.provenAt = -1
 	if hasSettings {
@@ -65,14 +65,14 @@
 	go s.agent.Run(ctx)
 }
 
-// TestStartingHostsGetProofs holds how soon hosts that start are told by peers what these read, so that
-// they need not read it themselves: all of a fleet at once while only its seeds have read, and one
-// host in a fleet that runs.
+// TestStartingHostsGetProofs checks how soon peers prove to hosts that start what they have read, so that these
+// need not read it from the store: all hosts of a fleet that starts while only its seeds have read the
+// settings, and one host that starts in a running fleet.
 func TestStartingHostsGetProofs(t *testing.T) {
 	cases := []struct {
 		hosts, zones int
-		maxFleet     time.Duration // after a start of all nine in ten are told
-		maxSingle    time.Duration // after its start one is
+		maxFleet     time.Duration // after the start of all, for 90 % of the hosts
+		maxSingle    time.Duration // after the start of one host
 	}{
 		{6, 3, 100 * time.Millisecond, 60 * time.Millisecond},
 		{63, 4, 300 * time.Millisecond, 60 * time.Millisecond},
@@ -106,7 +106,7 @@
 					times = append(times, s.provenAt)
 				}
 				slices.Sort(times)
-				t.Logf("told after %v in the median, %v for nine in ten, %v at last", times[len(times)/2], times[len(times)*9/10], times[len(times)-1])
+				t.Logf("proofs received after %v (median), %v (90th percentile), %v (maximum)", times[len(times)/2], times[len(times)*9/10], times[len(times)-1])
 				must.LessEq(t, tc.maxFleet, times[len(times)*9/10])
 				startedAt := last.now()
 				last.run(ctx, tc.hosts, seeds, false)
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestTurns holds the order in which hosts read the store for each other: one comes first, with
-// relays one of these, and a host that hears nobody does not wait for others.
+// TestTurns checks the order in which hosts read the store for each other: one host comes first, which is a
+// relay in fleets with relays, and a host that hears from no other does not wait for others.
 func TestTurns(t *testing.T) {
 	for _, tc := range []struct{ hosts, zones int }{{6, 3}, {24, 3}, {63, 5}} {
 		t.Run(fmt.Sprint(tc.hosts), func(t *testing.T) {
--- a/peers/table.go
+++ b/peers/table.go
@@ -236,18 +236,18 @@
 
 // mergeKnownHost applies a peer's information about another host.
 func (t *Table) mergeKnownHost(now time.Duration, k KnownHost) {
-	heard := now - time.Duration(k.Age)*time.Millisecond
-	if k.Host == t.Host || k.Host == "" || now-heard > t.silenceTimeout() {
+	lastHeard := now - time.Duration(k.Age)*time.Millisecond
+	if k.Host == t.Host || k.Host == "" || now-lastHeard > t.silenceTimeout() {
 		return
 	}
 	m := t.member(k.Host)
-	if m.Info.Address == "" || (heard > m.lastDirect && heard > m.LastHeard) {
+	if m.Info.Address == "" || (lastHeard > m.lastDirect && lastHeard > m.LastHeard) {
 		if m.Life != k.Life {
 			m.Life, m.lastSeq, m.loadSeq = k.Life, 0, 0
 		}
 		m.setInfo(now, k.Info)
 		t.noteReturn(now, m)
-		m.LastHeard = max(heard, m.LastHeard)
+		m.LastHeard = max(lastHeard, m.LastHeard)
 	}
 }
 
@@ -323,8 +323,8 @@
 			out = append(out, m.knownHost(now))
 		}
 	}
-	for _, z := range zonesOf(all) {
-		if relays := relayCandidates(all, z); len(relays) > 0 {
+	for _, relayZone := range zonesOf(all) {
+		if relays := relayCandidates(all, relayZone); len(relays) > 0 {
 			add(relays[0])
 		}
 	}
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// newHeartbeat makes a heartbeat as a host would send it.
+// newHeartbeat returns a heartbeat as a host would send it.
 func newHeartbeat(t *Table, now time.Duration, to []*Member, age int64) *Heartbeat {
 	return &Heartbeat{
 		Host: t.Host, Life: t.Life, Seq: t.NextSeq(now), Echo: t.Echo(to), Known: t.KnownHosts(now, ""),
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestProofIsNotTooRecent sends heartbeats that arrive late, twice and out of order,
-// and holds each proof against the truth: the peer's settings were proven at 10 s.
+// TestProofIsNotTooRecent sends heartbeats that arrive late, twice and out of order, and checks each proof
+// against the truth: the peer's settings were proven at 10 s.
 func TestProofIsNotTooRecent(t *testing.T) {
 	const proven = 10 * time.Second
 	r := rand.New(rand.NewPCG(3, 4))
@@ -73,18 +73,18 @@
 		{"silent", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1}) }, 2 * time.Second, nil},
 		{"itself", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "a", Life: 9, Seq: 1}) }, 0, nil},
 		{"nameless", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Seq: 1}) }, 0, nil},
-		{"a heartbeat that comes twice keeps nobody alive", func(tb *Table) {
+		{"a duplicate heartbeat keeps no host alive", func(tb *Table) {
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 5})
 			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 1, Seq: 5})
 		}, 2 * time.Second, nil},
-		{"a new life starts its numbers again", func(tb *Table) {
+		{"a new Life restarts its sequence numbers", func(tb *Table) {
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 500})
 			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 2, Seq: 1})
 		}, 2 * time.Second, []string{"b"}},
-		{"heard of", func(tb *Table) {
+		{"known through a peer", func(tb *Table) {
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Info: HostInfo{Address: "c"}, Age: 300}}})
 		}, 500 * time.Millisecond, []string{"b", "c"}},
-		{"heard of long ago", func(tb *Table) {
+		{"known through a peer, silent for long", func(tb *Table) {
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Age: 30000}}})
 		}, 0, []string{"b"}},
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestForgetTimeout checks that a silent host is counted for a while and then dropped.
+// TestForgetTimeout checks that a silent host is counted until the forget timeout and then dropped.
 func TestForgetTimeout(t *testing.T) {
 	tb := &Table{Host: "a"}
 	tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1})
@@ -110,8 +110,8 @@
 	must.MapEmpty(t, tb.members)
 }
 
-// TestMembershipSpreads lets fleets of several sizes begin with one known address and counts
-// the rounds until each holds 95 in 100 of the others for live.
+// TestMembershipSpreads starts fleets of several sizes with one known address, and checks that within 60 rounds
+// every host considers 95 % of the others live.
 func TestMembershipSpreads(t *testing.T) {
 	for _, n := range []int{2, 6, 60, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/peers/update_test.go
+++ b/peers/update_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestUpdates gives a host updates and heartbeats of another one in several orders; what it
-// holds of that host's loads in the end must be the newest that was told.
+// TestUpdates applies updates and heartbeats of a host in several orders, and checks that the newest reported
+// loads are stored in the end.
 func TestUpdates(t *testing.T) {
 	two, three, none := Load{Running: 2}, Load{Running: 3}, Load{}
 	first := &Heartbeat{Host: "b", Life: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
@@ -27,12 +27,12 @@
 		waiting  int
 	}{
 		{"in order", []any{first, second}, map[string]Load{"e": two, "f": two}, 1},
-		{"an endpoint without requests any more", []any{first, second, third}, map[string]Load{"e": none, "f": three}, 0},
-		{"an overtaken update is passed over", []any{first, third, second}, map[string]Load{"e": none, "f": three}, 0},
-		{"an overtaken heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
-		{"a lost update is made good", []any{first, full}, map[string]Load{"f": three}, 0},
-		{"an update of a host not known yet", []any{second}, nil, 0},
-		{"an update of an ended life", []any{first, restarted, third}, map[string]Load{"g": two}, 0},
+		{"an endpoint that no longer has requests", []any{first, second, third}, map[string]Load{"e": none, "f": three}, 0},
+		{"an out-of-order update is ignored", []any{first, third, second}, map[string]Load{"e": none, "f": three}, 0},
+		{"an out-of-order heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
+		{"a heartbeat makes up for a lost update", []any{first, full}, map[string]Load{"f": three}, 0},
+		{"an update of an unknown host", []any{second}, nil, 0},
+		{"an update of an ended Life", []any{first, restarted, third}, map[string]Load{"g": two}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 				sum += n
 			}
 			must.EqOp(t, tc.waiting, sum)
-			must.Eq(t, first.Load, copies[0].Load) // a copy given out before stays as it was
+			must.Eq(t, first.Load, copies[0].Load) // copies returned earlier are unchanged
 		})
 	}
 }
--- a/peers/woke_test.go
+++ b/peers/woke_test.go
@@ -17,12 +17,12 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// stallingHost is a host that stands still between two steps of telling what it knows.
+// stallingHost is a host that stalls between two steps of reporting what it knows.
 type stallingHost struct {
 	*node
 	stallInFill, stallInStamps bool
 	ctx                        context.Context
-	violation                  string // the first proof that was younger than the truth
+	violation                  string // the first proof that was more recent than the truth
 	newestAt                   func() time.Duration
 }
 
@@ -33,14 +33,14 @@
 	}
 }
 
-// stall stands still for a time.
+// stall stalls for 2 s.
 func (s *stallingHost) stall() {
 	if s.ctx.Err() == nil {
 		time.Sleep(2 * time.Second)
 	}
 }
 
-// Stamps tells of settings that were the newest when it began.
+// Stamps returns settings that were the newest when the call began.
 func (s *stallingHost) Stamps() (settings, endpoints Stamp) {
 	settings, endpoints = Stamp{Revision: 3, AgeMS: (s.now() - s.newestAt()).Milliseconds()}, Stamp{AgeMS: -1}
 	if s.stallInStamps {
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestProofsOfStalledHosts checks that a host which stands still, or is suspended, between any two steps of a heartbeat or a digest proves nothing
-// younger than it knew: the settings of all hosts were the newest until a moment, and nobody learned anything since.
+// TestProofsOfStalledHosts checks that a host that stalls or is suspended between any two steps of a heartbeat
+// or digest proves nothing more recent than what it knew: the settings of all hosts were the newest until a
+// fixed time, and no host learned anything later.
 func TestProofsOfStalledHosts(t *testing.T) {
 	for _, hosts := range []int{3, 24} {
 		for _, where := range []string{"fill", "stamps"} {
@@ -76,7 +77,7 @@
 					})
 					time.Sleep(12 * time.Second)
 					cancel()
-					time.Sleep(5 * time.Second) // those that sleep wake up and end
+					time.Sleep(5 * time.Second) // stalled hosts resume and end
 					for _, s := range all {
 						must.EqOp(t, "", s.violation)
 					}
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestResumedHostRejoins holds how soon a host that did not run for a while knows the others again, and they it. The network lies still for
-// it meanwhile, and its clock goes on.
+// TestResumedHostRejoins checks how soon a host that did not run for a while knows the others again, and they
+// know it. Meanwhile its network is suspended and its clock goes on.
 func TestResumedHostRejoins(t *testing.T) {
 	for _, hosts := range []int{6, 85, 300} {
 		for _, gap := range []time.Duration{2 * time.Second, 8 * time.Second, time.Minute} {
@@ -106,7 +107,7 @@
 					time.Sleep(4 * time.Second)
 					n := nodes[hosts/2]
 					n.conn.setSuspended(true)
-					n.cancel() // what runs of it, runs on with the clock; its life goes on below
+					n.cancel() // simulated processes would run on with the clock; the host is resumed below
 					synctest.Wait()
 					time.Sleep(gap)
 					n.conn.setSuspended(false)
@@ -128,7 +129,7 @@
 							knownAfter = n.now() - began
 						}
 					}
-					t.Logf("proof of what others know after %v, all others know it to live after %v", proofAfter, knownAfter)
+					t.Logf("proof of what others know after %v, all others consider it live after %v", proofAfter, knownAfter)
 					must.Between(t, 0, proofAfter, 500*time.Millisecond)
 					must.Between(t, 0, knownAfter, maxRejoin)
 					must.EqOp(t, hosts-1, len(n.agent.Unexpired()))
@@ -140,7 +141,7 @@
 	}
 }
 
-// countKnowing counts the hosts that take another one for live.
+// countKnowing returns the number of hosts that consider another host live.
 func countKnowing(nodes []*node, of *node) int {
 	count := 0
 	for _, n := range nodes {
@@ -153,7 +154,7 @@
 	return count
 }
 
-// crashCounter counts what reaches a host of what was sent to it.
+// crashCounter counts the crash reports that reach a host.
 type crashCounter struct {
 	*node
 	crashes int
@@ -166,7 +167,8 @@
 	return true
 }
 
-// TestStaleDatagrams checks that what came into a host's socket while it did not run is passed over, and what comes later is heard.
+// TestStaleDatagrams checks that datagrams that arrived in a host's socket while it did not run are discarded,
+// and that later ones are handled.
 func TestStaleDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -290,9 +290,9 @@
 func TestDepartedHost(t *testing.T) {
 	limit := Limit{Rate: 1000, Burst: 1000}
 	cases := []struct {
-		name  string
-		drop  bool
-		least float64
+		name         string
+		drop         bool
+		minUsedRatio float64
 	}{
 		{"silent", false, 0.45},
 		{"certainly gone", true, 0.95},
@@ -311,7 +311,7 @@
 			for now := 10 * time.Second; now < 20*time.Second; now += step {
 				used += takeUntilRefused(b, now, limit, 10)
 			}
-			must.Between(t, tc.least*10000, used, 1.05*10000*(tc.least+0.05))
+			must.Between(t, tc.minUsedRatio*10000, used, 1.05*10000*(tc.minUsedRatio+0.05))
 		})
 	}
 }
