--- a/peers/agent.go
+++ b/peers/agent.go
@@ -18,38 +18,36 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Figures of the agent.
+// Parameters of the agent.
 const (
 	// DefaultInterval is the time between heartbeats.
 	DefaultInterval = 200 * time.Millisecond
-	// fanout is the number of members that get a heartbeat directly. In larger fleets
-	// heartbeats go to a relay.
+	// fanout is the number of members that are sent heartbeats directly. In larger fleets heartbeats go to a
+	// relay.
 	fanout = 8
-	// leastEvery is the least time between two heartbeats: when all hosts start at once, each seed is
-	// asked by all of them within 0.3 s.
-	leastEvery = 20 * time.Millisecond
-	// updateEvery is the time between two looks for loads that changed: about the time in
-	// which a request more or less comes to an endpoint of a busy fleet, and more than the
-	// datagrams of a zone take.
-	updateEvery = 25 * time.Millisecond
-	// seedEvery is how many heartbeats pass between two to the seeds.
-	seedEvery = 5
-	// knownEvery is how many heartbeats pass between two that name other hosts, where
-	// hosts hear each other directly.
-	knownEvery = 5
-	// gossipFanout is the number of hosts that a host of a large fleet tells directly of
-	// others it knows, with each such heartbeat, so that parts that lost sight of each
-	// other meet again; as many are drawn from the hosts' entries in the store.
+	// minInterval is the minimum time between two heartbeats: when all hosts start at once, each of them
+	// queries every seed within 0.3 s.
+	minInterval = 20 * time.Millisecond
+	// updateInterval is the time between two checks for changed loads: about the time between changes of the
+	// number of requests at an endpoint of a busy fleet, and longer than datagrams take within a zone.
+	updateInterval = 25 * time.Millisecond
+	// heartbeatsPerSeed is the number of heartbeats between two that are sent to the seeds.
+	heartbeatsPerSeed = 5
+	// heartbeatsPerKnown is the number of heartbeats between two that name other hosts, where hosts send
+	// heartbeats to each other directly.
+	heartbeatsPerKnown = 5
+	// gossipFanout is the number of members to which a host of a large fleet sends such a heartbeat directly,
+	// so that partitions that lost contact find each other again. The same number of hosts is drawn from the
+	// hosts' entries in the store.
 	gossipFanout = 2
-	// mostGreeted bounds the hosts that are answered with a heartbeat because they know few
-	// others: some 200 KB.
-	mostGreeted = 64
-	// largestBeat bounds a datagram, in bytes.
-	largestBeat = 60 << 10
+	// maxNewcomers limits the hosts that one heartbeat answers because they know few others, to about 200 KB.
+	maxNewcomers = 64
+	// maxDatagramSize limits the size of a datagram, in bytes.
+	maxDatagramSize = 60 << 10
 )
 
-// ReportInterval is the longest usual time between two words of a host that reach another one
-// where n hosts run: by way of two relays, three heartbeats.
+// ReportInterval returns the longest usual time between two reports of a host that reach another one in a fleet
+// of n hosts: through two relays it takes three heartbeats.
 func ReportInterval(n int) time.Duration {
 	if n <= fanout+1 {
 		return DefaultInterval
@@ -57,135 +55,136 @@
 	return 3 * DefaultInterval
 }
 
-// Host is what an agent tells and asks of the program it runs in.
+// Host is the program that an agent runs in.
 type Host interface {
-	// Fill adds the host's own words to a heartbeat, but for its stamps.
+	// Fill adds the host's report to a heartbeat, without its stamps.
 	Fill(b *Heartbeat)
-	// Stamps tells what the host knows of the settings and of the endpoints now, and how old that is.
+	// Stamps returns the versions of the settings and of the endpoints that the host knows now, with their
+	// ages.
 	Stamps() (settings, endpoints Stamp)
 	// UsageReceived is called with what other hosts used of shared amounts.
 	UsageReceived(u Usage)
-	// LoadChanges gives the loads that changed since its last call and what waits, and false
-	// if nothing did.
+	// LoadChanges returns the loads that changed since its last call and the waiting requests, or false if
+	// nothing changed.
 	LoadChanges() (map[string]Load, map[string][]int, bool)
-	// LoadsReceived is called soon after other hosts told of changed loads.
+	// LoadsReceived is called soon after other hosts reported changed loads.
 	LoadsReceived()
 	// ProofReceived is called when a peer proved what it knows.
 	ProofReceived(p Proof)
-	// Crashes tells of requests under which endpoints crashed.
+	// Crashes returns evidence about requests under which endpoints crashed.
 	Crashes(to quarantine.Scope) quarantine.Evidence
-	// CrashesReceived is called with what a peer knows of requests under which endpoints crashed. It returns true if some of it
-	// is new.
+	// CrashesReceived is called with a peer's evidence about requests under which endpoints crashed. It returns
+	// true if some of it is new.
 	CrashesReceived(t *quarantine.Evidence) bool
 }
 
 // Usage is what one or several other hosts used of shared amounts.
 type Usage struct {
-	// Source names who told, Life one run of its process.
+	// Source is the name of the host that reported it; Life identifies one run of that host's process.
 	Source string
 	Life   uint64
-	// Hosts is the number of hosts whose use it is.
+	// Hosts is the number of hosts whose use is included.
 	Hosts int
-	// Used is what they used since the life began, by workspace, and Left the level of
-	// those workspaces whose amount is nearly used up.
+	// Used is what they used since that run began, by workspace, and Left the level of each workspace whose
+	// amount is nearly used up.
 	Used, Left map[string]float64
 }
 
-// Agent sends and hears heartbeats. The fields must be set before Run.
+// Agent sends and receives heartbeats. The exported fields must be set before Run.
 type Agent struct {
-	// Table is what is known of the others; the agent guards it.
+	// Table is what is known about the others; the agent guards it.
 	Table *Table
-	// Conn sends and receives.
+	// Conn sends and receives datagrams.
 	Conn net.PacketConn
 	// Seeds are addresses of some hosts.
 	Seeds []string
-	// Host is the program.
+	// Host is the program that the agent runs in.
 	Host Host
-	// Places is the program as an owner of places and one that asks for them, or nil.
+	// Places is the program as an owner of slots and as a host that asks for them, or nil.
 	Places SlotHost
-	// Now is the host's clock; it counts the time in which the host is suspended.
+	// Now is the host's clock; it includes the time in which the host is suspended.
 	Now func() time.Duration
-	// CheckGap looks whether the process did not run for a while, which Woke is then told, or nil. It is called before what was
-	// received is taken.
+	// CheckGap checks whether the process did not run for a while and, if so, calls NoteGap; it may be nil. It
+	// is called before a received datagram is handled.
 	CheckGap func()
-	// Interval is the time between heartbeats; 0 means DefaultEvery.
+	// Interval is the time between heartbeats; 0 means DefaultInterval.
 	Interval time.Duration
-	// Rand is the source of chance.
+	// Rand is the source of random numbers.
 	Rand *rand.Rand
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	mu     sync.Mutex
-	heard  bool // loads of others were heard since the last look
-	extra  []string
-	greet  []greeted // hosts that know few others
-	kick   chan struct{}
-	ticks  int
-	live   map[string]bool // as it was logged last
-	lines  outcome.Budget
-	row    HostInfo // what this host told last of itself
-	relay  Relay    // what this host passes on
-	uplink uplink   // the relay that passes on what this host tells
-	stale  bool     // what lies in the socket came while the process did not run
-	told   history  // what this host told
-	asking chan struct{}
-	askSeq uint32
-	owners owners
+	mu             sync.Mutex
+	loadsReceived  bool // loads of others were received since the last check
+	extraSeeds     []string
+	newcomers      []newcomer // hosts that know few others
+	trigger        chan struct{}
+	heartbeats     int
+	loggedLive     map[string]bool // live hosts as last logged
+	logBudget      outcome.Budget
+	info           HostInfo // what this host last reported about itself
+	relay          Relay    // this host as a relay
+	uplink         uplink   // the relay that this host uses
+	staleDatagrams bool     // waiting datagrams arrived while the process did not run
+	sentWords      history  // what this host reported
+	askTrigger     chan struct{}
+	askSeq         uint32
+	owners         owners
 }
 
-// greeted is a host that is to be told of the others.
-type greeted struct{ host, address string }
+// newcomer is a host that needs to learn of the others.
+type newcomer struct{ host, address string }
 
-// Init makes the agent ready; call it before Run.
+// Init initializes the agent; call it before Run.
 func (a *Agent) Init() {
-	a.kick = make(chan struct{}, 1)
-	a.asking = make(chan struct{}, 1)
-	a.live = make(map[string]bool)
-	a.lines = outcome.Budget{Rate: liveLines, Burst: mostLiveLines}
+	a.trigger = make(chan struct{}, 1)
+	a.askTrigger = make(chan struct{}, 1)
+	a.loggedLive = make(map[string]bool)
+	a.logBudget = outcome.Budget{Rate: peerLogRate, Burst: peerLogBurst}
 	a.relay = Relay{Host: a.Table.Host, Life: a.Table.Life}
 	if a.Interval == 0 {
 		a.Interval = DefaultInterval
 	}
 }
 
-// TriggerHeartbeat sends a heartbeat at once.
+// TriggerHeartbeat makes the agent send a heartbeat at once.
 func (a *Agent) TriggerHeartbeat() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// SetSeeds replaces the given addresses of some hosts.
+// SetSeeds replaces the seeds.
 func (a *Agent) SetSeeds(s []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.Seeds = s
 }
 
-// SetExtraSeeds adds addresses of hosts that were learned elsewhere.
+// SetExtraSeeds replaces the addresses of hosts that were found elsewhere, such as in the store.
 func (a *Agent) SetExtraSeeds(s []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.extra = s
+	a.extraSeeds = s
 }
 
-// Live returns copies of the members heard of lately.
+// Live returns copies of the members heard from recently.
 func (a *Agent) Live() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return values(a.Table.Live(a.Now()))
+	return copyMembers(a.Table.Live(a.Now()))
 }
 
 // Unexpired returns copies of the members that may still run.
 func (a *Agent) Unexpired() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return values(a.Table.Unexpired(a.Now()))
+	return copyMembers(a.Table.Unexpired(a.Now()))
 }
 
-// values copies members.
-func values(ms []*Member) []Member {
+// copyMembers returns copies of members.
+func copyMembers(ms []*Member) []Member {
 	out := make([]Member, len(ms))
 	for i, m := range ms {
 		out[i] = *m
@@ -193,13 +192,13 @@
 	return out
 }
 
-// UsageSources names who tells this host what the others used.
+// UsageSources returns the names of the hosts that report to this host what the others used.
 func (a *Agent) UsageSources() map[string]bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
 	out := make(map[string]bool)
-	if a.relayed() {
+	if a.usesRelays() {
 		out[a.uplink.host] = true
 		return out
 	}
@@ -209,98 +208,99 @@
 	return out
 }
 
-// relayed tells whether there are too many hosts to tell all of them directly; mu must be held.
-func (a *Agent) relayed() bool { return a.Table.Size() > fanout }
+// usesRelays reports whether there are too many hosts for direct reports to all of them. mu must be held.
+func (a *Agent) usesRelays() bool { return a.Table.Size() > fanout }
 
-// Run sends and hears until ctx ends.
+// Run sends and receives datagrams until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	go a.receive(ctx)
-	go a.tellChanges(ctx)
+	go a.shareLoadChanges(ctx)
 	if a.Places != nil {
-		go a.ask(ctx)
+		go a.askLoop(ctx)
 	}
 	t := time.NewTicker(a.Interval)
 	defer t.Stop()
 	for {
-		a.send()
+		a.sendHeartbeat()
 		sent := a.Now()
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-a.kick:
-			// A series of causes makes one heartbeat, not one each.
-			time.Sleep(leastEvery - (a.Now() - sent))
+		case <-a.trigger:
+			// Triggers in quick succession make one heartbeat, not one each.
+			time.Sleep(minInterval - (a.Now() - sent))
 		}
 	}
 }
 
-// send sends one heartbeat: to all others, or to the relay, and now and then to the seeds
-// and to some hosts that it names others to.
-func (a *Agent) send() {
+// sendHeartbeat sends one heartbeat: to all others, or to the relay; and at intervals to the seeds and to some
+// hosts, with the hosts that it knows.
+func (a *Agent) sendHeartbeat() {
 	b := Heartbeat{Host: a.Table.Host, Life: a.Table.Life}
 	a.Host.Fill(&b)
 	a.mu.Lock()
-	a.row = b.Info
+	a.info = b.Info
 	now := a.Now()
-	relayed := a.relayed()
-	// Without a relay that tells of the others, hosts find each other as in small fleets.
-	told := relayed && a.uplink.fresh(now, b.Host)
+	relayed := a.usesRelays()
+	// Without a relay that reports the others, hosts find each other as in small fleets.
+	viaRelay := relayed && a.uplink.isFresh(now, b.Host)
 	to := a.Table.Targets(now, fanout, a.Rand)
-	if told {
+	if viaRelay {
 		to = to[:min(gossipFanout, len(to))]
 	}
 	b.Seq, b.LoadSeq = a.Table.NextSeq(now), a.Table.NextLoadSeq()
 	b.Echo, b.Size = a.Table.Echo(to), a.Table.Size()
-	turn := a.ticks%knownEvery == 0
-	if turn || (relayed && !told) {
+	periodic := a.heartbeats%heartbeatsPerKnown == 0
+	if periodic || (relayed && !viaRelay) {
 		b.Known = a.Table.KnownHosts(now, "")
 	}
 	var addresses []string
-	if turn || !told {
-		addresses = rowAddresses(to)
+	if periodic || !viaRelay {
+		addresses = addressesOf(to)
 	}
-	if a.ticks%seedEvery == 0 || len(to) == 0 {
+	if a.heartbeats%heartbeatsPerSeed == 0 || len(to) == 0 {
 		addresses = append(addresses, a.Seeds...)
-		addresses = append(addresses, a.someExtra()...)
+		addresses = append(addresses, a.randomExtraSeeds()...)
 	}
-	if n := min(mostGreeted, len(a.greet)); n > 0 {
-		for _, g := range a.greet[:n] {
-			addresses = append(addresses, g.address)
-			if seq := a.Table.heardSeq(g.host); seq > 0 {
-				b.Echo[g.host] = seq // without it, the words prove nothing to the host
+	if n := min(maxNewcomers, len(a.newcomers)); n > 0 {
+		for _, nc := range a.newcomers[:n] {
+			addresses = append(addresses, nc.address)
+			if seq := a.Table.lastSeqOf(nc.host); seq > 0 {
+				b.Echo[nc.host] = seq // without it, the report proves nothing to the host
 			}
 		}
-		a.greet = a.greet[n:]
+		a.newcomers = a.newcomers[n:]
 		b.Known = a.Table.KnownHosts(now, "")
 	}
-	a.ticks++
-	a.noteLive(now)
+	a.heartbeats++
+	a.logPeerChanges(now)
 	a.mu.Unlock()
-	a.stamp(&b.Words)
-	a.write(&b, addresses)
+	a.addStamps(&b.Words)
+	a.sendTo(&b, addresses)
 	if relayed {
 		a.sendRelayed(b)
 	}
 }
 
-// stamp adds to words what this host knows of settings and endpoints. It is to be called when it is settled which datagrams they echo: an
-// echo tells the receiver that the words were written after it, and a process may stand still between any two steps. Ages that
-// were read first and sent with an echo that was heard seconds later would make old settings young.
-func (a *Agent) stamp(w *Words) { w.Settings, w.Endpoints = a.Host.Stamps() }
+// addStamps adds what this host knows about settings and endpoints to a report. It must be called after the
+// echoes are fixed: an echo tells the receiver that the report was written after the echoed datagram, and a
+// process may stall between any two steps. Ages read earlier and sent with an echo of a datagram received
+// seconds later would make old settings look recent.
+func (a *Agent) addStamps(w *Words) { w.Settings, w.Endpoints = a.Host.Stamps() }
 
-// someExtra draws some addresses of hosts' entries in the store; mu must be held.
-func (a *Agent) someExtra() []string {
-	n := min(gossipFanout, len(a.extra))
+// randomExtraSeeds returns random addresses from the hosts' entries in the store. mu must be held.
+func (a *Agent) randomExtraSeeds() []string {
+	n := min(gossipFanout, len(a.extraSeeds))
 	out := make([]string, 0, n)
-	for _, i := range a.Rand.Perm(len(a.extra))[:n] {
-		out = append(out, a.extra[i])
+	for _, i := range a.Rand.Perm(len(a.extraSeeds))[:n] {
+		out = append(out, a.extraSeeds[i])
 	}
 	return out
 }
 
-// rowAddresses are where members hear heartbeats.
-func rowAddresses(ms []*Member) []string {
+// addressesOf returns the addresses at which members receive heartbeats.
+func addressesOf(ms []*Member) []string {
 	out := make([]string, 0, len(ms))
 	for _, m := range ms {
 		out = append(out, m.Info.Address)
@@ -308,61 +308,63 @@
 	return out
 }
 
-// write sends a message to each of some addresses once.
-func (a *Agent) write(msg any, addresses []string) {
+// sendTo sends a message to each distinct address.
+func (a *Agent) sendTo(msg any, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
 	data, err := encode(msg)
-	if err != nil || len(data) > largestBeat {
-		a.Log.Info("datagram not sent: too large or not to be written", "bytes", len(data))
+	if err != nil || len(data) > maxDatagramSize {
+		a.Log.Info("datagram not sent: encoding failed or it is too large", "bytes", len(data))
 		return
 	}
-	done := make(map[string]bool, len(addresses))
+	sent := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
-		if done[address] {
+		if sent[address] {
 			continue
 		}
-		done[address] = true
+		sent[address] = true
 		if to, err := net.ResolveUDPAddr("udp", address); err == nil {
-			// A lost datagram is followed by the next.
+			// A lost datagram is followed by the next one.
 			_, _ = a.Conn.WriteTo(data, to)
 		}
 	}
 }
 
-// Bounds of the lines on hosts that come and go, in lines a second and lines: where processes are short of processor hosts seem to go and come
-// all the time, and a line for each would keep the processor busy.
+// Limits of the log lines about hosts that come and go: the rate in lines per second, the burst in lines, and
+// the number of hosts named per line. If processes lack CPU time, hosts seem to come and go all the time, and a
+// line for each change would keep the CPU busy.
 const (
-	liveLines      = 0.5
-	mostLiveLines  = 20
-	mostNamedPeers = 10
+	peerLogRate    = 0.5
+	peerLogBurst   = 20
+	maxLoggedPeers = 10
 )
 
-// noteLive logs hosts that came and went, in one line; mu must be held. What there is no line for is told by a later one.
-func (a *Agent) noteLive(now time.Duration) {
-	live := make(map[string]bool, len(a.live))
+// logPeerChanges logs in one line which hosts came and went. mu must be held. Changes that exceed the limit of
+// lines are logged in a later line.
+func (a *Agent) logPeerChanges(now time.Duration) {
+	live := make(map[string]bool, len(a.loggedLive))
 	for _, m := range a.Table.Live(now) {
 		live[m.Host] = true
 	}
-	seen, lost := missing(live, a.live), missing(a.live, live)
+	seen, lost := difference(live, a.loggedLive), difference(a.loggedLive, live)
 	if len(seen)+len(lost) == 0 {
 		return
 	}
-	dropped, ok := a.lines.Take(now)
+	dropped, ok := a.logBudget.Take(now)
 	if !ok {
 		return
 	}
-	a.live = live
-	a.Log.Info("peers changed", "seen", seen[:min(mostNamedPeers, len(seen))], "lost", lost[:min(mostNamedPeers, len(lost))],
+	a.loggedLive = live
+	a.Log.Info("peers changed", "seen", seen[:min(maxLoggedPeers, len(seen))], "lost", lost[:min(maxLoggedPeers, len(lost))],
 		"seen_count", len(seen), "lost_count", len(lost), "live", len(live), "later", dropped)
 }
 
-// missing names the hosts of one set that are not in another.
-func missing(of, in map[string]bool) []string {
+// difference returns the hosts that are in a and not in b, sorted.
+func difference(a, b map[string]bool) []string {
 	var out []string
-	for h := range of {
-		if !in[h] {
+	for h := range a {
+		if !b[h] {
 			out = append(out, h)
 		}
 	}
@@ -370,9 +372,9 @@
 	return out
 }
 
-// tellChanges tells the others of changed loads, and the program of theirs, until ctx ends.
-func (a *Agent) tellChanges(ctx context.Context) {
-	t := time.NewTicker(updateEvery)
+// shareLoadChanges sends changed loads to the others and notifies the program of theirs, until ctx ends.
+func (a *Agent) shareLoadChanges(ctx context.Context) {
+	t := time.NewTicker(updateInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -380,23 +382,23 @@
 			return
 		case <-t.C:
 		}
-		a.sendChanges()
+		a.sendLoadChanges()
 		a.mu.Lock()
-		heard := a.heard
-		a.heard = false
+		received := a.loadsReceived
+		a.loadsReceived = false
 		a.mu.Unlock()
-		if heard {
+		if received {
 			a.Host.LoadsReceived()
 		}
 	}
 }
 
-// sendChanges sends an update where all others can be told directly and something changed.
-func (a *Agent) sendChanges() {
+// sendLoadChanges sends an update if all others can be reached directly and something changed.
+func (a *Agent) sendLoadChanges() {
 	a.mu.Lock()
 	var to []string
-	if !a.relayed() {
-		to = rowAddresses(a.Table.Live(a.Now()))
+	if !a.usesRelays() {
+		to = addressesOf(a.Table.Live(a.Now()))
 	}
 	a.mu.Unlock()
 	if len(to) == 0 {
@@ -410,5 +412,5 @@
 	a.mu.Lock()
 	u.LoadSeq = a.Table.NextLoadSeq()
 	a.mu.Unlock()
-	a.write(&u, to)
+	a.sendTo(&u, to)
 }
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -10,102 +10,99 @@
 	"time"
 )
 
-// sourceLife is the silence after which what a host told is left out of sums: three
-// heartbeats and a part of one. What a relay told counts for two heartbeats more, since a
-// whole zone would be missing.
+// sourceTimeout is the silence after which a host's report is left out of sums: three and a half heartbeats. A
+// relay's report counts for two heartbeats longer, because a whole zone would be missing.
 const (
-	sourceLife = 700 * time.Millisecond
-	relayLife  = 1100 * time.Millisecond
+	sourceTimeout = 700 * time.Millisecond
+	relayTimeout  = 1100 * time.Millisecond
 )
 
-// Relay adds up what hosts tell it. In fleets where not every host can be told by every
-// other one, the hosts of a zone send their heartbeats to one of them, the relay; relays
-// tell each other the sums of their zones, and their members the sum of all. Every host
-// then sends and hears one datagram at a time, whatever the size of the fleet. A relay
-// holds nothing that its successor does not hear anew within a heartbeat. It is pure and not
-// safe for concurrent use.
+// Relay adds up the reports of hosts. In fleets where not every host can report to every other one, the hosts
+// of a zone send their heartbeats to one of them, the relay; relays send each other the sums of their zones,
+// and their members the sum of all. Each host then sends and receives one datagram per heartbeat, whatever the
+// size of the fleet. A relay holds nothing that its successor does not receive anew within one heartbeat. It
+// does no I/O, and it is not safe for concurrent use.
 type Relay struct {
-	// Host and Life name this host.
+	// Host and Life identify this host and one run of its process.
 	Host string
 	Life uint64
 
 	members map[string]*source
 	relays  map[string]*source
-	lost    map[string]time.Duration // members that fell silent, and when that was seen
-	// partUsed and wholeUsed are what members, and all hosts, used since the relay began
-	// to hear them.
-	partUsed, wholeUsed map[string]float64
+	lost    map[string]time.Duration // members that became silent, and when that was noticed
+	// partialUsed and fullUsed are what members, and all hosts, used since the relay first received their
+	// reports.
+	partialUsed, fullUsed map[string]float64
 }
 
-// source is what a host or a relay told last.
+// source is the last report of a host or a relay.
 type source struct {
-	life    uint64
-	seq     uint32
-	heard   time.Duration
-	hosts   int
-	address string
-	lost    []string
-	words   Words
+	life       uint64
+	seq        uint32
+	receivedAt time.Duration
+	hosts      int
+	address    string
+	lost       []string
+	words      Words
 }
 
-// init makes the maps.
+// init creates the maps.
 func (r *Relay) init() {
 	if r.members != nil {
 		return
 	}
 	r.members, r.relays = make(map[string]*source), make(map[string]*source)
 	r.lost = make(map[string]time.Duration)
-	r.partUsed, r.wholeUsed = make(map[string]float64), make(map[string]float64)
+	r.partialUsed, r.fullUsed = make(map[string]float64), make(map[string]float64)
 }
 
-// ReceiveHeartbeat takes a member's heartbeat.
+// ReceiveHeartbeat stores a member's heartbeat.
 func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
-	used, ok := hear(r.members, b.Host, &source{life: b.Life, seq: b.Seq, heard: now, hosts: 1, address: b.Info.Address, words: b.Words})
+	used, ok := updateSource(r.members, b.Host, &source{life: b.Life, seq: b.Seq, receivedAt: now, hosts: 1, address: b.Info.Address, words: b.Words})
 	if !ok {
 		return
 	}
 	for ws, n := range used {
-		r.partUsed[ws] += n
-		r.wholeUsed[ws] += n
+		r.partialUsed[ws] += n
+		r.fullUsed[ws] += n
 	}
 }
 
-// ReceivePartial takes another relay's part.
+// ReceivePartial stores another relay's partial digest.
 func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
-	used, ok := hear(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, heard: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
+	used, ok := updateSource(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
 	if !ok {
 		return
 	}
 	for ws, n := range used {
-		r.wholeUsed[ws] += n
+		r.fullUsed[ws] += n
 	}
 }
 
-// hear notes what a source told and returns what was used there since its last words. The
-// first words of a life are where the counting starts. It returns false for words that
-// were overtaken.
-func hear(from map[string]*source, name string, s *source) (map[string]float64, bool) {
-	old := from[name]
+// updateSource stores a source's report and returns what was used there since its previous report. Counting
+// starts with the first report of a run. It returns false for a report that arrives after a newer one.
+func updateSource(sources map[string]*source, name string, s *source) (map[string]float64, bool) {
+	old := sources[name]
 	if old != nil && old.life == s.life && s.seq <= old.seq {
 		return nil, false
 	}
-	from[name] = s
+	sources[name] = s
 	if old == nil || old.life != s.life {
 		return nil, true
 	}
 	used := make(map[string]float64)
 	for ws, n := range s.words.Used {
-		if more := n - old.words.Used[ws]; more > 0 {
-			used[ws] = more
+		if delta := n - old.words.Used[ws]; delta > 0 {
+			used[ws] = delta
 		}
 	}
 	return used, true
 }
 
-// MemberAddresses are the addresses of the other hosts that send their heartbeats here.
+// MemberAddresses returns the addresses of the other hosts that send their heartbeats to this relay.
 func (r *Relay) MemberAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
@@ -117,7 +114,7 @@
 	return out
 }
 
-// RelayAddresses are the addresses of the relays that sent their parts here.
+// RelayAddresses returns the addresses of the relays that sent their partial digests to this one.
 func (r *Relay) RelayAddresses(now time.Duration) []string {
 	r.expire(now)
 	var out []string
@@ -131,20 +128,20 @@
 func (r *Relay) expire(now time.Duration) {
 	r.init()
 	for name, s := range r.members {
-		if now-s.heard > sourceLife {
+		if now-s.receivedAt > sourceTimeout {
 			delete(r.members, name)
 			r.lost[name] = now
 		}
 	}
-	maps.DeleteFunc(r.relays, func(_ string, s *source) bool { return now-s.heard > relayLife })
-	maps.DeleteFunc(r.lost, func(_ string, at time.Duration) bool { return now-at > lostFor })
+	maps.DeleteFunc(r.relays, func(_ string, s *source) bool { return now-s.receivedAt > relayTimeout })
+	maps.DeleteFunc(r.lost, func(_ string, at time.Duration) bool { return now-at > lostPeriod })
 }
 
-// lostFor is the time for which a relay tells that a member fell silent: enough for some
-// digests to be lost on the way.
-const lostFor = 2 * time.Second
+// lostPeriod is the time for which a relay reports that a member became silent: long enough for some digests to
+// be lost.
+const lostPeriod = 2 * time.Second
 
-// PartialDigest is the sum of the members, for other relays.
+// PartialDigest returns the sum of the members, for other relays.
 func (r *Relay) PartialDigest(now time.Duration) Digest {
 	r.expire(now)
 	d := Digest{Host: r.Host, Life: r.Life, Partial: true, Echo: make(map[string]uint32)}
@@ -156,12 +153,12 @@
 	for name, s := range r.relays {
 		d.Echo[name] = s.seq
 	}
-	d.Load, d.Waiting, d.Used = sum.loads(), sum.waiting, maps.Clone(r.partUsed)
+	d.Load, d.Waiting, d.Used = sum.loads(), sum.waiting, maps.Clone(r.partialUsed)
 	d.Lost = slices.Sorted(maps.Keys(r.lost))
 	return d
 }
 
-// FullDigest is the sum of all hosts, for the members.
+// FullDigest returns the sum of all hosts, for the members.
 func (r *Relay) FullDigest(now time.Duration) Digest {
 	r.expire(now)
 	d := Digest{Host: r.Host, Life: r.Life, Echo: make(map[string]uint32)}
@@ -178,33 +175,33 @@
 		sum.add(&s.words)
 	}
 	slices.Sort(d.Lost)
-	d.Load, d.Waiting, d.Used = sum.loads(), sum.waiting, maps.Clone(r.wholeUsed)
+	d.Load, d.Waiting, d.Used = sum.loads(), sum.waiting, maps.Clone(r.fullUsed)
 	return d
 }
 
 // loadSum adds up loads; the zero value holds none.
 type loadSum struct {
-	load    map[string]Load
-	steps   map[string]int64 // number of times of a token in the sum of load
-	waiting map[string][]int
+	sum        map[string]Load
+	stepCounts map[string]int64 // number of times per token in the sum, by endpoint
+	waiting    map[string][]int
 }
 
-// add adds the loads of some words.
+// add adds the loads of a report.
 func (s *loadSum) add(w *Words) {
-	if s.load == nil {
-		s.load, s.steps = make(map[string]Load), make(map[string]int64)
+	if s.sum == nil {
+		s.sum, s.stepCounts = make(map[string]Load), make(map[string]int64)
 		s.waiting = make(map[string][]int)
 	}
 	for name, l := range w.Load {
-		sum := s.load[name]
+		sum := s.sum[name]
 		sum.Running += l.Running
 		sum.Prefill += l.Prefill
 		sum.Step += l.Step
 		sum.Good += l.Good
 		sum.Bad += l.Bad
-		s.load[name] = sum
+		s.sum[name] = sum
 		if l.Step > 0 {
-			s.steps[name]++
+			s.stepCounts[name]++
 		}
 	}
 	for service, tiers := range w.Waiting {
@@ -217,12 +214,12 @@
 	}
 }
 
-// loads gives the sums, with the mean time of a token.
+// loads returns the sums, with the mean time per token.
 func (s *loadSum) loads() map[string]Load {
-	for name, n := range s.steps {
-		l := s.load[name]
+	for name, n := range s.stepCounts {
+		l := s.sum[name]
 		l.Step /= n
-		s.load[name] = l
+		s.sum[name] = l
 	}
-	return s.load
+	return s.sum
 }
--- a/peers/woke.go
+++ b/peers/woke.go
@@ -6,55 +6,56 @@
 
 import "time"
 
-// NoteGap notes that this process did not run for a time that ends now. The hosts that were known to live before are taken to live for as long
-// again as they would have been: most do, and without them this host would know no relay and nobody to tell of itself. What lies in the
-// socket is as old as that time and is passed over.
+// NoteGap records that this process did not run for a time that ends now. The hosts that were live before are
+// considered live for as long as they would have been without the gap: most are, and without them this host
+// would know no relay and nobody to report to. Datagrams waiting in the socket may be as old as the gap and are
+// discarded.
 func (a *Agent) NoteGap(gap time.Duration) {
 	a.mu.Lock()
 	now := a.Now()
 	a.Table.NoteGap(gap)
 	a.uplink.restart(now)
-	a.stale = true
+	a.staleDatagrams = true
 	a.mu.Unlock()
 	a.TriggerHeartbeat()
 }
 
-// NoteGap lets a time pass in which nothing was heard because this host did not run.
+// NoteGap shifts the times of the members by a gap in which this host did not run and received nothing.
 func (t *Table) NoteGap(gap time.Duration) {
 	for _, m := range t.members {
 		m.LastHeard += gap
-		m.direct += gap
-		m.changed += gap
+		m.lastDirect += gap
+		m.infoChanged += gap
 	}
 }
 
-// restart begins to wait for the relay in use anew.
+// restart restarts the wait for the current relay.
 func (u *uplink) restart(now time.Duration) {
-	u.since = now
+	u.usedSince = now
 	clear(u.suspects)
 }
 
-// isStale reports whether what lies in the socket is to be passed over.
-func (a *Agent) isStale() bool {
+// hasStaleDatagrams reports whether the datagrams waiting in the socket are to be discarded.
+func (a *Agent) hasStaleDatagrams() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.stale
+	return a.staleDatagrams
 }
 
-// skimTime is the time in which what lies in the socket is read and passed over: 8 s of a relay's words in a fleet of hundreds are some
-// thousand datagrams, of which one takes some microseconds.
-const skimTime = 5 * time.Millisecond
+// discardTime limits how long waiting datagrams are read and discarded: 8 s of a relay's digests in a fleet of
+// hundreds of hosts are some thousand datagrams, each of which takes a few microseconds.
+const discardTime = 5 * time.Millisecond
 
-// skim reads what lies in the socket and passes it over.
-func (a *Agent) skim(buf []byte) {
-	err := a.Conn.SetReadDeadline(time.Now().Add(skimTime))
+// discardPending reads and discards the datagrams waiting in the socket.
+func (a *Agent) discardPending(buf []byte) {
+	err := a.Conn.SetReadDeadline(time.Now().Add(discardTime))
 	for err == nil {
 		_, _, err = a.Conn.ReadFrom(buf)
 	}
 	if err = a.Conn.SetReadDeadline(time.Time{}); err != nil {
-		a.Log.Error(err, "socket cannot be waited on; heartbeats may not be heard")
+		a.Log.Error(err, "cannot clear the read deadline of the socket; heartbeats may not be received")
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stale = false
+	a.staleDatagrams = false
 }
