--- a/quarantine/attribution_test.go
+++ b/quarantine/attribution_test.go
@@ -18,329 +18,334 @@
 	"github.com/shoenig/test/must"
 )
 
-// run is a request at an endpoint.
-type run struct {
-	f        Fingerprint
-	at       *target
-	since    time.Duration
-	first    time.Duration // until the first sign of an answer
-	whole    time.Duration
-	attempts int  // of this try
-	again    bool // its caller tried before
-	guilty   bool
-	over     bool
+// execution is one run of a request at an endpoint.
+type execution struct {
+	fingerprint   Fingerprint
+	target        *target
+	started       time.Duration
+	responseDelay time.Duration // time to the first sign of an answer
+	duration      time.Duration
+	attempts      int  // of this submission
+	isRetry       bool // the caller submitted it before
+	guilty        bool
+	done          bool
 }
 
-// target is an endpoint.
+// target is a simulated endpoint.
 type target struct {
-	life string
-	down time.Duration
-	runs []*run
+	incarnation string
+	downUntil   time.Duration
+	executions  []*execution
 }
 
-// due is what happens at a time.
-type due struct {
-	at time.Duration
-	do func()
+// scheduledEvent is a function to run at a simulated time.
+type scheduledEvent struct {
+	at  time.Duration
+	run func()
 }
 
-type agenda []due
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// trial is a play of requests before endpoints of which some crash.
-type trial struct {
-	rand     *rand.Rand
-	now      time.Duration
-	agenda   agenda
-	targets  []*target
-	lives    int
-	verdict  verdict
-	requests int
-	wronged  map[Fingerprint]bool          // innocent requests that were held
-	ends     map[Fingerprint]int           // endpoints that each guilty request crashed
-	third    map[Fingerprint]time.Duration // when the third ended
-	beyond   map[Fingerprint]int           // sends later than the contact time after that
+// simulation runs requests on endpoints, some of which crash.
+type simulation struct {
+	rand         *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	targets      []*target
+	incarnations int
+	detector     detector
+	requests     int
+	wronglyHeld  map[Fingerprint]bool          // innocent requests that were held
+	crashes      map[Fingerprint]int           // endpoints that each guilty request crashed
+	thirdCrash   map[Fingerprint]time.Duration // when the third of these crashed
+	lateSends    map[Fingerprint]int           // sends later than the contact time after the third crash
 }
 
-// Figures of the plays.
+// Parameters of the simulation.
 const (
-	trialSpan    = 120 * time.Second
-	trialSlots   = 10
-	trialLoad    = 5.0                   // requests a second and endpoint, of which each takes 1.2 s in the mean
-	trialContact = 3 * time.Second       // hosts hear of all in that time
-	trialBeyond  = 3                     // sends of a guilty request later than that after the third end
-	evidenceTime = 60 * time.Millisecond // until all hosts know
+	simDuration    = 120 * time.Second
+	simSlots       = 10
+	simLoad        = 5.0                   // requests per second and endpoint, each taking 1.2 s on average
+	simContactTime = 3 * time.Second       // time in which hosts learn all evidence
+	maxLateSends   = 3                     // sends of a guilty request later than simContactTime after the third crash
+	evidenceDelay  = 60 * time.Millisecond // time until all hosts know of a crash
 )
 
-// after does something later.
-func (w *trial) after(d time.Duration, do func()) { heap.Push(&w.agenda, due{w.now + d, do}) }
+// after schedules a function after the given delay.
+func (sim *simulation) after(d time.Duration, run func()) {
+	heap.Push(&sim.queue, scheduledEvent{sim.now + d, run})
+}
 
-// between draws a time.
-func (w *trial) between(least, most float64) time.Duration {
-	return time.Duration((least + (most-least)*w.rand.Float64()) * float64(time.Second))
+// between draws a duration between two numbers of seconds.
+func (sim *simulation) between(low, high float64) time.Duration {
+	return time.Duration((low + (high-low)*sim.rand.Float64()) * float64(time.Second))
 }
 
-// pick chooses the emptier of two endpoints that are up.
-func (w *trial) pick() *target {
+// pick draws two endpoints that are up and returns the one with fewer requests.
+func (sim *simulation) pick() *target {
 	var up []*target
-	for _, t := range w.targets {
-		if t.down <= w.now {
+	for _, t := range sim.targets {
+		if t.downUntil <= sim.now {
 			up = append(up, t)
 		}
 	}
 	if len(up) == 0 {
 		return nil
 	}
-	a, b := up[w.rand.IntN(len(up))], up[w.rand.IntN(len(up))]
-	if len(b.runs) < len(a.runs) {
+	a, b := up[sim.rand.IntN(len(up))], up[sim.rand.IntN(len(up))]
+	if len(b.executions) < len(a.executions) {
 		return b
 	}
 	return a
 }
 
-// crash ends an endpoint, which is back after a time.
-func (w *trial) crash(t *target, back time.Duration) {
-	if t.down > w.now {
+// crash ends an endpoint, which restarts after downTime.
+func (sim *simulation) crash(t *target, downTime time.Duration) {
+	if t.downUntil > sim.now {
 		return
 	}
-	life, runs := t.life, t.runs
-	w.lives++
-	t.life, t.runs, t.down = fmt.Sprint("life-", w.lives), nil, w.now+back
-	for _, r := range runs {
-		r.over = true
-		e := Termination{Incarnation: life, At: w.now, RequestAge: w.now - r.since, NoResponse: w.now-r.since < r.first}
-		n := len(runs)
-		w.after(evidenceTime, func() { w.verdict.crashed(w.now, r.f, e, n) })
-		if r.guilty {
-			if w.ends[r.f]++; w.ends[r.f] == 3 {
-				w.third[r.f] = w.now
+	incarnation, executions := t.incarnation, t.executions
+	sim.incarnations++
+	t.incarnation, t.executions, t.downUntil = fmt.Sprint("life-", sim.incarnations), nil, sim.now+downTime
+	for _, e := range executions {
+		e.done = true
+		termination := Termination{Incarnation: incarnation, At: sim.now, RequestAge: sim.now - e.started, NoResponse: sim.now-e.started < e.responseDelay}
+		running := len(executions)
+		sim.after(evidenceDelay, func() { sim.detector.crashed(sim.now, e.fingerprint, termination, running) })
+		if e.guilty {
+			if sim.crashes[e.fingerprint]++; sim.crashes[e.fingerprint] == 3 {
+				sim.thirdCrash[e.fingerprint] = sim.now
 			}
 			continue
 		}
-		next := *r
-		next.over = false
+		next := *e
+		next.done = false
 		switch {
-		case r.attempts < 2 && r.f[0]%3 == 0: // it may go on elsewhere
+		case e.attempts < 2 && e.fingerprint[0]%3 == 0: // it may be retried at another endpoint
 			next.attempts++
-			w.after(evidenceTime/2, func() { w.start(&next) })
-		case !r.again:
-			next.attempts, next.again = 0, true
-			w.after(w.between(0.1, 1.1), func() { w.start(&next) })
+			sim.after(evidenceDelay/2, func() { sim.start(&next) })
+		case !e.isRetry:
+			next.attempts, next.isRetry = 0, true
+			sim.after(sim.between(0.1, 1.1), func() { sim.start(&next) })
 		}
 	}
 }
 
-// start sends a request to an endpoint.
-func (w *trial) start(r *run) {
-	if w.verdict.held(w.now, r.f) {
-		if !r.guilty {
-			w.wronged[r.f] = true
+// start sends a request to an endpoint unless it is held or no endpoint has a free slot.
+func (sim *simulation) start(e *execution) {
+	if sim.detector.held(sim.now, e.fingerprint) {
+		if !e.guilty {
+			sim.wronglyHeld[e.fingerprint] = true
 		}
 		return
 	}
-	t := w.pick()
-	if t == nil || len(t.runs) >= trialSlots {
+	t := sim.pick()
+	if t == nil || len(t.executions) >= simSlots {
 		return
 	}
-	r.at, r.since = t, w.now
-	t.runs = append(t.runs, r)
-	if r.guilty {
-		if at, over := w.third[r.f]; over && w.now > at+trialContact {
-			w.beyond[r.f]++
+	e.target, e.started = t, sim.now
+	t.executions = append(t.executions, e)
+	if e.guilty {
+		if thirdCrash, crashed := sim.thirdCrash[e.fingerprint]; crashed && sim.now > thirdCrash+simContactTime {
+			sim.lateSends[e.fingerprint]++
 		}
-		w.after(r.whole, func() {
-			if !r.over {
-				w.crash(t, w.between(2, 4))
+		sim.after(e.duration, func() {
+			if !e.done {
+				sim.crash(t, sim.between(2, 4))
 			}
 		})
 		return
 	}
-	w.after(r.whole, func() {
-		if !r.over {
-			r.over = true
-			t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
-			w.verdict.answered(w.now, r.f)
+	sim.after(e.duration, func() {
+		if !e.done {
+			e.done = true
+			t.executions = slices.DeleteFunc(t.executions, func(o *execution) bool { return o == e })
+			sim.detector.answered(sim.now, e.fingerprint)
 		}
 	})
 }
 
-// case of a play.
-type trialCase struct {
-	name      string
-	endpoints int
-	rate      float64       // ends of an endpoint by itself, a second
-	mass      []float64     // seconds at which three in ten end
-	flaps     bool          // a quarter go down and up by turns
-	guilty    int           // requests that crash endpoints
-	late      time.Duration // how long after the first sign of an answer these do
-	pause     time.Duration // the least time between two tries of one
+// simCase is one scenario.
+type simCase struct {
+	name            string
+	endpoints       int
+	terminationRate float64       // spontaneous terminations per endpoint and second
+	massCrashes     []float64     // times in seconds at which 30% of the endpoints crash
+	flapping        bool          // a quarter of the endpoints go down and up repeatedly
+	guiltyRequests  int           // requests that crash endpoints
+	crashDelay      time.Duration // longest time from the first sign of an answer to the crash
+	minRetryPause   time.Duration // minimum time between two submissions of a guilty request
 }
 
-// play plays a case.
-func play(c trialCase, v verdict, seed uint64) *trial {
-	w := &trial{
-		rand: rand.New(rand.NewPCG(seed, 1)), lives: c.endpoints, verdict: v, wronged: make(map[Fingerprint]bool), ends: make(map[Fingerprint]int),
-		third: make(map[Fingerprint]time.Duration), beyond: make(map[Fingerprint]int),
+// simulate runs a scenario.
+func simulate(c simCase, detector detector, seed uint64) *simulation {
+	sim := &simulation{
+		rand: rand.New(rand.NewPCG(seed, 1)), incarnations: c.endpoints, detector: detector, wronglyHeld: make(map[Fingerprint]bool), crashes: make(map[Fingerprint]int),
+		thirdCrash: make(map[Fingerprint]time.Duration), lateSends: make(map[Fingerprint]int),
 	}
 	for i := range c.endpoints {
-		w.targets = append(w.targets, &target{life: fmt.Sprint("first-", i)})
+		sim.targets = append(sim.targets, &target{incarnation: fmt.Sprint("first-", i)})
 	}
-	w.arrivals(c)
-	w.deaths(c)
-	for g := range c.guilty {
-		f := print(-1 - g)
-		var again func()
-		again = func() {
-			first := w.between(0.05, 0.2)
-			whole := time.Duration((0.7 + 0.3*w.rand.Float64()) * float64(first))
-			if c.late > 0 {
-				whole = first + time.Duration((0.2+0.8*w.rand.Float64())*float64(c.late))
+	sim.scheduleArrivals(c)
+	sim.scheduleTerminations(c)
+	for g := range c.guiltyRequests {
+		f := fingerprintOf(-1 - g)
+		var retry func()
+		retry = func() {
+			responseDelay := sim.between(0.05, 0.2)
+			duration := time.Duration((0.7 + 0.3*sim.rand.Float64()) * float64(responseDelay))
+			if c.crashDelay > 0 {
+				duration = responseDelay + time.Duration((0.2+0.8*sim.rand.Float64())*float64(c.crashDelay))
 			}
-			w.start(&run{f: f, guilty: true, first: first, whole: whole})
-			w.after(c.pause+w.between(0.1, 0.1+2*w.rand.Float64()), again)
+			sim.start(&execution{fingerprint: f, guilty: true, responseDelay: responseDelay, duration: duration})
+			sim.after(c.minRetryPause+sim.between(0.1, 0.1+2*sim.rand.Float64()), retry)
 		}
-		w.after(w.between(10, 40), again)
+		sim.after(sim.between(10, 40), retry)
 	}
-	for len(w.agenda) > 0 && w.agenda[0].at < trialSpan {
-		d := heap.Pop(&w.agenda).(due)
-		w.now = d.at
-		d.do()
+	for len(sim.queue) > 0 && sim.queue[0].at < simDuration {
+		next := heap.Pop(&sim.queue).(scheduledEvent)
+		sim.now = next.at
+		next.run()
 	}
-	return w
+	return sim
 }
 
-// arrivals lets innocent requests come.
-func (w *trial) arrivals(c trialCase) {
+// scheduleArrivals schedules the innocent requests.
+func (sim *simulation) scheduleArrivals(c simCase) {
 	var arrive func()
 	arrive = func() {
-		w.requests++
+		sim.requests++
 		var f Fingerprint
 		for i := range f {
-			f[i] = byte(w.rand.Uint32())
+			f[i] = byte(sim.rand.Uint32())
 		}
-		whole := min(0.8*math.Exp(0.9*w.rand.NormFloat64()), 14)
-		w.start(&run{f: f, first: w.between(0.05, 0.2), whole: time.Duration(whole * float64(time.Second))})
-		w.after(time.Duration(w.rand.ExpFloat64()/(trialLoad*float64(c.endpoints))*float64(time.Second)), arrive)
+		duration := min(0.8*math.Exp(0.9*sim.rand.NormFloat64()), 14)
+		sim.start(&execution{fingerprint: f, responseDelay: sim.between(0.05, 0.2), duration: time.Duration(duration * float64(time.Second))})
+		sim.after(time.Duration(sim.rand.ExpFloat64()/(simLoad*float64(c.endpoints))*float64(time.Second)), arrive)
 	}
-	w.after(0, arrive)
+	sim.after(0, arrive)
 }
 
-// deaths lets endpoints end by themselves.
-func (w *trial) deaths(c trialCase) {
-	for i, t := range w.targets {
-		if c.rate > 0 {
-			wait := func() time.Duration { return time.Duration(w.rand.ExpFloat64() / c.rate * float64(time.Second)) }
-			var die func()
-			die = func() {
-				w.crash(t, w.between(2, 4))
-				w.after(wait(), die)
+// scheduleTerminations schedules the terminations that no request causes.
+func (sim *simulation) scheduleTerminations(c simCase) {
+	for i, t := range sim.targets {
+		if c.terminationRate > 0 {
+			wait := func() time.Duration {
+				return time.Duration(sim.rand.ExpFloat64() / c.terminationRate * float64(time.Second))
+			}
+			var terminate func()
+			terminate = func() {
+				sim.crash(t, sim.between(2, 4))
+				sim.after(wait(), terminate)
 			}
-			w.after(wait(), die)
+			sim.after(wait(), terminate)
 		}
-		if c.flaps && i%4 == 0 {
-			var die func()
-			die = func() {
-				w.crash(t, time.Second)
-				w.after(2*time.Second, die)
+		if c.flapping && i%4 == 0 {
+			var terminate func()
+			terminate = func() {
+				sim.crash(t, time.Second)
+				sim.after(2*time.Second, terminate)
 			}
-			w.after(w.between(20, 22), die)
+			sim.after(sim.between(20, 22), terminate)
 		}
 	}
-	for _, at := range c.mass {
-		w.after(time.Duration(at*float64(time.Second)), func() {
-			for _, t := range w.targets {
-				if w.rand.Float64() < 0.3 {
-					w.after(w.between(0, 0.3), func() { w.crash(t, w.between(2, 4)) })
+	for _, at := range c.massCrashes {
+		sim.after(time.Duration(at*float64(time.Second)), func() {
+			for _, t := range sim.targets {
+				if sim.rand.Float64() < 0.3 {
+					sim.after(sim.between(0, 0.3), func() { sim.crash(t, sim.between(2, 4)) })
 				}
 			}
 		})
 	}
 }
 
-// TestAttribution plays requests that crash endpoints, and endpoints that end by themselves, and holds how many endpoints the first
-// crash and how many others are held for them. With HEATHKEEL_SEEDS it plays more seeds, and the ways that were weighed beside the kept one.
+// TestAttribution simulates requests that crash endpoints and endpoints that end on their own. It
+// limits how many endpoints a guilty request crashes and how many innocent requests are held. With
+// HEATHKEEL_SEEDS it runs more seeds and also the rejected detectors for comparison.
 func TestAttribution(t *testing.T) {
-	storm := []float64{15, 20, 25, 30, 35}
+	terminationWaves := []float64{15, 20, 25, 30, 35}
 	cases := []struct {
-		trialCase
-		mostEnds  int // endpoints that one guilty request crashes
-		mostWrong int // innocent requests held in 100,000
+		simCase
+		maxCrashes     int // endpoints that one guilty request may crash
+		maxWronglyHeld int // innocent requests held per 100,000
 	}{
-		{trialCase{name: "single ends", endpoints: 18, rate: 0.003}, 0, 0},
-		{trialCase{name: "many ends", endpoints: 18, rate: 0.03}, 0, 0},
-		{trialCase{name: "a storm of ends", endpoints: 18, rate: 0.15}, 0, 5},
-		{trialCase{name: "many at once", endpoints: 18, mass: []float64{20, 24, 40}}, 0, 5},
-		{trialCase{name: "by turns", endpoints: 18, flaps: true}, 0, 5},
-		{trialCase{name: "by turns", endpoints: 60, flaps: true}, 0, 5},
-		{trialCase{name: "guilty", endpoints: 18, guilty: 3}, 5, 5},
-		{trialCase{name: "guilty", endpoints: 60, guilty: 3}, 5, 5},
-		{trialCase{name: "guilty", endpoints: 160, guilty: 3}, 5, 5},
-		{trialCase{name: "guilty, and many ends", endpoints: 18, rate: 0.03, guilty: 3}, 5, 10},
-		{trialCase{name: "guilty, and by turns", endpoints: 18, flaps: true, guilty: 3}, 6, 10},
-		{trialCase{name: "guilty, and many at once", endpoints: 60, rate: 0.003, mass: storm, guilty: 3}, 6, 10},
-		{trialCase{name: "guilty late", endpoints: 18, guilty: 3, late: time.Second}, 12, 5},
-		{trialCase{name: "guilty late", endpoints: 160, guilty: 3, late: time.Second}, 9, 5},
-		{trialCase{name: "guilty late, and many ends", endpoints: 18, rate: 0.03, guilty: 3, late: 2 * time.Second}, 12, 10},
-		{trialCase{name: "guilty late and seldom", endpoints: 18, guilty: 3, late: 2 * time.Second, pause: trialContact}, 6, 5},
-		{trialCase{name: "guilty late and seldom, and many ends", endpoints: 18, rate: 0.1, guilty: 3, late: 2 * time.Second, pause: trialContact}, 6, 10},
-		{trialCase{name: "guilty late and seldom, and by turns", endpoints: 60, flaps: true, guilty: 3, late: 2 * time.Second, pause: trialContact}, 6, 10},
+		{simCase{name: "few terminations", endpoints: 18, terminationRate: 0.003}, 0, 0},
+		{simCase{name: "many terminations", endpoints: 18, terminationRate: 0.03}, 0, 0},
+		{simCase{name: "very many terminations", endpoints: 18, terminationRate: 0.15}, 0, 5},
+		{simCase{name: "simultaneous terminations", endpoints: 18, massCrashes: []float64{20, 24, 40}}, 0, 5},
+		{simCase{name: "flapping endpoints", endpoints: 18, flapping: true}, 0, 5},
+		{simCase{name: "flapping endpoints", endpoints: 60, flapping: true}, 0, 5},
+		{simCase{name: "guilty", endpoints: 18, guiltyRequests: 3}, 5, 5},
+		{simCase{name: "guilty", endpoints: 60, guiltyRequests: 3}, 5, 5},
+		{simCase{name: "guilty", endpoints: 160, guiltyRequests: 3}, 5, 5},
+		{simCase{name: "guilty, many terminations", endpoints: 18, terminationRate: 0.03, guiltyRequests: 3}, 5, 10},
+		{simCase{name: "guilty, flapping endpoints", endpoints: 18, flapping: true, guiltyRequests: 3}, 6, 10},
+		{simCase{name: "guilty, simultaneous terminations", endpoints: 60, terminationRate: 0.003, massCrashes: terminationWaves, guiltyRequests: 3}, 6, 10},
+		{simCase{name: "guilty after response", endpoints: 18, guiltyRequests: 3, crashDelay: time.Second}, 12, 5},
+		{simCase{name: "guilty after response", endpoints: 160, guiltyRequests: 3, crashDelay: time.Second}, 9, 5},
+		{simCase{name: "guilty after response, many terminations", endpoints: 18, terminationRate: 0.03, guiltyRequests: 3, crashDelay: 2 * time.Second}, 12, 10},
+		{simCase{name: "guilty after response, rare", endpoints: 18, guiltyRequests: 3, crashDelay: 2 * time.Second, minRetryPause: simContactTime}, 6, 5},
+		{simCase{name: "guilty after response, rare, many terminations", endpoints: 18, terminationRate: 0.1, guiltyRequests: 3, crashDelay: 2 * time.Second, minRetryPause: simContactTime}, 6, 10},
+		{simCase{name: "guilty after response, rare, flapping endpoints", endpoints: 60, flapping: true, guiltyRequests: 3, crashDelay: 2 * time.Second, minRetryPause: simContactTime}, 6, 10},
 	}
-	ways := []struct {
+	detectors := []struct {
 		name string
-		make func(endpoints int) verdict
+		make func(endpoints int) detector
 	}{
-		{"kept", func(n int) verdict { return &byBook{Registry{Endpoints: n}} }},
-		{"two ends", func(int) verdict { return &byCount{2, make(map[Fingerprint]map[string]bool)} }},
-		{"three ends", func(int) verdict { return &byCount{3, make(map[Fingerprint]map[string]bool)} }},
-		{"one trial", func(int) verdict {
-			return &byTrials{1, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
+		{"kept", func(n int) detector { return &registryDetector{Registry{Endpoints: n}} }},
+		{"two crashes", func(int) detector { return &countDetector{2, make(map[Fingerprint]map[string]bool)} }},
+		{"three crashes", func(int) detector { return &countDetector{3, make(map[Fingerprint]map[string]bool)} }},
+		{"one trial", func(int) detector {
+			return &trialDetector{1, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
 		}},
-		{"two trials", func(int) verdict {
-			return &byTrials{2, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
+		{"two trials", func(int) detector {
+			return &trialDetector{2, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
 		}},
-		{"two trials, mute", func(int) verdict {
-			return &byTrials{2, true, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
+		{"two trials, no response", func(int) detector {
+			return &trialDetector{2, true, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
 		}},
-		{"three trials", func(int) verdict {
-			return &byTrials{3, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
+		{"three trials", func(int) detector {
+			return &trialDetector{3, false, make(map[Fingerprint]map[string]bool), make(map[Fingerprint]int)}
 		}},
-		{"shared blame 0.5", func(int) verdict { return &byShare{0.5, make(map[Fingerprint]float64)} }},
+		{"shared blame 0.5", func(int) detector { return &blameDetector{0.5, make(map[Fingerprint]float64)} }},
 	}
 	seeds := 1
 	if n, err := strconv.Atoi(os.Getenv("HEATHKEEL_SEEDS")); err == nil {
 		seeds = n
 	} else {
-		ways = ways[:1]
+		detectors = detectors[:1]
 	}
 	for _, c := range cases {
-		for _, way := range ways {
-			t.Run(fmt.Sprintf("%s, %d endpoints, %s", c.name, c.endpoints, way.name), func(t *testing.T) {
-				requests, wronged, ends, guilty, worst, beyond := 0, 0, 0, 0, 0, 0
+		for _, d := range detectors {
+			t.Run(fmt.Sprintf("%s, %d endpoints, %s", c.name, c.endpoints, d.name), func(t *testing.T) {
+				requests, wronglyHeld, crashes, guiltyCount, maxCrashes, lateSends := 0, 0, 0, 0, 0, 0
 				for seed := range uint64(seeds) {
-					w := play(c.trialCase, way.make(c.endpoints), seed)
-					requests += w.requests
-					wronged += len(w.wronged)
-					for _, n := range w.beyond {
-						beyond = max(beyond, n)
+					sim := simulate(c.simCase, d.make(c.endpoints), seed)
+					requests += sim.requests
+					wronglyHeld += len(sim.wronglyHeld)
+					for _, n := range sim.lateSends {
+						lateSends = max(lateSends, n)
 					}
-					for _, n := range w.ends {
-						ends, guilty, worst = ends+n, guilty+1, max(worst, n)
+					for _, n := range sim.crashes {
+						crashes, guiltyCount, maxCrashes = crashes+n, guiltyCount+1, max(maxCrashes, n)
 					}
 				}
-				t.Logf("%d of %d innocent requests held; a guilty one crashes %.2f endpoints in the mean, %d at most, %d sends beyond the contact time at most", wronged, requests, float64(ends)/float64(max(1, guilty)), worst, beyond)
-				if way.name == "kept" {
-					must.LessEq(t, trialBeyond, beyond)
-					must.LessEq(t, c.mostEnds, worst)
-					must.LessEq(t, 1+c.mostWrong*requests/100000, wronged)
+				t.Logf("%d of %d innocent requests held; a guilty request crashes %.2f endpoints on average, %d at most; %d sends after the contact time at most", wronglyHeld, requests, float64(crashes)/float64(max(1, guiltyCount)), maxCrashes, lateSends)
+				if d.name == "kept" {
+					must.LessEq(t, maxLateSends, lateSends)
+					must.LessEq(t, c.maxCrashes, maxCrashes)
+					must.LessEq(t, 1+c.maxWronglyHeld*requests/100000, wronglyHeld)
 				}
 			})
 		}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -10,293 +10,304 @@
 	"time"
 )
 
-// Figures of what is remembered, and for how long.
+// Limits on the stored evidence and on holds.
 const (
-	// forget is the time after which a crash counts no more: a caller may come again by the minute, and a request that
-	// is answered in the meantime is cleared by that.
-	forget = time.Hour
-	// firstHold and longestHold bound the time for which a request is refused; it doubles with each time. A request that is held
-	// costs its caller an answer that it would not have had, and one that is let go too early costs an endpoint and the
-	// requests beside it, some ten.
-	firstHold   = 10 * time.Minute
-	longestHold = 24 * time.Hour
-	// mostSuspects bounds the requests that are remembered, some 200 bytes each.
-	mostSuspects = 10000
+	// evidenceTTL is the age at which a crash expires. It covers callers that retry once a minute;
+	// a request that is answered in the meantime is cleared earlier.
+	evidenceTTL = time.Hour
+	// minHold and maxHold bound the time for which a request is refused. The time doubles with each
+	// hold. A hold costs the caller an answer that it would not have got anyway; releasing a
+	// request too early costs an endpoint and the about ten other requests that run on it.
+	minHold = 10 * time.Minute
+	maxHold = 24 * time.Hour
+	// maxSuspects limits the number of suspected requests, about 200 bytes each.
+	maxSuspects = 10000
 )
 
-// crash is the end of an endpoint under a request.
+// crash is the end of an endpoint while it had a request.
 type crash struct {
-	at, ran time.Duration // when it ended, and for how long it had had the request
-	mute    bool          // nothing of an answer had come
-	unsure  bool          // the endpoint may have ended for another reason that is known
-	host    string        // who saw it
+	at, requestAge time.Duration // when the endpoint ended, and how long it had had the request
+	noResponse     bool          // no part of an answer had arrived
+	inconclusive   bool          // another known reason may have ended the endpoint
+	host           string        // the host that observed it
 }
 
-// death is the end of an endpoint, and the request that is known to have caused it, if any.
-type death struct {
-	at time.Duration
-	by Fingerprint
+// pastTermination is the end of an endpoint and the request known to have caused it, if any.
+type pastTermination struct {
+	at    time.Duration
+	cause Fingerprint
 }
 
-// suspect is what is known of a request.
+// suspect is the state of a request under which endpoints crashed.
 type suspect struct {
-	request string           // what it is, for operators; empty where only other hosts know
-	crashes map[string]crash // by life
-	keptAt  time.Duration    // when its hold was written where it outlasts all hosts, 0 if it was not
-	onTrial bool             // it is sent only if that is granted
-	trials  int              // sends that were granted since it was answered last, by any host
-	tried   time.Duration    // when the newest of them was, 0 for never
-	cleared time.Duration    // when it was answered last, by any host
-	until   time.Duration    // until when it is held
-	times   int              // how often it was held
-	newest  time.Duration    // when the last of its crashes was
-	wide    bool             // two endpoints crashed under it once, so that all hosts are told
+	request   string           // description for operators; empty if only other hosts know it
+	crashes   map[string]crash // by incarnation
+	savedAt   time.Duration    // when its hold was written to the store, 0 if it was not
+	onTrial   bool             // each send must be granted
+	trials    int              // sends granted by any host since the last answer
+	lastTrial time.Duration    // when the last send was granted, 0 for never
+	clearedAt time.Duration    // when any host last answered it
+	heldUntil time.Duration    // end of the hold
+	holdCount int              // number of holds so far
+	lastCrash time.Duration    // time of the last crash
+	broadcast bool             // two endpoints have crashed under it, so its evidence goes to all hosts
 }
 
-// news is what this host learned at a moment: the end of a life under a request, or, with an empty life, that the request
-// was answered.
-type news struct {
+// event is a piece of evidence and the time at which this host learned it: the end of an
+// incarnation under a request or, if incarnation is empty, an answer to the request.
+type event struct {
 	at          time.Duration
 	fingerprint Fingerprint
-	life        string
-	own         bool // seen by this host, not told to it
+	incarnation string
+	local       bool // observed by this host, not received from a peer
 }
 
-// Registry is what a host knows of requests under which endpoints crashed. The zero value knows nothing. It is not safe for
-// concurrent use.
+// Registry holds the evidence that a host has of requests under which endpoints crashed. The zero
+// value is empty. It is not safe for concurrent use.
 type Registry struct {
-	// Host names this host.
+	// Host is the name of this host.
 	Host string
 	// Endpoints is the number of endpoints in use.
 	Endpoints int
 
-	suspects map[Fingerprint]*suspect
-	deaths   map[string]death // by life
-	watched  []Fingerprint    // those that are on trial or held, or were held, in the order in which they are told
-	turn     int
-	news     []news        // what is told, in the order in which it came
-	freed    []Fingerprint // those whose records are to be removed by this host
+	suspects        map[Fingerprint]*suspect
+	terminations    map[string]pastTermination // by incarnation
+	restricted      []Fingerprint              // requests that are on trial or held, or were held, in the order in which they are sent to peers
+	nextRestricted  int
+	events          []event       // recent evidence to send, in order of arrival
+	recordsToRemove []Fingerprint // requests whose records this host has to remove
 }
 
-// Empty says that no request is known: none need be looked up.
-func (b *Registry) Empty() bool { return len(b.suspects) == 0 }
+// Empty reports whether no request is suspected, so that no request has to be looked up.
+func (reg *Registry) Empty() bool { return len(reg.suspects) == 0 }
 
-// Suspects is the number of requests under which an endpoint crashed, those that are held included.
-func (b *Registry) Suspects() int { return len(b.suspects) }
+// Suspects returns the number of requests under which an endpoint crashed, including those that are
+// held.
+func (reg *Registry) Suspects() int { return len(reg.suspects) }
 
-// Incarnations names the runs of endpoints that crashed under a request, by what this host knows.
-func (b *Registry) Incarnations(f Fingerprint) []string {
-	if s := b.suspects[f]; s != nil {
+// Incarnations returns the incarnations of endpoints that this host knows to have crashed under a
+// request.
+func (reg *Registry) Incarnations(f Fingerprint) []string {
+	if s := reg.suspects[f]; s != nil {
 		return slices.Sorted(maps.Keys(s.crashes))
 	}
 	return nil
 }
 
-// suspect returns what is known of a request, which is made if nothing is.
-func (b *Registry) suspect(f Fingerprint) *suspect {
-	s := b.suspects[f]
+// suspect returns the state of a request and creates it if there is none.
+func (reg *Registry) suspect(f Fingerprint) *suspect {
+	s := reg.suspects[f]
 	if s == nil {
-		if b.suspects == nil {
-			b.suspects = make(map[Fingerprint]*suspect)
+		if reg.suspects == nil {
+			reg.suspects = make(map[Fingerprint]*suspect)
 		}
-		if len(b.suspects) >= mostSuspects {
-			b.evict()
+		if len(reg.suspects) >= maxSuspects {
+			reg.evict()
 		}
-		s = &suspect{crashes: make(map[string]crash), cleared: -forget}
-		b.suspects[f] = s
+		s = &suspect{crashes: make(map[string]crash), clearedAt: -evidenceTTL}
+		reg.suspects[f] = s
 	}
 	return s
 }
 
-// evict forgets the suspect with the fewest crashes, of those the one whose last was the longest ago, so that a flood of
-// requests under which one endpoint crashed does not wash out what is held.
-func (b *Registry) evict() {
-	var worst Fingerprint
-	var least *suspect
-	for f, s := range b.suspects {
-		if least == nil || s.less(least) {
-			worst, least = f, s
+// evict removes the suspect with the fewest holds, then the fewest crashes, then the oldest last
+// crash. A flood of requests under which one endpoint crashed therefore does not evict requests
+// that are held.
+func (reg *Registry) evict() {
+	var victim Fingerprint
+	var victimState *suspect
+	for f, s := range reg.suspects {
+		if victimState == nil || s.less(victimState) {
+			victim, victimState = f, s
 		}
 	}
-	b.drop(worst)
+	reg.drop(victim)
 }
 
-// less orders suspects by what is lost if they are forgotten.
+// less orders suspects by how much evidence is lost if they are evicted.
 func (s *suspect) less(o *suspect) bool {
-	if s.times != o.times {
-		return s.times < o.times
+	if s.holdCount != o.holdCount {
+		return s.holdCount < o.holdCount
 	}
 	if len(s.crashes) != len(o.crashes) {
 		return len(s.crashes) < len(o.crashes)
 	}
-	return s.newest < o.newest
+	return s.lastCrash < o.lastCrash
 }
 
-// drop forgets a suspect.
-func (b *Registry) drop(f Fingerprint) {
-	delete(b.suspects, f)
-	b.watched = slices.DeleteFunc(b.watched, func(g Fingerprint) bool { return f == g })
+// drop removes a suspect.
+func (reg *Registry) drop(f Fingerprint) {
+	delete(reg.suspects, f)
+	reg.restricted = slices.DeleteFunc(reg.restricted, func(g Fingerprint) bool { return f == g })
 }
 
-// Termination is the end of an endpoint under a request of this host.
+// Termination is the end of an endpoint while it had a request of this host.
 type Termination struct {
-	// Incarnation is the run of the endpoint's process that ended, At when it did.
+	// Incarnation is the run of the endpoint's process that ended, and At is the time of its end.
 	Incarnation string
 	At          time.Duration
-	// RequestAge is for how long it had had the request, and Mute says that nothing of an answer had come.
+	// RequestAge is how long the endpoint had had the request. NoResponse reports that no part of
+	// an answer had arrived.
 	RequestAge time.Duration
 	NoResponse bool
-	// Inconclusive says that it may have ended for another reason that is known: it was leaving, or this host did not run meanwhile.
+	// Inconclusive reports that another known reason may have ended the endpoint: it was leaving,
+	// or this host did not run meanwhile.
 	Inconclusive bool
-	// Request says what the request is, for operators.
+	// Request describes the request for operators.
 	Request string
 }
 
-// NoteCrash notes that an endpoint ended while it had a request of this host. It returns true if that is new.
-func (b *Registry) NoteCrash(now time.Duration, f Fingerprint, e Termination) bool {
-	if !b.crashed(now, f, e.Incarnation, crash{e.At, e.RequestAge, e.NoResponse && !e.Inconclusive, e.Inconclusive, b.Host}) {
+// NoteCrash records that an endpoint ended while it had a request of this host. It reports whether
+// that is new.
+func (reg *Registry) NoteCrash(now time.Duration, f Fingerprint, e Termination) bool {
+	if !reg.addCrash(now, f, e.Incarnation, crash{e.At, e.RequestAge, e.NoResponse && !e.Inconclusive, e.Inconclusive, reg.Host}) {
 		return false
 	}
-	b.suspects[f].request = e.Request
+	reg.suspects[f].request = e.Request
 	return true
 }
 
-// crashed notes that an endpoint ended while it had a request of this host, or of another one.
-func (b *Registry) crashed(now time.Duration, f Fingerprint, life string, c crash) bool {
-	if s := b.suspects[f]; s != nil {
-		if _, known := s.crashes[life]; known || c.at <= s.cleared {
+// addCrash records that an endpoint ended while it had a request of this host or of another one. It
+// reports whether that is new.
+func (reg *Registry) addCrash(now time.Duration, f Fingerprint, incarnation string, c crash) bool {
+	if s := reg.suspects[f]; s != nil {
+		if _, known := s.crashes[incarnation]; known || c.at <= s.clearedAt {
 			return false
 		}
 	}
-	s := b.suspect(f)
-	s.crashes[life], s.newest = c, max(s.newest, c.at)
-	if !c.unsure {
-		b.died(life, c.at)
+	s := reg.suspect(f)
+	s.crashes[incarnation], s.lastCrash = c, max(s.lastCrash, c.at)
+	if !c.inconclusive {
+		reg.addTermination(incarnation, c.at)
 	}
-	b.news = append(b.news, news{now, f, life, c.host == b.Host})
-	if len(s.crashes) > 1 && !s.wide {
-		s.wide = true
-		b.repeat(now, f, s, life)
+	reg.events = append(reg.events, event{now, f, incarnation, c.host == reg.Host})
+	if len(s.crashes) > 1 && !s.broadcast {
+		s.broadcast = true
+		reg.resend(now, f, s, incarnation)
 	}
-	if len(s.crashes) >= trialEnds || s.onTrial {
-		b.watch(f, s)
+	if len(s.crashes) >= trialCrashes || s.onTrial {
+		reg.restrict(f, s)
 	}
-	if now >= s.until && (s.times > 0 || b.crashes(now, f)) {
-		s.times++
-		b.hold(f, s, now+holdTime(s.times))
+	if now >= s.heldUntil && (s.holdCount > 0 || reg.causesCrashes(now, f)) {
+		s.holdCount++
+		reg.hold(f, s, now+holdDuration(s.holdCount))
 	}
 	return true
 }
 
-// died notes the end of an endpoint.
-func (b *Registry) died(life string, at time.Duration) {
-	if b.deaths == nil {
-		b.deaths = make(map[string]death)
+// addTermination records the end of an endpoint.
+func (reg *Registry) addTermination(incarnation string, at time.Duration) {
+	if reg.terminations == nil {
+		reg.terminations = make(map[string]pastTermination)
 	}
-	if _, known := b.deaths[life]; !known {
-		b.deaths[life] = death{at: at}
+	if _, known := reg.terminations[incarnation]; !known {
+		reg.terminations[incarnation] = pastTermination{at: at}
 	}
 }
 
-// repeat tells what was known of a request before a crash once more: only some hosts were told.
-func (b *Registry) repeat(now time.Duration, f Fingerprint, s *suspect, but string) {
-	for life := range s.crashes {
-		if life != but {
-			b.news = append(b.news, news{now, f, life, false})
+// resend queues the earlier crashes under a request once more, since they were sent to some hosts
+// only.
+func (reg *Registry) resend(now time.Duration, f Fingerprint, s *suspect, except string) {
+	for incarnation := range s.crashes {
+		if incarnation != except {
+			reg.events = append(reg.events, event{now, f, incarnation, false})
 		}
 	}
 }
 
-// holdTime is the time for which a request is held that was held so many times, this one included.
-func holdTime(times int) time.Duration {
-	return min(firstHold<<min(max(times, 1)-1, mostDoublings), longestHold)
+// holdDuration returns the duration of a request's hold number count, counted from 1.
+func holdDuration(count int) time.Duration {
+	return min(minHold<<min(max(count, 1)-1, maxDoublings), maxHold)
 }
 
-// mostDoublings is the number of doublings after which a hold is the longest.
-const mostDoublings = 8
+// maxDoublings is the number of doublings after which a hold has its maximum duration.
+const maxDoublings = 8
 
-// watch puts a request on trial, and has it told before others.
-func (b *Registry) watch(f Fingerprint, s *suspect) {
+// restrict puts a request on trial and sends it to peers before the other restricted requests.
+func (reg *Registry) restrict(f Fingerprint, s *suspect) {
 	s.onTrial = true
-	i := slices.Index(b.watched, f)
+	i := slices.Index(reg.restricted, f)
 	if i < 0 {
-		i = len(b.watched)
-		b.watched = append(b.watched, f)
+		i = len(reg.restricted)
+		reg.restricted = append(reg.restricted, f)
 	}
-	b.turn = i
+	reg.nextRestricted = i
 }
 
-// hold refuses a request until a moment. After it the request is on trial, with one send before it is held again.
-func (b *Registry) hold(f Fingerprint, s *suspect, until time.Duration) {
-	s.until, s.trials = until, max(s.trials, mostTrials)
-	b.watch(f, s)
-	for life := range s.crashes {
-		if d := b.deaths[life]; d.by == (Fingerprint{}) {
-			b.deaths[life] = death{d.at, f}
+// hold refuses a request until the given time. After that the request is on trial with one send
+// left before the next hold.
+func (reg *Registry) hold(f Fingerprint, s *suspect, until time.Duration) {
+	s.heldUntil, s.trials = until, max(s.trials, maxTrials)
+	reg.restrict(f, s)
+	for incarnation := range s.crashes {
+		if d := reg.terminations[incarnation]; d.cause == (Fingerprint{}) {
+			reg.terminations[incarnation] = pastTermination{d.at, f}
 		}
 	}
 }
 
-// release refuses a request no more.
-func (b *Registry) release(f Fingerprint, s *suspect) {
-	s.until, s.times, s.keptAt, s.onTrial, s.trials, s.tried = 0, 0, 0, false, 0, 0
-	b.watched = slices.DeleteFunc(b.watched, func(g Fingerprint) bool { return f == g })
-	for life, d := range b.deaths {
-		if d.by == f {
-			b.deaths[life] = death{at: d.at}
+// release ends the hold and the trial of a request.
+func (reg *Registry) release(f Fingerprint, s *suspect) {
+	s.heldUntil, s.holdCount, s.savedAt, s.onTrial, s.trials, s.lastTrial = 0, 0, 0, false, 0, 0
+	reg.restricted = slices.DeleteFunc(reg.restricted, func(g Fingerprint) bool { return f == g })
+	for incarnation, d := range reg.terminations {
+		if d.cause == f {
+			reg.terminations[incarnation] = pastTermination{at: d.at}
 		}
 	}
 }
 
-// NoteAnswer notes that a request was answered whole. It returns true if the request was suspected.
-func (b *Registry) NoteAnswer(now time.Duration, f Fingerprint) bool {
-	return b.clear(now, f, now, true)
+// NoteAnswer records that a request was answered completely. It reports whether the request was
+// suspected.
+func (reg *Registry) NoteAnswer(now time.Duration, f Fingerprint) bool {
+	return reg.clearCrashes(now, f, now, true)
 }
 
-// clear drops the crashes under a request up to a moment at which it was answered.
-func (b *Registry) clear(now time.Duration, f Fingerprint, at time.Duration, own bool) bool {
-	s := b.suspects[f]
-	if s == nil || at <= s.cleared {
+// clearCrashes removes the crashes under a request up to the time at which it was answered. It
+// reports whether the answer is newer than the last known one.
+func (reg *Registry) clearCrashes(now time.Duration, f Fingerprint, at time.Duration, local bool) bool {
+	s := reg.suspects[f]
+	if s == nil || at <= s.clearedAt {
 		return false
 	}
-	s.cleared = at
-	b.news = append(b.news, news{at: now, fingerprint: f, own: own})
+	s.clearedAt = at
+	reg.events = append(reg.events, event{at: now, fingerprint: f, local: local})
 	maps.DeleteFunc(s.crashes, func(_ string, c crash) bool { return c.at <= at })
-	if max(s.newest, s.tried) <= at {
-		if own && (s.keptAt > 0 || s.trials > 0) {
-			b.freed = append(b.freed, f)
+	if max(s.lastCrash, s.lastTrial) <= at {
+		if local && (s.savedAt > 0 || s.trials > 0) {
+			reg.recordsToRemove = append(reg.recordsToRemove, f)
 		}
-		b.release(f, s)
+		reg.release(f, s)
 	}
 	return true
 }
 
-// Held tells whether a request is refused now, and for how long yet.
-func (b *Registry) Held(now time.Duration, f Fingerprint) (left time.Duration, held bool) {
-	s := b.suspects[f]
-	if s == nil || now >= s.until {
+// Held reports whether a request is refused now, and the time that is left of its hold.
+func (reg *Registry) Held(now time.Duration, f Fingerprint) (left time.Duration, held bool) {
+	s := reg.suspects[f]
+	if s == nil || now >= s.heldUntil {
 		return 0, false
 	}
-	return s.until - now, true
+	return s.heldUntil - now, true
 }
 
-// CountHeld is the number of requests that are refused now.
-func (b *Registry) CountHeld(now time.Duration) int {
+// CountHeld returns the number of requests that are refused now.
+func (reg *Registry) CountHeld(now time.Duration) int {
 	n := 0
-	for _, f := range b.watched {
-		if _, held := b.Held(now, f); held {
+	for _, f := range reg.restricted {
+		if _, held := reg.Held(now, f); held {
 			n++
 		}
 	}
 	return n
 }
 
-// Sweep forgets what is too old to count; call it now and then.
-func (b *Registry) Sweep(now time.Duration) {
-	for f, s := range b.suspects {
-		if now >= s.until && now-max(s.newest, s.cleared, s.until) >= forget {
-			b.drop(f)
+// Sweep removes expired evidence. Call it periodically.
+func (reg *Registry) Sweep(now time.Duration) {
+	for f, s := range reg.suspects {
+		if now >= s.heldUntil && now-max(s.lastCrash, s.clearedAt, s.heldUntil) >= evidenceTTL {
+			reg.drop(f)
 		}
 	}
-	maps.DeleteFunc(b.deaths, func(_ string, d death) bool { return now-d.at >= forget })
+	maps.DeleteFunc(reg.terminations, func(_ string, d pastTermination) bool { return now-d.at >= evidenceTTL })
 }
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -14,22 +14,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// print makes a fingerprint of a number.
-func print(n int) Fingerprint {
+// fingerprintOf returns a fingerprint derived from a number.
+func fingerprintOf(n int) Fingerprint {
 	r := Request{URI: fmt.Sprint(n)}
 	return r.Fingerprint()
 }
 
-// mute is the end of an endpoint under a request that had got nothing.
-func mute(life string, at time.Duration) Termination {
-	return Termination{Incarnation: life, At: at, RequestAge: 100 * time.Millisecond, NoResponse: true, Request: "POST /a"}
+// noResponseEnd is the end of an endpoint that had not begun to answer.
+func noResponseEnd(incarnation string, at time.Duration) Termination {
+	return Termination{Incarnation: incarnation, At: at, RequestAge: 100 * time.Millisecond, NoResponse: true, Request: "POST /a"}
 }
 
-// step is one thing that a book learns.
+// step is one observation of a registry.
 type step struct {
 	at      time.Duration
-	crash   string // the life that ended under the request, or
-	answer  bool   // it was answered
+	crash   string // the incarnation that ended under the request, if any
+	answer  bool   // the request was answered
 	heldFor time.Duration
 }
 
@@ -39,178 +39,181 @@
 		name  string
 		steps []step
 	}{
-		{"three endpoints", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, firstHold}}},
-		{"one endpoint told three times", []step{{1, "a", false, 0}, {2, "a", false, 0}, {3, "a", false, 0}}},
-		{"answered between", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "", true, 0}, {4, "c", false, 0}, {5, "d", false, 0}, {6, "e", false, firstHold}}},
-		{"held again by one crash after its time, for twice as long", []step{
-			{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, firstHold}, {3 + firstHold, "", false, 0}, {4 + firstHold, "d", false, 2 * firstHold},
+		{"three endpoints", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, minHold}}},
+		{"one endpoint reported three times", []step{{1, "a", false, 0}, {2, "a", false, 0}, {3, "a", false, 0}}},
+		{"answered between crashes", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "", true, 0}, {4, "c", false, 0}, {5, "d", false, 0}, {6, "e", false, minHold}}},
+		{"one crash after the hold doubles it", []step{
+			{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, minHold}, {3 + minHold, "", false, 0}, {4 + minHold, "d", false, 2 * minHold},
 		}},
-		{"crashes while it is held make it no longer", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, firstHold}, {4, "d", false, firstHold - 1}}},
-		{"answered after its time", []step{
-			{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, firstHold}, {4 + firstHold, "", true, 0}, {5 + firstHold, "d", false, 0},
+		{"crashes during the hold do not extend it", []step{{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, minHold}, {4, "d", false, minHold - 1}}},
+		{"answered after the hold", []step{
+			{1, "a", false, 0}, {2, "b", false, 0}, {3, "c", false, minHold}, {4 + minHold, "", true, 0}, {5 + minHold, "d", false, 0},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var b Registry
-			f := print(1)
+			var reg Registry
+			f := fingerprintOf(1)
 			for _, s := range c.steps {
 				if s.crash != "" {
-					b.NoteCrash(s.at, f, mute(s.crash, s.at))
+					reg.NoteCrash(s.at, f, noResponseEnd(s.crash, s.at))
 				}
 				if s.answer {
-					b.NoteAnswer(s.at, f)
+					reg.NoteAnswer(s.at, f)
 				}
-				left, held := b.Held(s.at, f)
+				left, held := reg.Held(s.at, f)
 				must.EqOp(t, s.heldFor, left)
 				must.EqOp(t, s.heldFor > 0, held)
-				_, other := b.Held(s.at, print(2))
-				must.False(t, other)
+				_, otherHeld := reg.Held(s.at, fingerprintOf(2))
+				must.False(t, otherHeld)
 			}
 		})
 	}
 }
 
-// tellAll gives what one book tells to another, over the wire.
-func tellAll(t *testing.T, now time.Duration, from, to *Registry) bool {
+// exchange sends the evidence of one registry to another in its encoded form.
+func exchange(t *testing.T, now time.Duration, sender, receiver *Registry) bool {
 	t.Helper()
-	told := from.Outgoing(now, All)
-	data, err := json.Marshal(told)
+	sent := sender.Outgoing(now, All)
+	data, err := json.Marshal(sent)
 	must.NoError(t, err)
-	var got Evidence
-	must.NoError(t, json.Unmarshal(data, &got))
-	must.Eq(t, told, got)
-	return to.Merge(now, &got)
+	var received Evidence
+	must.NoError(t, json.Unmarshal(data, &received))
+	must.Eq(t, sent, received)
+	return receiver.Merge(now, &received)
 }
 
-// TestEvidenceAddsUp checks that three hosts that each saw one crash come to the verdict, each by itself, and that what they told
-// each other is not told on for ever.
-func TestEvidenceAddsUp(t *testing.T) {
-	var books [3]Registry
-	f, now := print(1), time.Minute
-	for i := range books {
-		books[i].Host = fmt.Sprint("host-", i)
-		books[i].NoteCrash(now, f, mute(fmt.Sprint("life-", i), now))
+// TestHostsCombineEvidence checks that three hosts that each observed one crash reach the same
+// verdict on their own, and that received evidence is not passed on forever.
+func TestHostsCombineEvidence(t *testing.T) {
+	var regs [3]Registry
+	f, now := fingerprintOf(1), time.Minute
+	for i := range regs {
+		regs[i].Host = fmt.Sprint("host-", i)
+		regs[i].NoteCrash(now, f, noResponseEnd(fmt.Sprint("life-", i), now))
 	}
-	for i := range books {
-		for k := range books {
-			must.EqOp(t, i != k, i != k && (tellAll(t, now, &books[i], &books[k]) || len(books[k].Incarnations(f)) == 3))
+	for i := range regs {
+		for k := range regs {
+			must.EqOp(t, i != k, i != k && (exchange(t, now, &regs[i], &regs[k]) || len(regs[k].Incarnations(f)) == 3))
 		}
 	}
-	for i := range books {
-		_, held := books[i].Held(now, f)
+	for i := range regs {
+		_, held := regs[i].Held(now, f)
 		must.True(t, held)
-		must.False(t, tellAll(t, now+tellFor/2, &books[i], &books[(i+1)%3]))
-		told := books[i].Outgoing(now+tellFor, All)
-		must.SliceEmpty(t, told.Crashes)
-		must.SliceLen(t, 1, told.Holds)
+		must.False(t, exchange(t, now+eventTTL/2, &regs[i], &regs[(i+1)%3]))
+		evidence := regs[i].Outgoing(now+eventTTL, All)
+		must.SliceEmpty(t, evidence.Crashes)
+		must.SliceLen(t, 1, evidence.Holds)
 	}
 }
 
-// TestStarterLearnsOfHolds checks that a host which starts learns of all requests that are held, also long after the crashes.
-func TestStarterLearnsOfHolds(t *testing.T) {
-	var old, young Registry
+// TestNewHostLearnsHolds checks that a host that starts learns of all held requests, even long
+// after the crashes.
+func TestNewHostLearnsHolds(t *testing.T) {
+	var running, started Registry
 	now := time.Second
 	for n := range 7 {
-		for i := range muteCrashes {
-			old.NoteCrash(now, print(n), mute(fmt.Sprint(n, "-", i), now))
+		for i := range noResponseCrashes {
+			running.NoteCrash(now, fingerprintOf(n), noResponseEnd(fmt.Sprint(n, "-", i), now))
 		}
 	}
 	now += time.Minute
 	for range 4 {
-		tellAll(t, now, &old, &young)
+		exchange(t, now, &running, &started)
 	}
-	must.EqOp(t, 7, young.CountHeld(now))
-	left, _ := young.Held(now, print(0))
-	must.EqOp(t, firstHold-time.Minute, left)
-	// Told to and fro, a hold does not grow by the time that the telling takes.
+	must.EqOp(t, 7, started.CountHeld(now))
+	left, _ := started.Held(now, fingerprintOf(0))
+	must.EqOp(t, minHold-time.Minute, left)
+	// A hold that is sent back and forth does not grow by the transit times.
 	for range 1000 {
-		tellAll(t, now, &young, &old)
+		exchange(t, now, &started, &running)
 		now += 5 * time.Millisecond
-		tellAll(t, now, &old, &young)
+		exchange(t, now, &running, &started)
 	}
-	left, _ = young.Held(now, print(0))
-	must.EqOp(t, firstHold-time.Minute-5*time.Second, left)
+	left, _ = started.Held(now, fingerprintOf(0))
+	must.EqOp(t, minHold-time.Minute-5*time.Second, left)
 }
 
-// TestClearWins checks that a request that was answered is not held again by a host which did not hear of that.
-func TestClearWins(t *testing.T) {
-	var deaf, cleared Registry
-	f, now := print(1), time.Minute
-	for i := range muteCrashes {
-		deaf.NoteCrash(now, f, mute(fmt.Sprint(i), now))
+// TestStaleHoldIgnoredAfterAnswer checks that an answered request is not held again because of a
+// host that does not know of the answer.
+func TestStaleHoldIgnoredAfterAnswer(t *testing.T) {
+	var stale, cleared Registry
+	f, now := fingerprintOf(1), time.Minute
+	for i := range noResponseCrashes {
+		stale.NoteCrash(now, f, noResponseEnd(fmt.Sprint(i), now))
 	}
-	tellAll(t, now, &deaf, &cleared)
-	cleared.NoteAnswer(now+firstHold+1, f)
-	now += firstHold / 2 // of deaf's clock: it holds the request yet
-	cleared.Merge(now+firstHold, &Evidence{Holds: deaf.Outgoing(now, Local).Holds})
-	_, held := cleared.Held(now+firstHold, f)
+	exchange(t, now, &stale, &cleared)
+	cleared.NoteAnswer(now+minHold+1, f)
+	now += minHold / 2 // on the stale host's clock, where the request is still held
+	cleared.Merge(now+minHold, &Evidence{Holds: stale.Outgoing(now, Local).Holds})
+	_, held := cleared.Held(now+minHold, f)
 	must.False(t, held)
 }
 
-// TestFloodKeepsTheGuilty checks that many requests under which one endpoint crashed wash out none that is held, and none with two crashes.
-func TestFloodKeepsTheGuilty(t *testing.T) {
-	var b Registry
-	for i := range muteCrashes {
-		b.NoteCrash(1, print(-1), mute(fmt.Sprint(i), 1))
+// TestEvictionKeepsHolds checks that a flood of requests under which one endpoint crashed evicts no
+// held request and none with two crashes.
+func TestEvictionKeepsHolds(t *testing.T) {
+	var reg Registry
+	for i := range noResponseCrashes {
+		reg.NoteCrash(1, fingerprintOf(-1), noResponseEnd(fmt.Sprint(i), 1))
 	}
-	b.NoteCrash(1, print(-2), mute("a", 1))
-	b.NoteCrash(1, print(-2), mute("b", 1))
-	for n := range mostSuspects + 100 {
-		b.NoteCrash(time.Duration(n+2), print(n), mute("flood", time.Duration(n+2)))
+	reg.NoteCrash(1, fingerprintOf(-2), noResponseEnd("a", 1))
+	reg.NoteCrash(1, fingerprintOf(-2), noResponseEnd("b", 1))
+	for n := range maxSuspects + 100 {
+		reg.NoteCrash(time.Duration(n+2), fingerprintOf(n), noResponseEnd("flood", time.Duration(n+2)))
 	}
-	must.LessEq(t, mostSuspects, b.Suspects())
-	_, held := b.Held(2, print(-1))
+	must.LessEq(t, maxSuspects, reg.Suspects())
+	_, held := reg.Held(2, fingerprintOf(-1))
 	must.True(t, held)
-	must.SliceLen(t, 2, b.Incarnations(print(-2)))
+	must.SliceLen(t, 2, reg.Incarnations(fingerprintOf(-2)))
 }
 
-// TestSweep checks that what is old is forgotten, and what is held is not.
+// TestSweep checks that expired evidence is removed and held requests are kept.
 func TestSweep(t *testing.T) {
-	var b Registry
-	b.NoteCrash(0, print(1), mute("a", 0))
-	for i := range 9 { // held for the longest time
-		b.NoteCrash(time.Duration(i), print(2), mute(fmt.Sprint(i), time.Duration(i)))
+	var reg Registry
+	reg.NoteCrash(0, fingerprintOf(1), noResponseEnd("a", 0))
+	for i := range 9 { // more crashes than the first hold needs
+		reg.NoteCrash(time.Duration(i), fingerprintOf(2), noResponseEnd(fmt.Sprint(i), time.Duration(i)))
 	}
-	b.Sweep(forget - 1)
-	must.EqOp(t, 2, b.Suspects())
-	b.Sweep(forget)
-	must.EqOp(t, 1, b.Suspects())
-	b.Sweep(firstHold + forget + 10)
-	must.True(t, b.Empty())
-	must.EqOp(t, 0, b.CountHeld(0))
+	reg.Sweep(evidenceTTL - 1)
+	must.EqOp(t, 2, reg.Suspects())
+	reg.Sweep(evidenceTTL)
+	must.EqOp(t, 1, reg.Suspects())
+	reg.Sweep(minHold + evidenceTTL + 10)
+	must.True(t, reg.Empty())
+	must.EqOp(t, 0, reg.CountHeld(0))
 }
 
-// TestFalseWords checks that what cannot be has a bounded effect.
-func TestFalseWords(t *testing.T) {
-	var b Registry
-	f := print(1)
-	long := string(make([]byte, longestName+1))
-	b.Merge(0, &Evidence{
+// TestMergeInvalidEvidence checks that evidence with impossible values has a bounded effect.
+func TestMergeInvalidEvidence(t *testing.T) {
+	var reg Registry
+	f := fingerprintOf(1)
+	long := string(make([]byte, maxNameBytes+1))
+	reg.Merge(0, &Evidence{
 		Crashes: []Crash{{f, "a", math.MaxInt64, math.MinInt64, true, "h", false}, {f, "b", math.MinInt64, math.MaxInt64, true, "h", false}, {f, long, 0, 0, true, "h", false}, {f, "c", 0, 0, true, long, false}},
-		Clears:  []Clear{{print(3), -1}},
+		Clears:  []Clear{{fingerprintOf(3), -1}},
 		Holds: []Hold{
-			{Fingerprint: print(2), LeftMS: math.MaxInt64, HoldCount: math.MaxInt}, {Fingerprint: print(4), LeftMS: -1, HoldCount: 1},
-			{Fingerprint: print(5), LeftMS: 1}, {Fingerprint: print(6), LeftMS: math.MaxInt64 / 2, HoldCount: 1, AgeMS: math.MinInt64, Request: long},
+			{Fingerprint: fingerprintOf(2), LeftMS: math.MaxInt64, HoldCount: math.MaxInt}, {Fingerprint: fingerprintOf(4), LeftMS: -1, HoldCount: 1},
+			{Fingerprint: fingerprintOf(5), LeftMS: 1}, {Fingerprint: fingerprintOf(6), LeftMS: math.MaxInt64 / 2, HoldCount: 1, AgeMS: math.MinInt64, Request: long},
 		},
 	})
-	must.SliceLen(t, 2, b.Incarnations(f))
+	must.SliceLen(t, 2, reg.Incarnations(f))
 	for _, n := range []int{2, 6} {
-		left, _ := b.Held(0, print(n))
-		must.LessEq(t, longestHold, left)
+		left, _ := reg.Held(0, fingerprintOf(n))
+		must.LessEq(t, maxHold, left)
 	}
-	must.EqOp(t, 3, b.Suspects())
+	must.EqOp(t, 3, reg.Suspects())
 }
 
-// BenchmarkHeld looks a request up among 10,000 suspects.
+// BenchmarkHeld looks up a request among 10,000 suspects.
 func BenchmarkHeld(b *testing.B) {
-	var book Registry
-	for n := range mostSuspects {
-		book.NoteCrash(0, print(n), mute("life", 0))
+	var reg Registry
+	for n := range maxSuspects {
+		reg.NoteCrash(0, fingerprintOf(n), noResponseEnd("life", 0))
 	}
-	f := print(1)
+	f := fingerprintOf(1)
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Held(1, f)
+		reg.Held(1, f)
 	}
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -6,81 +6,87 @@
 
 import "time"
 
-// Crash says that an endpoint ended while it had a request.
+// Crash is the evidence that an endpoint ended while it had a request.
 type Crash struct {
-	// Fingerprint is the request, Life the run of the endpoint's process that ended.
+	// Fingerprint identifies the request, and Incarnation is the run of the endpoint's process that
+	// ended.
 	Fingerprint Fingerprint `json:"f"`
 	Incarnation string      `json:"l"`
-	// AgeMS is the time in milliseconds since it ended, RanMS for how long it had had the request.
+	// AgeMS is the time in milliseconds since the endpoint ended, and RequestAgeMS how long in
+	// milliseconds it had had the request.
 	AgeMS        int64 `json:"a"`
 	RequestAgeMS int64 `json:"r"`
-	// NoResponse says that nothing of an answer had come.
+	// NoResponse reports that no part of an answer had arrived.
 	NoResponse bool `json:"m,omitempty"`
-	// Host is who saw it.
+	// Host is the host that observed the crash.
 	Host string `json:"h"`
-	// Inconclusive says that it may have ended for another reason that is known.
+	// Inconclusive reports that another known reason may have ended the endpoint.
 	Inconclusive bool `json:"u,omitempty"`
 }
 
-// Clear says that a request was answered whole: what ended under it before did not end of it.
+// Clear is the evidence that a request was answered completely, so it did not cause the crashes
+// before that.
 type Clear struct {
-	// Fingerprint is the request.
+	// Fingerprint identifies the request.
 	Fingerprint Fingerprint `json:"f"`
-	// AgeMS is the time in milliseconds since it was answered.
+	// AgeMS is the time in milliseconds since the answer.
 	AgeMS int64 `json:"a"`
 }
 
-// Hold says that a request is on trial, or refused for a time.
+// Hold is the evidence that a request is on trial or refused for a time.
 type Hold struct {
-	// Fingerprint is the request.
+	// Fingerprint identifies the request.
 	Fingerprint Fingerprint `json:"f"`
-	// Request says what it is, for operators.
+	// Request describes the request for operators.
 	Request string `json:"q,omitempty"`
-	// SavedMS is the time in milliseconds since the hold was written where it outlasts all hosts, 0 if it was not.
+	// SavedMS is the time in milliseconds since the hold was written to the store, which survives
+	// the loss of all hosts, or 0 if it was not written.
 	SavedMS int64 `json:"k,omitempty"`
-	// LeftMS is the time in milliseconds that is left, Times the number of times that it was held, and AgeMS the time in
-	// milliseconds since the last crash under it.
+	// LeftMS is the time in milliseconds that is left of the hold, HoldCount the number of holds so
+	// far, and AgeMS the time in milliseconds since the last crash.
 	LeftMS    int64 `json:"l"`
 	HoldCount int   `json:"n"`
 	AgeMS     int64 `json:"a"`
-	// OnTrial says that it is sent only if that is granted. Trials is the number of sends that were granted, TriedMS the time in milliseconds since
-	// the newest.
+	// OnTrial reports that each send must be granted. Trials is the number of sends that were
+	// granted, and LastTrialMS the time in milliseconds since the last of them.
 	OnTrial     bool  `json:"o,omitempty"`
 	Trials      int   `json:"t,omitempty"`
 	LastTrialMS int64 `json:"d,omitempty"`
 }
 
-// Evidence is what a host tells others.
+// Evidence is the message in which hosts exchange what they know.
 type Evidence struct {
 	Crashes []Crash `json:"c,omitempty"`
 	Clears  []Clear `json:"k,omitempty"`
 	Holds   []Hold  `json:"h,omitempty"`
 }
 
-// Scope says who is told, and so what.
+// Scope selects the evidence to send by the receivers.
 type Scope uint8
 
 const (
-	// Local is for hosts that are told directly, or pass on: what this host saw itself.
+	// Local is for peers that receive from this host directly and for relays that pass its evidence
+	// on: what this host observed itself.
 	Local Scope = iota
-	// Repeated is for many hosts: what any host saw of requests under which two endpoints crashed or more. Most endpoints that
-	// crash have some ten requests, of which none comes under a crash again.
+	// Repeated is for many peers: what any host observed of requests under which two or more
+	// endpoints crashed. Most endpoints that crash have about ten requests, none of which meets a
+	// second crash.
 	Repeated
-	// All is for the few hosts that pass on to many: what any host saw.
+	// All is for the few peers that relay to many: what any host observed.
 	All
 )
 
-// Empty says that nothing is told.
-func (t *Evidence) Empty() bool {
-	return len(t.Crashes) == 0 && len(t.Clears) == 0 && len(t.Holds) == 0
+// Empty reports whether there is no evidence.
+func (e *Evidence) Empty() bool {
+	return len(e.Crashes) == 0 && len(e.Clears) == 0 && len(e.Holds) == 0
 }
 
-// spent gives a span; one that cannot be is taken for the nearest that can.
-func spent(ms int64) time.Duration {
-	return time.Duration(min(max(ms, 0), forget.Milliseconds())) * time.Millisecond
+// clampSpan converts milliseconds to a duration from 0 to evidenceTTL; values outside are clamped.
+func clampSpan(ms int64) time.Duration {
+	return time.Duration(min(max(ms, 0), evidenceTTL.Milliseconds())) * time.Millisecond
 }
 
-// aged gives the moment that lies an age back; an age that cannot be is taken for the nearest that can.
-func aged(now time.Duration, ms int64) time.Duration {
-	return now - spent(ms)
+// momentAt returns the time that lies ms milliseconds before now; invalid ages are clamped.
+func momentAt(now time.Duration, ms int64) time.Duration {
+	return now - clampSpan(ms)
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -12,11 +12,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Fingerprint tells requests apart by what endpoints get of them. It is cut to 128 bits: a caller who could make two
-// requests of one fingerprint would have one of them refused for the other.
+// Fingerprint identifies a request by what endpoints receive of it. It is a hash cut to 128 bits,
+// long enough that a caller cannot make two requests with the same fingerprint, one of which would
+// be refused because of the other.
 type Fingerprint [16]byte
 
-// String gives the fingerprint in 22 letters.
+// String returns the fingerprint as 22 letters of unpadded URL-safe base64.
 func (f Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -27,37 +28,39 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if base64.RawURLEncoding.DecodedLen(len(text)) != len(f) {
-		return errFingerprint
+		return errInvalidFingerprint
 	}
 	if _, err := base64.RawURLEncoding.Decode(f[:], text); err != nil {
-		return eris.Wrap(errFingerprint, err.Error())
+		return eris.Wrap(errInvalidFingerprint, err.Error())
 	}
 	return nil
 }
 
-// errFingerprint means that a text is no fingerprint.
-var errFingerprint = eris.New("not a fingerprint; give the 22 letters that a log line has")
+// errInvalidFingerprint means that a text is not a fingerprint.
+var errInvalidFingerprint = eris.New("not a fingerprint; give the 22 letters that a log line has")
 
-// Request is what tells one request from another: its ID and what concerns one attempt only have no part in it.
+// Request holds the parts of a request that identify it. Its ID and whatever concerns a single
+// attempt are left out.
 type Request struct {
-	// Workspace is the caller, empty where the route is public.
+	// Workspace is the caller's workspace, empty if the route is public.
 	Workspace string
-	// Method, Host and URI stand in the request's head; URI holds the query.
+	// Method, Host and URI come from the head of the request. URI includes the query.
 	Method, Host, URI string
-	// Body is the whole body.
+	// Body is the complete body.
 	Body []byte
 }
 
-// Fingerprint is SHA-256 of the fields, each behind its length, so that no two requests run into each other.
+// Fingerprint returns the first 128 bits of SHA-256 over the fields. Each field but the last is
+// preceded by its length, so that moving a boundary between fields changes the hash.
 func (r *Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	var n [8]byte
-	field := func(length int) {
+	writeLength := func(length int) {
 		binary.BigEndian.PutUint64(n[:], uint64(length))
 		h.Write(n[:])
 	}
 	for _, s := range []string{r.Workspace, r.Method, r.Host, r.URI} {
-		field(len(s))
+		writeLength(len(s))
 		h.Write([]byte(s))
 	}
 	h.Write(r.Body)
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -10,7 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFingerprint checks that each part of a request counts, and that parts do not run into each other.
+// TestFingerprint checks that the fingerprint depends on each part of a request and on the
+// boundaries between parts.
 func TestFingerprint(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", URI: "/a?b", Body: []byte("text")}
 	cases := []struct {
@@ -18,14 +19,14 @@
 		req  Request
 		same bool
 	}{
-		{"the same", Request{"w", "POST", "h", "/a?b", []byte("text")}, true},
-		{"another workspace", Request{"v", "POST", "h", "/a?b", []byte("text")}, false},
-		{"another method", Request{"w", "PUT", "h", "/a?b", []byte("text")}, false},
-		{"another host", Request{"w", "POST", "g", "/a?b", []byte("text")}, false},
-		{"another query", Request{"w", "POST", "h", "/a?c", []byte("text")}, false},
-		{"one byte of the body", Request{"w", "POST", "h", "/a?b", []byte("texu")}, false},
+		{"same request", Request{"w", "POST", "h", "/a?b", []byte("text")}, true},
+		{"different workspace", Request{"v", "POST", "h", "/a?b", []byte("text")}, false},
+		{"different method", Request{"w", "PUT", "h", "/a?b", []byte("text")}, false},
+		{"different host", Request{"w", "POST", "g", "/a?b", []byte("text")}, false},
+		{"different query", Request{"w", "POST", "h", "/a?c", []byte("text")}, false},
+		{"one byte of the body differs", Request{"w", "POST", "h", "/a?b", []byte("texu")}, false},
 		{"no body", Request{"w", "POST", "h", "/a?b", nil}, false},
-		{"a boundary moved", Request{"w", "POST", "h/", "a?b", []byte("text")}, false},
+		{"boundary between fields moved", Request{"w", "POST", "h/", "a?b", []byte("text")}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -10,137 +10,147 @@
 	"time"
 )
 
-// Record is what outlasts all hosts of a request that is on trial or held.
+// Record is the stored state of a request that is on trial or held. It survives the loss of all
+// hosts.
 type Record struct {
-	// Fingerprint is the request, and Request says what it is.
+	// Fingerprint identifies the request, and Request describes it for operators.
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Request     string      `json:"request"`
-	// WrittenMS is when it was written, as a Unix time in milliseconds.
+	// WrittenMS is the time of the write as a Unix time in milliseconds.
 	WrittenMS int64 `json:"written_ms"`
-	// Trials is the number of sends that were granted since it was answered last.
+	// Trials is the number of sends granted since the last answer.
 	Trials int `json:"trials"`
-	// UntilMS is the end of the hold as a Unix time in milliseconds, 0 for none, and Times the number of holds.
+	// UntilMS is the end of the hold as a Unix time in milliseconds, 0 for none, and HoldCount the
+	// number of holds so far.
 	UntilMS   int64 `json:"until_ms"`
 	HoldCount int   `json:"times"`
-	// Crashes are the ends of endpoints that led to it, with their ages when it was written.
+	// Crashes are the crashes under the request, with their ages at the time of the write.
 	Crashes []Crash `json:"crashes"`
 }
 
-// Grant counts one more send, at a Unix time in milliseconds. It returns false if none is left: the request is held then. With the last one it is held for a time,
-// which its answer ends.
+// Grant counts one more send at a Unix time in milliseconds. It returns false if the request is
+// held. The send that uses up the trials also starts a hold, which an answer to it ends.
 func (r *Record) Grant(unixMS int64) bool {
 	if unixMS < r.UntilMS {
 		return false
 	}
 	r.WrittenMS = unixMS
 	r.Trials++
-	if r.Trials >= mostTrials {
+	if r.Trials >= maxTrials {
 		r.HoldCount++
-		r.UntilMS = unixMS + holdTime(r.HoldCount).Milliseconds()
+		r.UntilMS = unixMS + holdDuration(r.HoldCount).Milliseconds()
 	}
 	return true
 }
 
-// Record gives what is known of a request, as it is to be written at a Unix time in milliseconds.
-func (b *Registry) Record(now time.Duration, unixMS int64, f Fingerprint) Record {
+// Record returns the state of a request as it is to be written at a Unix time in milliseconds.
+func (reg *Registry) Record(now time.Duration, unixMS int64, f Fingerprint) Record {
 	r := Record{Fingerprint: f, WrittenMS: unixMS}
-	s := b.suspects[f]
+	s := reg.suspects[f]
 	if s == nil {
 		return r
 	}
-	r.Request, r.Trials, r.HoldCount, r.Crashes = s.request, s.trials, s.times, s.ends(now, f)
-	if left, held := b.Held(now, f); held {
+	r.Request, r.Trials, r.HoldCount, r.Crashes = s.request, s.trials, s.holdCount, s.crashList(now, f)
+	if left, held := reg.Held(now, f); held {
 		r.UntilMS = unixMS + left.Milliseconds()
 	}
 	return r
 }
 
-// Covers tells whether a record that stands says what another one is to say, and will for a while.
+// Covers reports whether the stored record r already says what o would say and is not due to be
+// rewritten.
 func (r *Record) Covers(o *Record) bool {
-	return r.UntilMS+holdStep.Milliseconds() >= o.UntilMS && r.Trials >= o.Trials && o.WrittenMS-r.WrittenMS < renewAfter.Milliseconds()
+	return r.UntilMS+minHoldExtension.Milliseconds() >= o.UntilMS && r.Trials >= o.Trials && o.WrittenMS-r.WrittenMS < rewriteAge.Milliseconds()
 }
 
-// RecordTTL is the time for which a record stays that nobody writes again.
+// RecordTTL is the time to live of a record that no host writes again.
 const RecordTTL = 10 * time.Minute
 
-// renewAfter is the age from which the record of a hold is written again: two minutes of outage before its end are borne.
-const renewAfter = RecordTTL - 2*time.Minute
+// rewriteAge is the age from which the record of a hold is written again. It leaves two minutes to
+// outlast an outage of the store before the record expires.
+const rewriteAge = RecordTTL - 2*time.Minute
 
-// keptFor is the time since a hold was written, 0 if it was not.
-func (s *suspect) keptFor(now time.Duration) time.Duration {
-	if s.keptAt == 0 {
+// savedAge returns the time since the hold was written to the store, 0 if it was not.
+func (s *suspect) savedAge(now time.Duration) time.Duration {
+	if s.savedAt == 0 {
 		return 0
 	}
-	return max(now-s.keptAt, time.Millisecond)
+	return max(now-s.savedAt, time.Millisecond)
 }
 
-// Unsaved gives the requests on trial and held that are to be written, as of a Unix time in milliseconds. Only holds are written again.
-func (b *Registry) Unsaved(now time.Duration, unixMS int64) []Record {
+// Unsaved returns the records to write, as of a Unix time in milliseconds: requests on trial or
+// held that were never written, and holds whose records are old.
+func (reg *Registry) Unsaved(now time.Duration, unixMS int64) []Record {
 	var out []Record
-	for _, f := range b.watched {
-		s := b.suspects[f]
-		_, held := b.Held(now, f)
-		if s.onTrial && s.keptAt == 0 || held && s.keptFor(now) > renewAfter {
-			out = append(out, b.Record(now, unixMS, f))
+	for _, f := range reg.restricted {
+		s := reg.suspects[f]
+		_, held := reg.Held(now, f)
+		if s.onTrial && s.savedAt == 0 || held && s.savedAge(now) > rewriteAge {
+			out = append(out, reg.Record(now, unixMS, f))
 		}
 	}
 	return out
 }
 
-// TakeRecordsToRemove gives the requests whose records this host is to remove, since it answered them, and how long ago that was, and forgets that.
-func (b *Registry) TakeRecordsToRemove(now time.Duration) []Clear {
+// TakeRecordsToRemove returns the requests whose records this host has to remove because it
+// answered them, with the age of the answer, and clears that list.
+func (reg *Registry) TakeRecordsToRemove(now time.Duration) []Clear {
 	var out []Clear
-	for _, f := range b.freed {
-		if s := b.suspects[f]; s != nil {
-			out = append(out, Clear{f, (now - s.cleared).Milliseconds()})
+	for _, f := range reg.recordsToRemove {
+		if s := reg.suspects[f]; s != nil {
+			out = append(out, Clear{f, (now - s.clearedAt).Milliseconds()})
 		}
 	}
-	b.freed = nil
+	reg.recordsToRemove = nil
 	return out
 }
 
-// Restore takes a record, at a Unix time in milliseconds. Times of day step: a hold lasts no longer than the longest one may.
-func (b *Registry) Restore(now time.Duration, unixMS int64, r *Record) {
-	since := max(unixMS-r.WrittenMS, 0)
+// Restore merges a stored record at a Unix time in milliseconds. The wall clock may be stepped, so
+// a restored hold is limited to maxHold.
+func (reg *Registry) Restore(now time.Duration, unixMS int64, r *Record) {
+	age := max(unixMS-r.WrittenMS, 0)
 	h := Hold{
-		Fingerprint: r.Fingerprint, Request: r.Request, SavedMS: since + 1, LeftMS: r.UntilMS - unixMS, HoldCount: r.HoldCount, AgeMS: since,
-		OnTrial: true, Trials: r.Trials, LastTrialMS: since,
+		Fingerprint: r.Fingerprint, Request: r.Request, SavedMS: age + 1, LeftMS: r.UntilMS - unixMS, HoldCount: r.HoldCount, AgeMS: age,
+		OnTrial: true, Trials: r.Trials, LastTrialMS: age,
 	}
 	if len(r.Crashes) > 0 {
 		h.AgeMS += slices.MinFunc(r.Crashes, func(x, y Crash) int { return cmp.Compare(x.AgeMS, y.AgeMS) }).AgeMS
 	}
-	b.hearHold(now, h)
+	reg.mergeHold(now, h)
 }
 
-// Entry is what a host knows of a request, for operators.
+// Entry describes a suspected request to operators.
 type Entry struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// Request says what it is; empty where only other hosts know.
+	// Request describes the request, empty if only other hosts know it.
 	Request string `json:"request"`
-	// Held says that it is refused, for LeftMS milliseconds yet; Times is the number of holds, and Kept says that this one outlasts all
-	// hosts.
+	// Held reports that the request is refused for another LeftMS milliseconds. HoldCount is the
+	// number of holds so far, and Saved reports that the hold is in the store and survives the loss
+	// of all hosts.
 	Held      bool  `json:"held"`
 	LeftMS    int64 `json:"left_ms"`
 	HoldCount int   `json:"times"`
 	Saved     bool  `json:"kept"`
-	// OnTrial says that each send of it must be granted; Trials is the number of those that were.
+	// OnTrial reports that each send must be granted. Trials is the number of sends that were
+	// granted.
 	OnTrial bool `json:"on_trial"`
 	Trials  int  `json:"trials"`
-	// Crashes are the ends of endpoints under it, the first one first.
+	// Crashes are the crashes under the request, the oldest first.
 	Crashes []Crash `json:"crashes"`
 }
 
-// List gives what is known, those that are held first, then those with the most crashes.
-func (b *Registry) List(now time.Duration) []Entry {
-	out := make([]Entry, 0, len(b.suspects))
-	for f, s := range b.suspects {
-		left, held := b.Held(now, f)
+// List returns all suspected requests: those that are held first, then by number of crashes, most
+// first.
+func (reg *Registry) List(now time.Duration) []Entry {
+	out := make([]Entry, 0, len(reg.suspects))
+	for f, s := range reg.suspects {
+		left, held := reg.Held(now, f)
 		if !s.onTrial && len(s.crashes) == 0 {
 			continue // cleared
 		}
 		out = append(out, Entry{
-			Fingerprint: f, Request: s.request, Held: held, LeftMS: left.Milliseconds(), HoldCount: s.times, Saved: s.keptAt != 0,
-			OnTrial: s.onTrial, Trials: s.trials, Crashes: s.ends(now, f),
+			Fingerprint: f, Request: s.request, Held: held, LeftMS: left.Milliseconds(), HoldCount: s.holdCount, Saved: s.savedAt != 0,
+			OnTrial: s.onTrial, Trials: s.trials, Crashes: s.crashList(now, f),
 		})
 	}
 	slices.SortFunc(out, func(x, y Entry) int {
@@ -155,11 +165,11 @@
 	return out
 }
 
-// ends gives the crashes under a request, the first one first.
-func (s *suspect) ends(now time.Duration, f Fingerprint) []Crash {
+// crashList returns the crashes under a request, the oldest first.
+func (s *suspect) crashList(now time.Duration, f Fingerprint) []Crash {
 	out := make([]Crash, 0, len(s.crashes))
-	for life, c := range s.crashes {
-		out = append(out, Crash{f, life, (now - c.at).Milliseconds(), c.ran.Milliseconds(), c.mute, c.host, c.unsure})
+	for incarnation, c := range s.crashes {
+		out = append(out, Crash{f, incarnation, (now - c.at).Milliseconds(), c.requestAge.Milliseconds(), c.noResponse, c.host, c.inconclusive})
 	}
 	slices.SortFunc(out, func(x, y Crash) int {
 		return cmp.Or(cmp.Compare(y.AgeMS, x.AgeMS), cmp.Compare(x.Incarnation, y.Incarnation))
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -12,9 +12,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestGrant checks how many sends a record grants, and for how long the request is held then.
+// TestGrant checks how many sends a record grants and how long the request is held after the last
+// one.
 func TestGrant(t *testing.T) {
-	first, second := firstHold.Milliseconds(), 2*firstHold.Milliseconds()
+	first, second := minHold.Milliseconds(), 2*minHold.Milliseconds()
 	cases := []struct {
 		name string
 		r    Record
@@ -22,10 +23,10 @@
 		want Record
 		ok   bool
 	}{
-		{"the first", Record{}, 5, Record{WrittenMS: 5, Trials: 1}, true},
-		{"the last holds it", Record{Trials: mostTrials - 1}, 5, Record{WrittenMS: 5, Trials: mostTrials, HoldCount: 1, UntilMS: 5 + first}, true},
-		{"none while it is held", Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, 6, Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, false},
-		{"one after that, for twice as long", Record{Trials: mostTrials, HoldCount: 1, UntilMS: 7}, 7, Record{WrittenMS: 7, Trials: mostTrials + 1, HoldCount: 2, UntilMS: 7 + second}, true},
+		{"first send", Record{}, 5, Record{WrittenMS: 5, Trials: 1}, true},
+		{"last send starts a hold", Record{Trials: maxTrials - 1}, 5, Record{WrittenMS: 5, Trials: maxTrials, HoldCount: 1, UntilMS: 5 + first}, true},
+		{"no send during the hold", Record{Trials: maxTrials, HoldCount: 1, UntilMS: 7}, 6, Record{Trials: maxTrials, HoldCount: 1, UntilMS: 7}, false},
+		{"one send after the hold, then a hold of twice the length", Record{Trials: maxTrials, HoldCount: 1, UntilMS: 7}, 7, Record{WrittenMS: 7, Trials: maxTrials + 1, HoldCount: 2, UntilMS: 7 + second}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,84 +36,86 @@
 	}
 }
 
-// late is the end of an endpoint that had answered for a while.
-func late(life string, at time.Duration) Termination {
-	return Termination{Incarnation: life, At: at, RequestAge: time.Minute}
+// lateEnd is the end of an endpoint that had answered for a while.
+func lateEnd(incarnation string, at time.Duration) Termination {
+	return Termination{Incarnation: incarnation, At: at, RequestAge: time.Minute}
 }
 
-// onTrial gives a book with a request on trial at a time.
+// onTrial returns a registry in which the request is on trial since the given time.
 func onTrial(f Fingerprint, at time.Duration) *Registry {
-	b := &Registry{Endpoints: 1}
-	for i := range trialEnds {
-		b.NoteCrash(at, f, late(fmt.Sprint("life-", i), at))
+	reg := &Registry{Endpoints: 1}
+	for i := range trialCrashes {
+		reg.NoteCrash(at, f, lateEnd(fmt.Sprint("life-", i), at))
 	}
-	return b
+	return reg
 }
 
-// TestRecordOutlastsBook checks that a host which knows nothing learns from a record what was granted, and for how long a request is held.
-func TestRecordOutlastsBook(t *testing.T) {
-	f, now, unixMS := print(1), time.Minute, int64(1e12)
-	b := onTrial(f, now)
-	for n := range mostTrials {
-		must.True(t, b.OnTrial(now, f))
-		r := b.Record(now, unixMS, f)
+// TestRestoreFromRecord checks that a host without evidence learns from a record how many sends
+// were granted and how long the request is held.
+func TestRestoreFromRecord(t *testing.T) {
+	f, now, unixMS := fingerprintOf(1), time.Minute, int64(1e12)
+	reg := onTrial(f, now)
+	for n := range maxTrials {
+		must.True(t, reg.OnTrial(now, f))
+		r := reg.Record(now, unixMS, f)
 		must.EqOp(t, n, r.Trials)
 		must.True(t, r.Grant(unixMS))
-		b = &Registry{}
-		b.Restore(now, unixMS, &r)
+		reg = &Registry{}
+		reg.Restore(now, unixMS, &r)
 	}
-	left, held := b.Held(now, f)
+	left, held := reg.Held(now, f)
 	must.True(t, held)
-	must.EqOp(t, firstHold, left)
-	must.EqOp(t, trialPause, b.RetryAfter(now, f)) // the last one may be answered yet
-	must.EqOp(t, firstHold-trialTime, b.RetryAfter(now+trialTime, f))
-	must.SliceLen(t, 1, b.List(now))
-	must.SliceEmpty(t, b.Unsaved(now+renewAfter-time.Second, unixMS))
-	must.SliceLen(t, 1, b.Unsaved(now+renewAfter+time.Second, unixMS))
+	must.EqOp(t, minHold, left)
+	must.EqOp(t, trialRetryAfter, reg.RetryAfter(now, f)) // the last send may still be answered
+	must.EqOp(t, minHold-trialTimeout, reg.RetryAfter(now+trialTimeout, f))
+	must.SliceLen(t, 1, reg.List(now))
+	must.SliceEmpty(t, reg.Unsaved(now+rewriteAge-time.Second, unixMS))
+	must.SliceLen(t, 1, reg.Unsaved(now+rewriteAge+time.Second, unixMS))
 }
 
-// TestAnswerEndsTrial checks that an answer clears what was granted before it, in the record too, and nothing that was granted after it by a host
-// which had not heard of it.
+// TestAnswerEndsTrial checks that an answer clears the sends that were granted before it, also in
+// the record, but no send that a host without knowledge of the answer granted after it.
 func TestAnswerEndsTrial(t *testing.T) {
-	f, now, unixMS := print(1), time.Minute, int64(1e12)
+	f, now, unixMS := fingerprintOf(1), time.Minute, int64(1e12)
 	cases := []struct {
-		name   string
-		writes time.Duration // when another host writes its grant, after the answer
-		on     bool
+		name         string
+		grantDelay   time.Duration // time from the answer to another host's grant
+		stillOnTrial bool
 	}{
 		{"granted before", -time.Second, false},
 		{"granted after", time.Second, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := onTrial(f, now-10*time.Second)
-			b.NoteCrash(now-5*time.Second, f, late("one more", now-5*time.Second))
-			other := b.Record(now, unixMS-5000, f)
-			must.True(t, b.NoteAnswer(now, f))
-			must.False(t, b.OnTrial(now, f))
-			must.True(t, other.Grant(unixMS+c.writes.Milliseconds()))
+			reg := onTrial(f, now-10*time.Second)
+			reg.NoteCrash(now-5*time.Second, f, lateEnd("one more", now-5*time.Second))
+			other := reg.Record(now, unixMS-5000, f)
+			must.True(t, reg.NoteAnswer(now, f))
+			must.False(t, reg.OnTrial(now, f))
+			must.True(t, other.Grant(unixMS+c.grantDelay.Milliseconds()))
 			later := 2 * time.Second
-			b.Restore(now+later, unixMS+later.Milliseconds(), &other)
-			must.EqOp(t, c.on, b.OnTrial(now+later, f))
-			must.EqOp(t, c.on, b.Record(now+later, unixMS, f).Trials == 1)
+			reg.Restore(now+later, unixMS+later.Milliseconds(), &other)
+			must.EqOp(t, c.stillOnTrial, reg.OnTrial(now+later, f))
+			must.EqOp(t, c.stillOnTrial, reg.Record(now+later, unixMS, f).Trials == 1)
 		})
 	}
 }
 
-// TestFreed checks that the host whose request was answered removes its record, and hosts that hear of that do not.
-func TestFreed(t *testing.T) {
-	f, now, unixMS := print(1), time.Minute, int64(1e12)
-	b, deaf := onTrial(f, now), onTrial(f, now)
-	r := b.Record(now, unixMS, f)
+// TestTakeRecordsToRemove checks that the host that answered the request removes its record, and
+// that a peer that learns of the answer does not.
+func TestTakeRecordsToRemove(t *testing.T) {
+	f, now, unixMS := fingerprintOf(1), time.Minute, int64(1e12)
+	reg, peer := onTrial(f, now), onTrial(f, now)
+	r := reg.Record(now, unixMS, f)
 	must.True(t, r.Grant(unixMS))
-	b.Restore(now, unixMS, &r)
-	deaf.Restore(now, unixMS, &r)
+	reg.Restore(now, unixMS, &r)
+	peer.Restore(now, unixMS, &r)
 	now += time.Second
-	b.NoteAnswer(now, f)
-	told := b.Outgoing(now, All)
-	must.True(t, deaf.Merge(now, &told))
-	must.False(t, deaf.OnTrial(now, f))
-	must.SliceEmpty(t, deaf.TakeRecordsToRemove(now))
-	must.Eq(t, []Clear{{f, 1000}}, b.TakeRecordsToRemove(now+time.Second))
-	must.SliceEmpty(t, b.TakeRecordsToRemove(now))
+	reg.NoteAnswer(now, f)
+	evidence := reg.Outgoing(now, All)
+	must.True(t, peer.Merge(now, &evidence))
+	must.False(t, peer.OnTrial(now, f))
+	must.SliceEmpty(t, peer.TakeRecordsToRemove(now))
+	must.Eq(t, []Clear{{f, 1000}}, reg.TakeRecordsToRemove(now+time.Second))
+	must.SliceEmpty(t, reg.TakeRecordsToRemove(now))
 }
--- a/quarantine/tell.go
+++ b/quarantine/tell.go
@@ -9,125 +9,130 @@
 	"time"
 )
 
-// Figures of what is told.
+// Limits on the evidence sent to peers.
 const (
-	// tellFor is the time for which evidence is told after it came: ten heartbeats, so that a tenth of them may be lost.
-	tellFor = 2 * time.Second
-	// mostNews and mostHolds bound what is told at once, in entries of some 40 and 90 bytes; holds are told in turn.
-	mostNews  = 32
-	mostHolds = 2
+	// eventTTL is the time for which new evidence is sent: ten heartbeats, so that a tenth of them
+	// may be lost.
+	eventTTL = 2 * time.Second
+	// maxEventsPerMessage and maxHoldsPerMessage limit the entries of a message, about 40 and 90
+	// bytes each. Holds are sent in turn.
+	maxEventsPerMessage = 32
+	maxHoldsPerMessage  = 2
 )
 
-// Outgoing gives what is to be told: evidence that came lately, the newest first, and some of the requests that are held, so that
-// hosts that start learn of all of them in time.
-func (b *Registry) Outgoing(now time.Duration, to Scope) Evidence {
-	old := slices.IndexFunc(b.news, func(n news) bool { return now-n.at < tellFor })
-	if old < 0 {
-		old = len(b.news)
-	}
-	b.news = slices.Delete(b.news, 0, old)
-	var t Evidence
-	for i := len(b.news) - 1; i >= 0 && len(t.Crashes)+len(t.Clears) < mostNews; i-- {
-		n := &b.news[i]
-		if s := b.suspects[n.fingerprint]; s != nil && (to == All || (to == Local && n.own) || (to == Repeated && s.wide)) {
-			s.tell(now, n, &t)
+// Outgoing returns the evidence to send: recent evidence, the newest first, and the next few of the
+// requests that are on trial or held, so that hosts that start learn all of these in time.
+func (reg *Registry) Outgoing(now time.Duration, scope Scope) Evidence {
+	firstLive := slices.IndexFunc(reg.events, func(e event) bool { return now-e.at < eventTTL })
+	if firstLive < 0 {
+		firstLive = len(reg.events)
+	}
+	reg.events = slices.Delete(reg.events, 0, firstLive)
+	var out Evidence
+	for i := len(reg.events) - 1; i >= 0 && len(out.Crashes)+len(out.Clears) < maxEventsPerMessage; i-- {
+		e := &reg.events[i]
+		if s := reg.suspects[e.fingerprint]; s != nil && (scope == All || (scope == Local && e.local) || (scope == Repeated && s.broadcast)) {
+			s.appendEvent(now, e, &out)
 		}
 	}
-	for range min(mostHolds, len(b.watched)) {
-		b.turn %= len(b.watched)
-		f := b.watched[b.turn]
-		b.turn++
-		t.Holds = append(t.Holds, b.suspects[f].standing(now, f))
+	for range min(maxHoldsPerMessage, len(reg.restricted)) {
+		reg.nextRestricted %= len(reg.restricted)
+		f := reg.restricted[reg.nextRestricted]
+		reg.nextRestricted++
+		out.Holds = append(out.Holds, reg.suspects[f].holdEvidence(now, f))
 	}
-	return t
+	return out
 }
 
-// standing tells that a request is on trial or held.
-func (s *suspect) standing(now time.Duration, f Fingerprint) Hold {
-	h := Hold{Fingerprint: f, OnTrial: true, Trials: s.trials, HoldCount: s.times, AgeMS: (now - s.newest).Milliseconds()}
+// holdEvidence returns the evidence that a request is on trial or held.
+func (s *suspect) holdEvidence(now time.Duration, f Fingerprint) Hold {
+	h := Hold{Fingerprint: f, OnTrial: true, Trials: s.trials, HoldCount: s.holdCount, AgeMS: (now - s.lastCrash).Milliseconds()}
 	if s.trials > 0 {
-		h.LastTrialMS = (now - s.tried).Milliseconds()
+		h.LastTrialMS = (now - s.lastTrial).Milliseconds()
 	}
-	if now < s.until {
-		h.LeftMS, h.Request, h.SavedMS = (s.until - now).Milliseconds(), s.request, s.keptFor(now).Milliseconds()
+	if now < s.heldUntil {
+		h.LeftMS, h.Request, h.SavedMS = (s.heldUntil - now).Milliseconds(), s.request, s.savedAge(now).Milliseconds()
 	}
 	return h
 }
 
-// tell adds one piece of news, if it still holds.
-func (s *suspect) tell(now time.Duration, n *news, t *Evidence) {
-	if n.life == "" {
-		t.Clears = append(t.Clears, Clear{n.fingerprint, (now - s.cleared).Milliseconds()})
-	} else if c, ok := s.crashes[n.life]; ok {
-		t.Crashes = append(t.Crashes, Crash{n.fingerprint, n.life, (now - c.at).Milliseconds(), c.ran.Milliseconds(), c.mute, c.host, c.unsure})
+// appendEvent adds an event to a message unless it is outdated.
+func (s *suspect) appendEvent(now time.Duration, e *event, out *Evidence) {
+	if e.incarnation == "" {
+		out.Clears = append(out.Clears, Clear{e.fingerprint, (now - s.clearedAt).Milliseconds()})
+	} else if c, ok := s.crashes[e.incarnation]; ok {
+		out.Crashes = append(out.Crashes, Crash{e.fingerprint, e.incarnation, (now - c.at).Milliseconds(), c.requestAge.Milliseconds(), c.noResponse, c.host, c.inconclusive})
 	}
 }
 
-// Merge takes what another host tells. It returns true if some of it is new and concerns all hosts.
-func (b *Registry) Merge(now time.Duration, t *Evidence) bool {
-	fresh := false
-	for _, c := range t.Clears {
-		if b.clear(now, c.Fingerprint, aged(now, c.AgeMS), false) {
-			fresh = fresh || b.suspects[c.Fingerprint].wide
+// Merge adds the evidence of another host. It reports whether some of it is new and concerns all
+// hosts.
+func (reg *Registry) Merge(now time.Duration, evidence *Evidence) bool {
+	changed := false
+	for _, c := range evidence.Clears {
+		if reg.clearCrashes(now, c.Fingerprint, momentAt(now, c.AgeMS), false) {
+			changed = changed || reg.suspects[c.Fingerprint].broadcast
 		}
 	}
-	for _, c := range t.Crashes {
-		if len(c.Incarnation) > longestName || len(c.Host) > longestName {
+	for _, c := range evidence.Crashes {
+		if len(c.Incarnation) > maxNameBytes || len(c.Host) > maxNameBytes {
 			continue
 		}
-		if b.crashed(now, c.Fingerprint, c.Incarnation, crash{aged(now, c.AgeMS), spent(c.RequestAgeMS), c.NoResponse, c.Inconclusive, c.Host}) {
-			fresh = fresh || b.suspects[c.Fingerprint].wide
+		if reg.addCrash(now, c.Fingerprint, c.Incarnation, crash{momentAt(now, c.AgeMS), clampSpan(c.RequestAgeMS), c.NoResponse, c.Inconclusive, c.Host}) {
+			changed = changed || reg.suspects[c.Fingerprint].broadcast
 		}
 	}
-	for _, h := range t.Holds {
-		b.hearHold(now, h)
+	for _, h := range evidence.Holds {
+		reg.mergeHold(now, h)
 	}
-	return fresh
+	return changed
 }
 
-// longestName bounds the names of endpoints' lives, hosts and requests that other hosts tell, in bytes.
-const longestName = 200
+// maxNameBytes limits the length of the names of incarnations and hosts, and of the descriptions of
+// requests, that other hosts send.
+const maxNameBytes = 200
 
-// hearHold takes what another host tells of a request that is on trial or held, unless the request was answered since.
-func (b *Registry) hearHold(now time.Duration, h Hold) {
-	left := time.Duration(min(h.LeftMS, longestHold.Milliseconds())) * time.Millisecond
-	holds := left > 0 && h.HoldCount > 0
-	if !holds && !h.OnTrial {
+// mergeHold adds another host's evidence that a request is on trial or held, unless the request was
+// answered since.
+func (reg *Registry) mergeHold(now time.Duration, h Hold) {
+	left := time.Duration(min(h.LeftMS, maxHold.Milliseconds())) * time.Millisecond
+	isHold := left > 0 && h.HoldCount > 0
+	if !isHold && !h.OnTrial {
 		return
 	}
-	s := b.suspect(h.Fingerprint)
-	newest := aged(now, h.AgeMS)
-	if newest <= s.cleared && (h.Trials == 0 || aged(now, h.LastTrialMS) <= s.cleared) {
-		return // a send that was granted since counts, also where its host had not heard of the answer
+	s := reg.suspect(h.Fingerprint)
+	lastCrash := momentAt(now, h.AgeMS)
+	if lastCrash <= s.clearedAt && (h.Trials == 0 || momentAt(now, h.LastTrialMS) <= s.clearedAt) {
+		return // only a send granted after the answer counts, even if its host did not know of the answer
 	}
-	if s.request == "" && len(h.Request) <= longestName {
+	if s.request == "" && len(h.Request) <= maxNameBytes {
 		s.request = h.Request
 	}
 	if h.SavedMS > 0 {
-		s.keptAt = max(s.keptAt, aged(now, h.SavedMS), 1)
+		s.savedAt = max(s.savedAt, momentAt(now, h.SavedMS), 1)
 	}
-	s.newest = max(s.newest, newest)
-	b.hearTrials(now, &h, s)
-	if !holds || now+left < s.until+holdStep {
+	s.lastCrash = max(s.lastCrash, lastCrash)
+	reg.mergeTrials(now, &h, s)
+	if !isHold || now+left < s.heldUntil+minHoldExtension {
 		return
 	}
-	s.wide, s.times = true, max(s.times, min(h.HoldCount, mostTimes))
-	b.hold(h.Fingerprint, s, now+left)
+	s.broadcast, s.holdCount = true, max(s.holdCount, min(h.HoldCount, maxHoldCount))
+	reg.hold(h.Fingerprint, s, now+left)
 }
 
-// hearTrials takes the sends on trial that another host knows of.
-func (b *Registry) hearTrials(now time.Duration, h *Hold, s *suspect) {
+// mergeTrials adds the granted sends that another host knows of.
+func (reg *Registry) mergeTrials(now time.Duration, h *Hold, s *suspect) {
 	if h.Trials > s.trials {
-		s.trials, s.tried = min(h.Trials, mostTrials+mostTimes), max(s.tried, aged(now, h.LastTrialMS), 1)
+		s.trials, s.lastTrial = min(h.Trials, maxTrials+maxHoldCount), max(s.lastTrial, momentAt(now, h.LastTrialMS), 1)
 	}
 	if !s.onTrial {
-		b.watch(h.Fingerprint, s)
+		reg.restrict(h.Fingerprint, s)
 	}
 }
 
-// holdStep is the time by which another host's hold must end later than the own one to be taken: with less, the times that
-// datagrams take would add up.
-const holdStep = time.Second
+// minHoldExtension is how much later than the local hold another host's hold must end to be
+// adopted. Without it, the delays of datagrams would add up and lengthen holds.
+const minHoldExtension = time.Second
 
-// mostTimes bounds the holds that another host may tell of.
-const mostTimes = 16
+// maxHoldCount limits the number of holds that is adopted from another host.
+const maxHoldCount = 16
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -6,33 +6,38 @@
 
 import "time"
 
-// Figures of trials.
+// Limits of trials.
 const (
-	// trialEnds is the number of endpoints that must have ended under a request, whatever its state there, for it to be on trial.
-	trialEnds = 3
-	// mostTrials is the number of sends that a request on trial gets from all hosts together until it is answered. One that crashes what runs it ends so many endpoints more;
-	// one that met the ends of others is answered by one of them, but for a chance that falls with each.
-	mostTrials = 3
-	// trialTime is the time that a send on trial is given until its end is known; who comes meanwhile is told to come again soon.
-	trialTime = 10 * time.Second
-	// trialPause is the time after which such a caller is to come again.
-	trialPause = time.Second
+	// trialCrashes is the number of endpoints that must have crashed under a request for it to be
+	// on trial, whether or not it had begun to answer there.
+	trialCrashes = 3
+	// maxTrials is the number of sends that a request on trial gets from all hosts together until
+	// it is answered. A request that crashes endpoints crashes at most that many more. A request
+	// that was only present at crashes is answered in one of these sends, except with a probability
+	// that falls with each of them.
+	maxTrials = 3
+	// trialTimeout is the time allowed until the result of a send on trial is known. Meanwhile,
+	// callers of the same request are told to retry after trialRetryAfter.
+	trialTimeout = 10 * time.Second
+	// trialRetryAfter is the retry time that these callers get.
+	trialRetryAfter = time.Second
 )
 
-// OnTrial tells whether a request may be sent only if that is granted: endpoints ended under it, and it was not answered since. It bounds what a request
-// takes that lets endpoints work for a while and ends them then, however likely each of these ends was by chance.
-func (b *Registry) OnTrial(now time.Duration, f Fingerprint) bool {
-	s := b.suspects[f]
-	return s != nil && s.onTrial && now >= s.until
+// OnTrial reports whether each send of a request must be granted: endpoints crashed under it and it
+// was not answered since. This limits a request that crashes endpoints only after they have worked
+// on it for a while, however likely each of these crashes was by chance.
+func (reg *Registry) OnTrial(now time.Duration, f Fingerprint) bool {
+	s := reg.suspects[f]
+	return s != nil && s.onTrial && now >= s.heldUntil
 }
 
-// RetryAfter is the time after which a request that is held may be sent again, as callers are told: soon while a send on trial may yet be answered, which
-// would clear it.
-func (b *Registry) RetryAfter(now time.Duration, f Fingerprint) time.Duration {
-	left, held := b.Held(now, f)
-	s := b.suspects[f]
-	if held && s.tried > 0 && s.tried >= s.newest && now-s.tried < trialTime {
-		return min(left, trialPause)
+// RetryAfter returns the time after which callers are told to retry a held request. It is short
+// while a send on trial may still be answered, which would end the hold.
+func (reg *Registry) RetryAfter(now time.Duration, f Fingerprint) time.Duration {
+	left, held := reg.Held(now, f)
+	s := reg.suspects[f]
+	if held && s.lastTrial > 0 && s.lastTrial >= s.lastCrash && now-s.lastTrial < trialTimeout {
+		return min(left, trialRetryAfter)
 	}
 	return left
 }
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -9,74 +9,80 @@
 	"time"
 )
 
-// Figures of the verdict by chance.
+// Thresholds of the verdict.
 const (
-	// muteCrashes is the number of endpoints that must have ended under a request before its first sign of an answer: a request that crashes
-	// what begins to run it ends them all so, and another one is in that state for a small part of its time.
-	muteCrashes = 3
-	// leastSurprise is the surprise, in nats, from which a request is held that lets endpoints answer for a while and ends them then: a chance of
-	// one in 5e8 for an innocent one.
-	leastSurprise = 20
-	// rateWindow is the time over which the ends of endpoints are counted.
+	// noResponseCrashes is the number of endpoints that must have crashed under a request before
+	// the first sign of an answer. A request that crashes endpoints when it starts to run crashes
+	// all of them in that state; any other request spends only a small part of its time in it.
+	noResponseCrashes = 3
+	// minSurprisal is the surprisal in nats from which a request is held that crashes endpoints
+	// after they have answered for a while. It corresponds to a probability of one in 5e8 for an
+	// innocent request.
+	minSurprisal = 20
+	// rateWindow is the time over which terminations of endpoints are counted.
 	rateWindow = 30 * time.Second
-	// leastRan bounds the time at an endpoint from below: less than a datagram's way tells nothing.
-	leastRan = 10 * time.Millisecond
+	// minRequestAge is the minimum of the request age in the calculation. A time shorter than the
+	// transit of a datagram carries no information.
+	minRequestAge = 10 * time.Millisecond
 )
 
-// Surprisal is how unlikely it is, in nats, that a request which had been at an endpoint for a time met its end by chance, where an
-// endpoint ends at a rate, in ends a second: -ln(1-exp(-rate·ran)).
-func Surprisal(rate float64, ran time.Duration) float64 {
-	return -math.Log(-math.Expm1(-rate * max(ran, leastRan).Seconds()))
+// Surprisal returns the surprisal, in nats, of the event that an endpoint ends by chance within the
+// time for which it had a request, given the rate of terminations of an endpoint per second:
+// -ln(1-exp(-rate·requestAge)).
+func Surprisal(rate float64, requestAge time.Duration) float64 {
+	return -math.Log(-math.Expm1(-rate * max(requestAge, minRequestAge).Seconds()))
 }
 
-// rate is the rate at which an endpoint ends, in ends a second, as far as no request is known to have caused it. One end more than was seen keeps a quiet
-// time from making the next one a wonder.
-func (b *Registry) rate(now time.Duration) float64 {
-	ends := 1
-	for _, d := range b.deaths {
-		if now-d.at < rateWindow && d.by == (Fingerprint{}) {
-			ends++
+// terminationRate returns the rate of terminations of an endpoint per second, without those that a
+// request is known to have caused. One is added to the count, so that the first termination after a
+// quiet period is not taken as highly improbable.
+func (reg *Registry) terminationRate(now time.Duration) float64 {
+	count := 1
+	for _, d := range reg.terminations {
+		if now-d.at < rateWindow && d.cause == (Fingerprint{}) {
+			count++
 		}
 	}
-	return float64(ends) / (float64(max(1, b.Endpoints)) * rateWindow.Seconds())
+	return float64(count) / (float64(max(1, reg.Endpoints)) * rateWindow.Seconds())
 }
 
-// Verdict is what is made of the ends of endpoints under a request.
+// Verdict is the evaluation of the crashes under a request.
 type Verdict struct {
-	// Crashes is the number of endpoints that ended under it, Mute that of those which ended before a sign of an answer, as far as no other request that is
-	// held has caused them.
+	// Crashes is the number of endpoints that crashed under the request, and NoResponse the number
+	// of those that crashed before the first sign of an answer. Inconclusive crashes and those
+	// caused by another held request are not counted.
 	Crashes, NoResponse int
-	// Surprisal is how unlikely the ends are by chance, in nats.
+	// Surprisal is the sum of the surprisals of the crashes, in nats.
 	Surprisal float64
 }
 
-// Verdict gives what is made of a request now.
-func (b *Registry) Verdict(now time.Duration, f Fingerprint) Verdict {
+// Verdict evaluates the crashes under a request.
+func (reg *Registry) Verdict(now time.Duration, f Fingerprint) Verdict {
 	var v Verdict
-	s := b.suspects[f]
+	s := reg.suspects[f]
 	if s == nil {
 		return v
 	}
-	rate := b.rate(now)
-	for life, c := range s.crashes {
-		if c.unsure {
+	rate := reg.terminationRate(now)
+	for incarnation, c := range s.crashes {
+		if c.inconclusive {
 			continue
 		}
-		if d := b.deaths[life]; d.by != (Fingerprint{}) && d.by != f {
+		if d := reg.terminations[incarnation]; d.cause != (Fingerprint{}) && d.cause != f {
 			continue
 		}
 		v.Crashes++
-		if c.mute {
+		if c.noResponse {
 			v.NoResponse++
 		}
-		v.Surprisal += Surprisal(rate, c.ran)
+		v.Surprisal += Surprisal(rate, c.requestAge)
 	}
 	return v
 }
 
-// crashes reports whether endpoints crash under a request. What a request that is held has caused is no evidence against others
-// that were there.
-func (b *Registry) crashes(now time.Duration, f Fingerprint) bool {
-	v := b.Verdict(now, f)
-	return v.NoResponse >= muteCrashes || v.Surprisal >= leastSurprise
+// causesCrashes reports whether a request is taken to crash endpoints. Crashes caused by a held
+// request are no evidence against the other requests that the endpoint had.
+func (reg *Registry) causesCrashes(now time.Duration, f Fingerprint) bool {
+	v := reg.Verdict(now, f)
+	return v.NoResponse >= noResponseCrashes || v.Surprisal >= minSurprisal
 }
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -6,104 +6,107 @@
 
 import "time"
 
-// verdict is a way to tell which requests crash endpoints.
-type verdict interface {
-	crashed(now time.Duration, f Fingerprint, e Termination, beside int)
+// detector decides which requests crash endpoints.
+type detector interface {
+	crashed(now time.Duration, f Fingerprint, e Termination, running int)
 	answered(now time.Duration, f Fingerprint)
 	held(now time.Duration, f Fingerprint) bool
 }
 
-// byBook is the way that is kept.
-type byBook struct{ Registry }
+// registryDetector is the method in use.
+type registryDetector struct{ Registry }
 
-func (b *byBook) crashed(now time.Duration, f Fingerprint, e Termination, _ int) {
-	b.NoteCrash(now, f, e)
+func (d *registryDetector) crashed(now time.Duration, f Fingerprint, termination Termination, _ int) {
+	d.NoteCrash(now, f, termination)
 }
-func (b *byBook) answered(now time.Duration, f Fingerprint) {
-	if !b.Empty() {
-		b.NoteAnswer(now, f)
+func (d *registryDetector) answered(now time.Duration, f Fingerprint) {
+	if !d.Empty() {
+		d.NoteAnswer(now, f)
 	}
 }
 
-func (b *byBook) held(now time.Duration, f Fingerprint) bool {
-	if _, held := b.Held(now, f); held {
+func (d *registryDetector) held(now time.Duration, f Fingerprint) bool {
+	if _, held := d.Held(now, f); held {
 		return true
 	}
-	if b.OnTrial(now, f) {
-		r := b.Record(now, now.Milliseconds(), f)
+	if d.OnTrial(now, f) {
+		r := d.Record(now, now.Milliseconds(), f)
 		if !r.Grant(now.Milliseconds()) {
 			return true
 		}
-		b.Restore(now, now.Milliseconds(), &r)
+		d.Restore(now, now.Milliseconds(), &r)
 	}
 	return false
 }
 
-// byCount holds a request after a number of endpoints, whatever their state.
-type byCount struct {
-	most  int
-	lives map[Fingerprint]map[string]bool
+// countDetector holds a request after a number of crashes, whether or not they came before an
+// answer.
+type countDetector struct {
+	limit        int
+	incarnations map[Fingerprint]map[string]bool
 }
 
-func (c *byCount) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
-	if c.lives[f] == nil {
-		c.lives[f] = make(map[string]bool)
+func (d *countDetector) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
+	if d.incarnations[f] == nil {
+		d.incarnations[f] = make(map[string]bool)
 	}
-	c.lives[f][e.Incarnation] = true
+	d.incarnations[f][e.Incarnation] = true
 }
-func (c *byCount) answered(_ time.Duration, f Fingerprint) { delete(c.lives, f) }
-func (c *byCount) held(_ time.Duration, f Fingerprint) bool {
-	return len(c.lives[f]) >= c.most
+func (d *countDetector) answered(_ time.Duration, f Fingerprint) { delete(d.incarnations, f) }
+func (d *countDetector) held(_ time.Duration, f Fingerprint) bool {
+	return len(d.incarnations[f]) >= d.limit
 }
 
-// byTrials lets a request run a few times more after three endpoints, and holds it if none of these is answered; after three ends that came before a sign of
-// an answer it is held at once, if mute is set.
-type byTrials struct {
-	most int
-	mute bool
-	ends map[Fingerprint]map[string]bool // by life: whether it was before a sign of an answer
-	runs map[Fingerprint]int
+// trialDetector grants a limited number of sends after three crashes and holds the request if none
+// of these is answered. If holdNoResponse is set, it holds the request at once after three crashes
+// before the first sign of an answer.
+type trialDetector struct {
+	limit          int
+	holdNoResponse bool
+	crashes        map[Fingerprint]map[string]bool // by incarnation: whether it crashed before the first sign of an answer
+	sends          map[Fingerprint]int
 }
 
-func (b *byTrials) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
-	if b.ends[f] == nil {
-		b.ends[f] = make(map[string]bool)
+func (d *trialDetector) crashed(_ time.Duration, f Fingerprint, e Termination, _ int) {
+	if d.crashes[f] == nil {
+		d.crashes[f] = make(map[string]bool)
 	}
-	b.ends[f][e.Incarnation] = e.NoResponse
+	d.crashes[f][e.Incarnation] = e.NoResponse
 }
 
-func (b *byTrials) answered(_ time.Duration, f Fingerprint) {
-	delete(b.ends, f)
-	delete(b.runs, f)
+func (d *trialDetector) answered(_ time.Duration, f Fingerprint) {
+	delete(d.crashes, f)
+	delete(d.sends, f)
 }
 
-func (b *byTrials) held(_ time.Duration, f Fingerprint) bool {
-	mute := 0
-	for _, m := range b.ends[f] {
-		if m {
-			mute++
+func (d *trialDetector) held(_ time.Duration, f Fingerprint) bool {
+	noResponse := 0
+	for _, crashed := range d.crashes[f] {
+		if crashed {
+			noResponse++
 		}
 	}
-	if len(b.ends[f]) < 3 {
+	if len(d.crashes[f]) < 3 {
 		return false
 	}
-	if b.mute && mute >= 3 {
+	if d.holdNoResponse && noResponse >= 3 {
 		return true
 	}
-	b.runs[f]++
-	return b.runs[f] > b.most
+	d.sends[f]++
+	return d.sends[f] > d.limit
 }
 
-// byShare holds a request by the blame that those at an endpoint share alike.
-type byShare struct {
-	most  float64
+// blameDetector divides the blame for a crash equally among the requests at the endpoint and holds
+// a request whose blame reaches the limit.
+type blameDetector struct {
+	limit float64
 	blame map[Fingerprint]float64
 }
 
-func (s *byShare) crashed(_ time.Duration, f Fingerprint, _ Termination, beside int) {
-	s.blame[f] += 1 / float64(beside)
+func (d *blameDetector) crashed(_ time.Duration, f Fingerprint, _ Termination, running int) {
+	d.blame[f] += 1 / float64(running)
 }
-func (s *byShare) answered(_ time.Duration, f Fingerprint) { delete(s.blame, f) }
-func (s *byShare) held(_ time.Duration, f Fingerprint) bool {
-	return s.blame[f] >= s.most
+func (d *blameDetector) answered(_ time.Duration, f Fingerprint) { delete(d.blame, f) }
+func (d *blameDetector) held(_ time.Duration, f Fingerprint) bool {
+	return d.blame[f] >= d.limit
 }
