--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -23,58 +23,58 @@
 
 // Conn is a connection to an endpoint, used for one request at a time.
 type Conn struct {
-	pool    *Pool
-	address string
-	net     net.Conn
-	br      *bufio.Reader
-	rest    time.Duration // how long it may rest unused
-	idleAt  time.Duration
-	takenAt time.Duration // when it was last taken for a request
-	over    atomic.Bool
-	dirty   bool
-	writing chan error
+	pool        *Pool
+	address     string
+	net         net.Conn
+	reader      *bufio.Reader
+	idleTimeout time.Duration // longest time for which it may stay idle
+	idleSince   time.Duration
+	takenAt     time.Duration // when it was last returned by Pool.Get
+	closed      atomic.Bool
+	noReuse     bool
+	bodyWrite   chan error
 }
 
-// Request is what is sent on a connection.
+// Request is a request to send on a connection.
 type Request struct {
-	// Method and URI stand in the first line.
+	// Method and URI form the request line.
 	Method, URI string
-	// Host and Header follow; Header must hold nothing that concerns one connection only.
+	// Host and Header form the header. Header must not contain hop-by-hop fields.
 	Host   string
 	Header http.Header
-	// Body is the whole body, and HasBody tells an empty one from none.
+	// Body is the complete body. HasBody distinguishes an empty body from none.
 	Body    []byte
 	HasBody bool
 }
 
-// longBody is the size from which a body is written while the answer is read:
-// an endpoint may answer before it has read it.
-const longBody = 16 << 10
+// asyncBodyBytes is the size above which a body is written while the response is read, because an
+// endpoint may respond before it has read the whole body.
+const asyncBodyBytes = 16 << 10
 
-// Send writes a request. An error means that some bytes may have been sent.
+// Send writes a request. After an error, some bytes may have been sent.
 func (c *Conn) Send(r *Request) error {
-	head := r.head(c.pool.headBuffer())
-	if len(r.Body) <= longBody {
+	head := r.appendHead(c.pool.getHeadBuffer())
+	if len(r.Body) <= asyncBodyBytes {
 		head = append(head, r.Body...)
 		_, err := c.net.Write(head)
-		c.pool.keepBuffer(head)
+		c.pool.putHeadBuffer(head)
 		return err
 	}
 	_, err := c.net.Write(head)
-	c.pool.keepBuffer(head)
+	c.pool.putHeadBuffer(head)
 	if err != nil {
 		return err
 	}
-	c.writing = make(chan error, 1)
+	c.bodyWrite = make(chan error, 1)
 	go func() {
 		_, err := c.net.Write(r.Body)
-		c.writing <- err
+		c.bodyWrite <- err
 	}()
 	return nil
 }
 
-// head appends the first line and the header to b.
-func (r *Request) head(b []byte) []byte {
+// appendHead appends the request line and the header to b.
+func (r *Request) appendHead(b []byte) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.URI...)
@@ -97,30 +97,30 @@
 	return append(b, "\r\n"...)
 }
 
-// ErrWrongResponse means that answers on the connection belong to other requests.
+// ErrWrongResponse means that the responses on the connection belong to other requests.
 var ErrWrongResponse = eris.New("answer belongs to another request; the connection is dropped")
 
-// mostForeign bounds the surplus answers that are read over.
-const mostForeign = 3
+// maxSurplusResponses limits the responses that are read in search of the right one.
+const maxSurplusResponses = 3
 
-// ReadResponse reads the head of the answer to a request. header names the header that
-// must hold id; a whole answer to an earlier request is read over, and the
-// connection is not used again.
+// ReadResponse reads the head of the response to a request. The response must carry id in the named
+// header. Complete responses to earlier requests are skipped; the connection is not reused after
+// that.
 func (c *Conn) ReadResponse(method, header, id string) (*http.Response, error) {
-	for range mostForeign {
-		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
+	for range maxSurplusResponses {
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			c.dirty = true
+			c.noReuse = true
 			return nil, err
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		if resp.Header.Get(header) == id {
-			c.learn(resp)
+			c.applyHeaders(resp)
 			return resp, nil
 		}
-		c.dirty = true
+		c.noReuse = true
 		if resp.Header.Get(header) == "" {
 			return resp, ErrWrongResponse
 		}
@@ -134,10 +134,10 @@
 	return nil, ErrWrongResponse
 }
 
-// learn notes what an answer says of the connection.
-func (c *Conn) learn(resp *http.Response) {
+// applyHeaders adapts the reuse of the connection to the headers of a response.
+func (c *Conn) applyHeaders(resp *http.Response) {
 	if resp.Close || (resp.ContentLength < 0 && len(resp.TransferEncoding) == 0) {
-		c.dirty = true
+		c.noReuse = true
 	}
 	for _, part := range strings.Split(resp.Header.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -145,59 +145,60 @@
 			continue
 		}
 		if s, err := strconv.Atoi(v); err == nil {
-			// The endpoint rounds to whole seconds and counts from its own last byte.
-			c.rest = min(c.rest, time.Duration(s)*time.Second*6/10)
+			// The endpoint rounds the timeout to whole seconds and counts from the last byte that
+			// it sent, so only 60% of it is used.
+			c.idleTimeout = min(c.idleTimeout, time.Duration(s)*time.Second*6/10)
 		}
 	}
 }
 
-// Release gives the connection back after a whole answer was read.
+// Release returns the connection to the pool after a complete response was read.
 func (c *Conn) Release() {
-	if c.writing != nil {
+	if c.bodyWrite != nil {
 		select {
-		case err := <-c.writing:
-			c.dirty = c.dirty || err != nil
-			c.writing = nil
+		case err := <-c.bodyWrite:
+			c.noReuse = c.noReuse || err != nil
+			c.bodyWrite = nil
 		default:
-			c.dirty = true
+			c.noReuse = true
 		}
 	}
-	if c.dirty || c.br.Buffered() > 0 || c.rest <= 0 {
+	if c.noReuse || c.reader.Buffered() > 0 || c.idleTimeout <= 0 {
 		c.Close()
 		return
 	}
 	c.pool.put(c)
 }
 
-// Close drops the connection, and with it the work of the endpoint on it.
+// Close closes the connection, which also cancels the endpoint's work on it.
 func (c *Conn) Close() {
-	if c.over.CompareAndSwap(false, true) {
+	if c.closed.CompareAndSwap(false, true) {
 		_ = c.net.Close()
-		c.pool.closed(c.address)
+		c.pool.noteClosed(c.address)
 	}
 }
 
-// sound tells whether a resting connection is still open and silent.
-func (c *Conn) sound() bool {
+// usable reports whether an idle connection is still open and has no unread bytes.
+func (c *Conn) usable() bool {
 	sc, ok := c.net.(syscall.Conn)
-	if !ok || c.br.Buffered() > 0 {
+	if !ok || c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
-	var one [1]byte
+	noData := false
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, rerr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(rerr, unix.EAGAIN)
+		_, _, rerr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		noData = errors.Is(rerr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// dial opens a connection.
+// dial opens a connection to an address.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	if p.Dial != nil {
 		ctx, cancel := context.WithTimeout(ctx, p.DialTimeout)
@@ -209,13 +210,14 @@
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// The option only makes a dead endpoint known sooner; without it the deadline does.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout)
+				// The option only detects a dead endpoint sooner; without it, the deadline of the
+				// request applies.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMS)
 			})
 		},
 	}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// userTimeout is the time in milliseconds after which unacknowledged bytes end a connection.
-const userTimeout = 3000
+// tcpUserTimeoutMS is the time in milliseconds after which unacknowledged bytes close a connection.
+const tcpUserTimeoutMS = 3000
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package upstream holds a host's own connections to endpoints. It sends one
-// request at a time on a connection and never sends anything twice: what became
-// of a request is told, not mended.
+// Package upstream manages a host's connections to endpoints. A connection carries one request at a
+// time. The package never retries: it reports what became of a request and leaves the decision to
+// the caller.
 package upstream
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -13,44 +13,45 @@
 	"time"
 )
 
-// Defaults of a Pool.
+// Defaults and limits of a Pool.
 const (
-	defaultRest = 2 * time.Second
-	bufferBytes = 4 << 10
-	headBytes   = 2 << 10
-	mostIdle    = 16 // of an address
+	defaultIdleTimeout = 2 * time.Second
+	readBufferBytes    = 4 << 10
+	headBufferBytes    = 2 << 10
+	maxIdleConns       = 16 // per address
 )
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool holds the connections of a host to all endpoints. The fields must be set
-// before the first call.
+// Pool manages the connections of a host to all endpoints. The exported fields must be set before
+// the first call.
 type Pool struct {
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Duration
-	// Dial opens a connection, or nil for one of the machine with time-outs of its own.
+	// Dial opens a connection. If nil, connections are opened by the operating system's network
+	// with TCP keep-alive and a TCP user timeout.
 	Dial Dial
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time for opening a connection.
 	DialTimeout time.Duration
 
-	mu     sync.Mutex
-	idle   map[string][]*Conn
-	open   map[string]int
-	heads  sync.Pool
-	opened int64
-	limit  int // idle connections of an address; 0 is mostIdle
+	mu          sync.Mutex
+	idle        map[string][]*Conn
+	openCounts  map[string]int
+	headBuffers sync.Pool
+	totalOpened int64
+	maxIdle     int // limit of idle connections per address; 0 means maxIdleConns
 }
 
-// Get returns a connection to an address: the one that was used last, if it is
-// sound, else a new one.
+// Get returns a connection to an address: the most recently used idle one if it is still usable,
+// otherwise a new one.
 func (p *Pool) Get(ctx context.Context, address string) (c *Conn, reused bool, err error) {
 	for {
 		c := p.take(address)
 		if c == nil {
 			break
 		}
-		if now := p.Now(); now-c.idleAt < c.rest && c.sound() {
+		if now := p.Now(); now-c.idleSince < c.idleTimeout && c.usable() {
 			c.takenAt = now
 			return c, true, nil
 		}
@@ -60,7 +61,8 @@
 	return c, false, err
 }
 
-// Warm opens a connection to an address and keeps it for a later request. Its error tells what became of the endpoint.
+// Warm opens a connection to an address and keeps it for a later request. An error describes the
+// state of the endpoint.
 func (p *Pool) Warm(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// connect opens a connection.
+// connect opens a connection and counts it.
 func (p *Pool) connect(ctx context.Context, address string) (*Conn, error) {
 	nc, err := p.dial(ctx, address)
 	if err != nil {
@@ -78,15 +80,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open == nil {
-		p.open = make(map[string]int)
+	if p.openCounts == nil {
+		p.openCounts = make(map[string]int)
 	}
-	p.open[address]++
-	p.opened++
-	return &Conn{pool: p, address: address, net: nc, br: bufio.NewReaderSize(nc, bufferBytes), rest: defaultRest, takenAt: p.Now()}, nil
+	p.openCounts[address]++
+	p.totalOpened++
+	return &Conn{pool: p, address: address, net: nc, reader: bufio.NewReaderSize(nc, readBufferBytes), idleTimeout: defaultIdleTimeout, takenAt: p.Now()}, nil
 }
 
-// take removes the newest idle connection to an address.
+// take removes the most recently used idle connection to an address from the pool.
 func (p *Pool) take(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,107 +101,108 @@
 	return c
 }
 
-// CloseStale closes the resting connections to the address of a connection on which an endpoint was
-// silent for too long, if they rest since before it was taken: what made one silent has mostly silenced
-// the others, and none of them tells. Those used since then have answered.
+// CloseStale closes the idle connections to the address of c that have been idle since before c was
+// taken. It is called after an endpoint did not respond on c in time: whatever silenced c has
+// probably silenced these too, and nothing else shows it. Connections used since then have carried
+// a response.
 func (p *Pool) CloseStale(c *Conn) {
-	p.drop(func(address string, o *Conn) bool { return address == c.address && o.idleAt <= c.takenAt })
+	p.closeMatching(func(address string, o *Conn) bool { return address == c.address && o.idleSince <= c.takenAt })
 }
 
-// SetMaxIdle bounds the idle connections of an address, so that all hosts together stay
-// well under what an endpoint takes.
+// SetMaxIdle limits the idle connections per address, so that all hosts together stay well below
+// the number of connections that an endpoint accepts.
 func (p *Pool) SetMaxIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = min(max(n, 1), mostIdle)
+	p.maxIdle = min(max(n, 1), maxIdleConns)
 }
 
-// put keeps an idle connection.
+// put adds an idle connection and closes the oldest one beyond the limit.
 func (p *Pool) put(c *Conn) {
-	c.idleAt = p.Now()
+	c.idleSince = p.Now()
 	p.mu.Lock()
 	if p.idle == nil {
 		p.idle = make(map[string][]*Conn)
 	}
 	list := append(p.idle[c.address], c)
-	var old *Conn
-	if limit := cmp.Or(p.limit, mostIdle); len(list) > limit {
-		old, list = list[0], list[1:]
+	var evicted *Conn
+	if limit := cmp.Or(p.maxIdle, maxIdleConns); len(list) > limit {
+		evicted, list = list[0], list[1:]
 	}
 	p.idle[c.address] = list
 	p.mu.Unlock()
-	if old != nil {
-		old.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 }
 
-// closed counts a connection out.
-func (p *Pool) closed(address string) {
+// noteClosed removes a connection from the count of open ones.
+func (p *Pool) noteClosed(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[address]--; p.open[address] <= 0 {
-		delete(p.open, address)
+	if p.openCounts[address]--; p.openCounts[address] <= 0 {
+		delete(p.openCounts, address)
 	}
 }
 
-// OpenCount tells how many connections to an address are open.
+// OpenCount returns the number of open connections to an address.
 func (p *Pool) OpenCount(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open[address]
+	return p.openCounts[address]
 }
 
-// TotalOpened counts the connections ever opened.
+// TotalOpened returns the number of connections opened so far.
 func (p *Pool) TotalOpened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.totalOpened
 }
 
-// CloseIdle closes all connections that rest.
-func (p *Pool) CloseIdle() { p.drop(func(string, *Conn) bool { return true }) }
+// CloseIdle closes all idle connections.
+func (p *Pool) CloseIdle() { p.closeMatching(func(string, *Conn) bool { return true }) }
 
-// Sweep closes connections that rested too long; call it about once a second.
+// Sweep closes connections that were idle for too long. Call it about once per second.
 func (p *Pool) Sweep() {
 	now := p.Now()
-	p.drop(func(_ string, c *Conn) bool { return now-c.idleAt >= c.rest })
+	p.closeMatching(func(_ string, c *Conn) bool { return now-c.idleSince >= c.idleTimeout })
 }
 
-// drop closes the resting connections that a function names.
-func (p *Pool) drop(old func(address string, c *Conn) bool) {
-	var dropped []*Conn
+// closeMatching closes the idle connections that match.
+func (p *Pool) closeMatching(match func(address string, c *Conn) bool) {
+	var closing []*Conn
 	p.mu.Lock()
 	for address, list := range p.idle {
-		keep := list[:0]
+		kept := list[:0]
 		for _, c := range list {
-			if old(address, c) {
-				dropped = append(dropped, c)
+			if match(address, c) {
+				closing = append(closing, c)
 				continue
 			}
-			keep = append(keep, c)
+			kept = append(kept, c)
 		}
-		if len(keep) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = keep
+		p.idle[address] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range dropped {
+	for _, c := range closing {
 		c.Close()
 	}
 }
 
-// headBuffer and keepBuffer recycle buffers for heads.
-func (p *Pool) headBuffer() []byte {
-	if b, ok := p.heads.Get().(*[]byte); ok {
+// getHeadBuffer and putHeadBuffer recycle the buffers in which heads are built.
+func (p *Pool) getHeadBuffer() []byte {
+	if b, ok := p.headBuffers.Get().(*[]byte); ok {
 		return (*b)[:0]
 	}
-	return make([]byte, 0, headBytes)
+	return make([]byte, 0, headBufferBytes)
 }
 
-func (p *Pool) keepBuffer(b []byte) {
-	if cap(b) <= 8*headBytes {
-		p.heads.Put(&b)
+func (p *Pool) putHeadBuffer(b []byte) {
+	if cap(b) <= 8*headBufferBytes {
+		p.headBuffers.Put(&b)
 	}
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// listen accepts connections and hands them over.
+// listen accepts connections and passes them to the test.
 func listen(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,23 +33,23 @@
 	return l.Addr().String(), conns
 }
 
-// TestReuse holds which resting connections are used again.
-func TestReuse(t *testing.T) {
+// TestConnReuse checks which idle connections are reused.
+func TestConnReuse(t *testing.T) {
 	cases := []struct {
-		name   string
-		rested func(p *Pool, c *Conn, far net.Conn)
-		reused bool
+		name      string
+		whileIdle func(p *Pool, c *Conn, peer net.Conn)
+		reused    bool
 	}{
-		{"sound", func(*Pool, *Conn, net.Conn) {}, true},
-		{"closed by the endpoint", func(_ *Pool, c *Conn, far net.Conn) {
-			far.Close()
-			_, _ = c.br.Peek(1) // wait until the close is here
+		{"usable", func(*Pool, *Conn, net.Conn) {}, true},
+		{"closed by the endpoint", func(_ *Pool, c *Conn, peer net.Conn) {
+			peer.Close()
+			_, _ = c.reader.Peek(1) // wait until the close arrives
 		}, false},
-		{"bytes that nobody asked for", func(_ *Pool, c *Conn, far net.Conn) {
-			_, _ = far.Write([]byte("x"))
-			_, _ = c.br.Peek(1)
+		{"unexpected bytes", func(_ *Pool, c *Conn, peer net.Conn) {
+			_, _ = peer.Write([]byte("x"))
+			_, _ = c.reader.Peek(1)
 		}, false},
-		{"rested too long", func(p *Pool, _ *Conn, _ net.Conn) {
+		{"idle for too long", func(p *Pool, _ *Conn, _ net.Conn) {
 			p.Now = func() time.Duration { return time.Minute }
 		}, false},
 		{"swept", func(p *Pool, _ *Conn, _ net.Conn) {
@@ -65,22 +65,22 @@
 			c, reused, err := p.Get(context.Background(), address)
 			must.NoError(t, err)
 			must.False(t, reused)
-			far := <-conns
+			peer := <-conns
 			c.Release()
-			tc.rested(p, c, far)
+			tc.whileIdle(p, c, peer)
 			c, reused, err = p.Get(context.Background(), address)
 			must.NoError(t, err)
 			must.EqOp(t, tc.reused, reused)
 			must.EqOp(t, 1, p.OpenCount(address))
 			c.Close()
-			c.Close() // twice does no harm
+			c.Close() // a second call has no effect
 			must.EqOp(t, 0, p.OpenCount(address))
 		})
 	}
 }
 
-// TestIdleBound checks that no more connections rest than are allowed.
-func TestIdleBound(t *testing.T) {
+// TestMaxIdle checks that no more connections stay idle than the limit allows.
+func TestMaxIdle(t *testing.T) {
 	address, _ := listen(t)
 	p := &Pool{Now: func() time.Duration { return 0 }, DialTimeout: 10 * time.Second}
 	p.SetMaxIdle(2)
@@ -97,33 +97,34 @@
 	must.EqOp(t, 5, p.TotalOpened())
 }
 
-// TestKeepAlive checks how long a connection rests by what the endpoint says.
-func TestKeepAlive(t *testing.T) {
+// TestIdleTimeoutFromKeepAlive checks how the response headers limit the time for which a
+// connection may stay idle.
+func TestIdleTimeoutFromKeepAlive(t *testing.T) {
 	cases := []struct {
-		header string
-		want   time.Duration
-		dirty  bool
+		header  string
+		want    time.Duration
+		noReuse bool
 	}{
-		{"", defaultRest, false},
+		{"", defaultIdleTimeout, false},
 		{"Keep-Alive: timeout=1\r\n", 600 * time.Millisecond, false},
-		{"Keep-Alive: timeout=30, max=5\r\n", defaultRest, false},
+		{"Keep-Alive: timeout=30, max=5\r\n", defaultIdleTimeout, false},
 		{"Keep-Alive: timeout=0\r\n", 0, false},
-		{"Keep-Alive: timeout=soon\r\n", defaultRest, false},
-		{"Connection: close\r\n", defaultRest, true},
+		{"Keep-Alive: timeout=soon\r\n", defaultIdleTimeout, false},
+		{"Connection: close\r\n", defaultIdleTimeout, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.header, func(t *testing.T) {
-			near, far := net.Pipe()
-			defer near.Close()
+			local, peer := net.Pipe()
+			defer local.Close()
 			go func() {
-				_, _ = far.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 0\r\n" + tc.header + "\r\n"))
+				_, _ = peer.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 0\r\n" + tc.header + "\r\n"))
 			}()
-			c := &Conn{pool: &Pool{}, net: near, rest: defaultRest}
-			c.br = bufio.NewReader(near)
+			c := &Conn{pool: &Pool{}, net: local, idleTimeout: defaultIdleTimeout}
+			c.reader = bufio.NewReader(local)
 			_, err := c.ReadResponse("GET", "X-Id", "7")
 			must.NoError(t, err)
-			must.EqOp(t, tc.want, c.rest)
-			must.EqOp(t, tc.dirty, c.dirty)
+			must.EqOp(t, tc.want, c.idleTimeout)
+			must.EqOp(t, tc.noReuse, c.noReuse)
 		})
 	}
 }
--- a/upstream/silent_test.go
+++ b/upstream/silent_test.go
@@ -11,20 +11,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestDistrust holds that after a connection was silent for too long, those that rest since
-// before it was taken are not used again, and those that answered since are.
-func TestDistrust(t *testing.T) {
+// TestCloseStale checks that, after an endpoint did not respond on one connection in time,
+// connections idle since before that one was taken are not reused, and connections that carried a
+// response since are.
+func TestCloseStale(t *testing.T) {
 	cases := []struct {
 		name string
-		// rests is when each of the other connections was given back, in milliseconds; the
+		// releasedAt holds when each of the other connections was released, in milliseconds. The
 		// silent one is taken at 100 ms.
-		rests  []int
-		reused int
+		releasedAt []int
+		reused     int
 	}{
-		{"alone", nil, 0},
-		{"rest since before", []int{0, 0, 0}, 0},
-		{"answered since", []int{200, 200}, 2},
-		{"some of both", []int{0, 0, 200}, 1},
+		{"no others", nil, 0},
+		{"idle since before", []int{0, 0, 0}, 0},
+		{"used since", []int{200, 200}, 2},
+		{"some of each", []int{0, 0, 200}, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -40,17 +41,17 @@
 			silent, _ := get()
 			now = 0
 			var others []*Conn
-			for range tc.rests {
+			for range tc.releasedAt {
 				c, _ := get()
 				others = append(others, c)
 			}
-			for i, at := range tc.rests {
+			for i, at := range tc.releasedAt {
 				if at == 0 {
 					others[i].Release()
 				}
 			}
 			now = 200 * time.Millisecond
-			for i, at := range tc.rests {
+			for i, at := range tc.releasedAt {
 				if at != 0 {
 					others[i].Release()
 				}
