--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -22,9 +22,9 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestListDoesNotWaitForSettings lets a peer prove newer settings and a newer list of endpoints while its settings take too long to come, as
+// TestEndpointsFetchedDespiteSlowSettings lets a peer prove newer settings and a newer list of endpoints while its settings take too long to come, as
 // large ones do on a slow link: the list is there at once.
-func TestListDoesNotWaitForSettings(t *testing.T) {
+func TestEndpointsFetchedDespiteSlowSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -40,8 +40,8 @@
 		srv := &http.Server{Handler: m, ReadHeaderTimeout: time.Minute}
 		go func() { _ = srv.Serve(l) }()
 		h := &Host{Boot: platform.Boot{Host: "a", IP: "10.0.0.1"}, Network: n.Host("10.0.0.1"), Clock: clock.NewSteady(), Log: logr.Discard()}
-		h.wantedSettings, h.wantedEndpoints = make(chan peers.Proof, 1), make(chan peers.Proof, 1)
-		h.build()
+		h.settingsToFetch, h.endpointsToFetch = make(chan peers.Proof, 1), make(chan peers.Proof, 1)
+		h.assemble()
 		h.agent = &peers.Agent{Table: &peers.Table{Host: "a"}}
 		h.agent.Init()
 		go h.fetchSettings(ctx)
--- a/edge/host.go
+++ b/edge/host.go
@@ -30,46 +30,46 @@
 
 // Parts of the platform's bounds that the host keeps.
 const (
-	// trustShare is the part of the revocation time up to which settings are trusted.
-	trustShare = 0.6
-	// sureShare is the part of the configuration time up to which an unknown key is surely unknown.
-	sureShare = 0.9
-	// watchShare is the part of the revocation time that a watch of the configuration is
+	// maxKeyAgeShare is the part of the revocation time up to which settings are trusted.
+	maxKeyAgeShare = 0.6
+	// maxUnknownAgeShare is the part of the configuration time up to which an unknown key is surely unknown.
+	maxUnknownAgeShare = 0.9
+	// settingsWatchShare is the part of the revocation time that a watch of the configuration is
 	// idle: hosts that hear of the settings from others then know them to be younger than
 	// trustShare even if some heartbeats are lost.
-	watchShare = 0.2
-	// listShare is the part of the drain time between two readings of the endpoints by the
+	settingsWatchShare = 0.2
+	// listIntervalShare is the part of the drain time between two readings of the endpoints by the
 	// host that reads for all; the others read at 0.64 to 0.72 of it, see feed.Turns.
-	listShare = 0.4
-	// usableShare is the part of the drain time up to which requests are sent by a list of endpoints; the rest is for the way
+	listIntervalShare = 0.4
+	// maxListAgeShare is the part of the drain time up to which requests are sent by a list of endpoints; the rest is for the way
 	// from the last look at its age to the endpoint.
-	usableShare = 0.9
-	// settledShare is the part of the configuration time up to which requests are decided by the settings; the rest is for a request's way.
-	settledShare = 0.95
-	// silentShare is the part of the drain time without any answer that tells of an outage of the store: the time between the age at which the host
+	maxListAgeShare = 0.9
+	// maxSettingsAgeShare is the part of the configuration time up to which requests are decided by the settings; the rest is for a request's way.
+	maxSettingsAgeShare = 0.95
+	// outageShare is the part of the drain time without any answer that tells of an outage of the store: the time between the age at which the host
 	// whose turn is last asks and that up to which it may use the list.
-	silentShare = 0.2
-	// settingsPause and endpointsPause are the times between two tries while the store
+	outageShare = 0.2
+	// settingsRetryInterval and endpointsPause are the times between two tries while the store
 	// fails: a few in the time after its return in which hosts are to be in touch again.
-	settingsPause  = 300 * time.Millisecond
-	endpointsPause = 400 * time.Millisecond
-	// listWait is how long a reading of the endpoints' changes waits for some. Endpoints
+	settingsRetryInterval  = 300 * time.Millisecond
+	endpointsRetryInterval = 400 * time.Millisecond
+	// listWatchTimeout is how long a reading of the endpoints' changes waits for some. Endpoints
 	// write all the time, so that there mostly are.
-	listWait = 100 * time.Millisecond
-	// lapseBeats is the number of heartbeats of an endpoint that an outage must last for its
+	listWatchTimeout = 100 * time.Millisecond
+	// lapseHeartbeats is the number of heartbeats of an endpoint that an outage must last for its
 	// entry to lapse: it goes with the third that is missing, and the outage may begin just before the first.
-	lapseBeats = 2
-	// backTime is the time after the store's return in which endpoints' entries are back (the
+	lapseHeartbeats = 2
+	// renewTime is the time after the store's return in which endpoints' entries are back (the
 	// platform's pages: within about two seconds).
-	backTime = 2 * time.Second
-	// lapseShare is the part of the contact time for which lapsed endpoints are kept at most.
-	lapseShare = 0.9
-	// retryShare is the part of the retry bound that hosts use.
-	retryShare = 0.7
-	// bodyShare is the part of the memory for bodies of requests.
-	bodyShare = 0.2
-	// heapShare is the part of the memory that the collector aims to stay under.
-	heapShare = 0.6
+	renewTime = 2 * time.Second
+	// maxLapseShare is the part of the contact time for which lapsed endpoints are kept at most.
+	maxLapseShare = 0.9
+	// retryBudgetShare is the part of the retry bound that hosts use.
+	retryBudgetShare = 0.7
+	// bodyMemoryShare is the part of the memory for bodies of requests.
+	bodyMemoryShare = 0.2
+	// memoryLimitShare is the part of the memory that the collector aims to stay under.
+	memoryLimitShare = 0.6
 )
 
 // Host is one host: its parts and what joins them. The exported fields must be
@@ -87,27 +87,27 @@
 	// Log takes changes of state.
 	Log logr.Logger
 
-	life      uint64
-	watch     clock.GapDetector
-	waking    waking
-	store     *platform.Store
-	reach     *feed.StoreHealth
-	settings  *feed.Settings
-	endpoints *feed.Endpoints
-	ingress   *ingress.Server
-	agent     *peers.Agent
-	entry     *feed.HostRegistry
-	records   *records
-	keeping   bool         // this host keeps an entry; of entry.Run only
-	found     atomic.Int64 // hosts that there are by their entries in the store
-	peerHTTP  *http.Client
-	fetched   fetches
+	incarnation  uint64
+	gapDetector  clock.GapDetector
+	gaps         gapState
+	store        *platform.Store
+	storeHealth  *feed.StoreHealth
+	settings     *feed.Settings
+	endpoints    *feed.Endpoints
+	ingress      *ingress.Server
+	agent        *peers.Agent
+	hostRegistry *feed.HostRegistry
+	records      *records
+	registered   bool         // this host keeps an entry; of entry.Run only
+	hostsInStore atomic.Int64 // hosts that there are by their entries in the store
+	peerHTTP     *http.Client
+	fetchStats   fetchStats
 	// what peers proved, to be asked for
-	wantedSettings, wantedEndpoints chan peers.Proof
+	settingsToFetch, endpointsToFetch chan peers.Proof
 
 	stopping chan struct{}
-	hup      chan struct{}
-	read     platform.Boot
+	reloads  chan struct{}
+	lastBoot platform.Boot
 }
 
 // now is the time since the host's start, suspensions included.
@@ -122,37 +122,37 @@
 	if h.Clock == nil {
 		h.Clock = clock.New()
 	}
-	h.watch.Clock, h.watch.OnGap = h.Clock, h.woke
-	h.life = rand.Uint64() >> 12
+	h.gapDetector.Clock, h.gapDetector.OnGap = h.Clock, h.noteGap
+	h.incarnation = rand.Uint64() >> 12
 	h.stopping = make(chan struct{})
-	h.hup = make(chan struct{}, 1)
-	h.wantedSettings, h.wantedEndpoints = make(chan peers.Proof, 1), make(chan peers.Proof, 1)
-	h.read = h.Boot
+	h.reloads = make(chan struct{}, 1)
+	h.settingsToFetch, h.endpointsToFetch = make(chan peers.Proof, 1), make(chan peers.Proof, 1)
+	h.lastBoot = h.Boot
 	if mb := h.Boot.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mb<<20)))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h.build()
+	h.assemble()
 	if err := h.listenPeers(ctx); err != nil {
 		return err
 	}
 	if err := h.serve(ctx); err != nil {
 		return err
 	}
-	for _, run := range []func(context.Context){h.follow, h.agent.Run, h.tick, h.watchFile, h.fetchSettings, h.fetchEndpoints, h.keepRecords} {
+	for _, run := range []func(context.Context){h.followStore, h.agent.Run, h.runPeriodically, h.pollSettingsFile, h.fetchSettings, h.fetchEndpoints, h.maintainRecords} {
 		go run(ctx)
 	}
 	if !h.Clock.Whole() {
 		h.Log.Info("no clock that counts suspensions of the host; what it knew before one looks younger than it is")
 	}
-	h.Log.Info("started", "front", h.Boot.Front, "zone", h.Boot.Zone, "life", h.life)
-	h.await(ctx, signals)
+	h.Log.Info("started", "front", h.Boot.Front, "zone", h.Boot.Zone, "life", h.incarnation)
+	h.waitForStop(ctx, signals)
 	return nil
 }
 
-// build makes the parts.
-func (h *Host) build() {
+// assemble makes the parts.
+func (h *Host) assemble() {
 	b := &h.Boot
 	h.store = &platform.Store{
 		Base: "http://" + b.Store,
@@ -166,43 +166,43 @@
 		DialContext: h.dial(fetchTimeout),
 	}}
 	h.ingress = &ingress.Server{
-		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.watch, Unconfirmed: h.unproven, ListConfirmedAt: h.provenAt, ListUsable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
-		Retries:    quota.RetryBudget{Ratio: retryShare * b.RetryRatio, MaxCredit: retryShare * b.RetrySlack},
+		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.gapDetector, Unconfirmed: h.unconfirmed, ListConfirmedAt: h.listConfirmedAt, ListUsable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
+		Retries:    quota.RetryBudget{Ratio: retryBudgetShare * b.RetryRatio, MaxCredit: retryBudgetShare * b.RetrySlack},
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
 		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
-	h.reach = &feed.StoreHealth{
-		Now: h.now, RunTime: h.watch.RunTime, OutageAfter: time.Duration(silentShare * float64(b.DrainTime)), RetryInterval: endpointsPause,
+	h.storeHealth = &feed.StoreHealth{
+		Now: h.now, RunTime: h.gapDetector.RunTime, OutageAfter: time.Duration(outageShare * float64(b.DrainTime)), RetryInterval: endpointsRetryInterval,
 		LapseTimes: feed.LapseTimes{
-			MinOutage: lapseBeats * b.Heartbeat, RenewTime: backTime, MaxKeep: time.Duration(lapseShare * float64(b.ContactTime)),
+			MinOutage: lapseHeartbeats * b.Heartbeat, RenewTime: renewTime, MaxKeep: time.Duration(maxLapseShare * float64(b.ContactTime)),
 		},
 	}
 	h.settings = &feed.Settings{
 		Store: h.store, Prefix: platform.PrefixConfig, Key: platform.KeyConfig, Parse: platform.ParseConfig, Now: h.now,
-		WatchTimeout: time.Duration(watchShare * float64(b.RevokeTime)), RetryInterval: settingsPause, Rank: h.turn, ViaRelay: h.far,
-		StoreHealth: h.reach, MaxAge: time.Duration(settledShare * float64(b.ConfigTime)),
-		OnChange: h.newTable, Log: h.Log.WithName("settings"),
+		WatchTimeout: time.Duration(settingsWatchShare * float64(b.RevokeTime)), RetryInterval: settingsRetryInterval, Rank: h.readRank, ViaRelay: h.viaRelay,
+		StoreHealth: h.storeHealth, MaxAge: time.Duration(maxSettingsAgeShare * float64(b.ConfigTime)),
+		OnChange: h.applyTable, Log: h.Log.WithName("settings"),
 	}
 	h.ingress.Settings = h.settings
 	h.ingress.Init()
 	h.records = &records{store: h.store, now: h.now, log: h.Log.WithName("records")}
 	h.ingress.SetRecords(h.records)
-	h.ingress.SetAgeLimits(ages(b))
+	h.ingress.SetAgeLimits(ageLimits(b))
 	h.endpoints = &feed.Endpoints{
 		Store: h.store, Prefix: platform.PrefixEndpoints, Parse: platform.ParseEndpoint, Now: h.now,
-		Interval: time.Duration(listShare * float64(b.DrainTime)), WatchTimeout: listWait, RetryInterval: endpointsPause, Rank: h.turn, ViaRelay: h.far,
-		StoreHealth: h.reach, MaxAge: time.Duration(usableShare * float64(b.DrainTime)),
-		OnChange: h.newEndpoints, Log: h.Log.WithName("endpoints"),
+		Interval: time.Duration(listIntervalShare * float64(b.DrainTime)), WatchTimeout: listWatchTimeout, RetryInterval: endpointsRetryInterval, Rank: h.readRank, ViaRelay: h.viaRelay,
+		StoreHealth: h.storeHealth, MaxAge: time.Duration(maxListAgeShare * float64(b.DrainTime)),
+		OnChange: h.applyEndpoints, Log: h.Log.WithName("endpoints"),
 	}
 	h.endpoints.Init()
-	h.entry = &feed.HostRegistry{
-		Store: h.store, Key: platform.PrefixHosts + b.Host, Prefix: platform.PrefixOwn, Value: h.entryValue,
-		ShouldRegister: h.keepsEntry, HostCount: h.knownHosts, TTL: 10 * time.Second, OnEntries: h.foundOwn, Log: h.Log.WithName("entry"),
+	h.hostRegistry = &feed.HostRegistry{
+		Store: h.store, Key: platform.PrefixHosts + b.Host, Prefix: platform.PrefixOwn, Value: h.hostEntry,
+		ShouldRegister: h.shouldRegister, HostCount: h.hostCount, TTL: 10 * time.Second, OnEntries: h.applyOwnEntries, Log: h.Log.WithName("entry"),
 	}
 }
 
-// provenAt tells when the list of endpoints was surely the newest.
-func (h *Host) provenAt() (time.Duration, bool) { return h.endpoints.ProvenAt() }
+// listConfirmedAt tells when the list of endpoints was surely the newest.
+func (h *Host) listConfirmedAt() (time.Duration, bool) { return h.endpoints.ProvenAt() }
 
 // storeDialTimeout bounds the opening of a connection to the store. It is longer than any call: a connection that is opened late because this
 // process waits for the processor must not fail before the call, whose silence is judged by the time in which the process ran.
@@ -211,14 +211,14 @@
 // listUsable reports whether the list of endpoints is young enough to send requests by it.
 func (h *Host) listUsable() bool { return h.endpoints.Usable() }
 
-// newTable puts a configuration in force and tells the other hosts of it at once.
-func (h *Host) newTable(t *route.Table) {
+// applyTable puts a configuration in force and tells the other hosts of it at once.
+func (h *Host) applyTable(t *route.Table) {
 	h.ingress.SetTable(t)
 	h.agent.TriggerHeartbeat()
 }
 
-// newEndpoints puts a list of endpoints in force and tells the other hosts of it at once.
-func (h *Host) newEndpoints(list []feed.Endpoint) {
+// applyEndpoints puts a list of endpoints in force and tells the other hosts of it at once.
+func (h *Host) applyEndpoints(list []feed.Endpoint) {
 	h.ingress.SetEndpoints(list)
 	h.agent.TriggerHeartbeat()
 }
@@ -228,7 +228,7 @@
 	if h.Boot.MemoryMB == 0 {
 		return 64 << 20
 	}
-	return int64(bodyShare * float64(h.Boot.MemoryMB<<20))
+	return int64(bodyMemoryShare * float64(h.Boot.MemoryMB<<20))
 }
 
 // peerAddress is where this host hears heartbeats.
@@ -241,8 +241,8 @@
 		return err
 	}
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Check,
-		Rand: rand.New(rand.NewPCG(h.life, 1)), Log: h.Log.WithName("peers"),
+		Table: &peers.Table{Host: h.Boot.Host, Life: h.incarnation}, Conn: conn, Seeds: h.seedAddresses(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.gapDetector.Check,
+		Rand: rand.New(rand.NewPCG(h.incarnation, 1)), Log: h.Log.WithName("peers"),
 	}
 	h.agent.Places = h.ingress
 	h.agent.Init()
@@ -251,11 +251,11 @@
 	return nil
 }
 
-// seeds gives where the named hosts hear heartbeats, but for this host: ports are
+// seedAddresses gives where the named hosts hear heartbeats, but for this host: ports are
 // alike on all hosts.
-func (h *Host) seeds(control []string) []string {
+func (h *Host) seedAddresses(controlAddresses []string) []string {
 	var out []string
-	for _, s := range control {
+	for _, s := range controlAddresses {
 		if ap, err := netip.ParseAddrPort(s); err == nil && ap.Addr().String() != h.Boot.IP {
 			out = append(out, fmt.Sprintf("%s:%d", ap.Addr(), h.Boot.PeerPort))
 		}
@@ -271,21 +271,21 @@
 	default:
 	}
 	_, listed := h.endpoints.View()
-	return listed && h.settings.Current() != nil && !h.unproven()
+	return listed && h.settings.Current() != nil && !h.unconfirmed()
 }
 
 // drawEvery is the time between two draws of places, as long as changed loads take to be
 // told; what is done less often is done at each so many of them: every 0.1, 0.2 and 1 s.
 const (
-	drawEvery  = 25 * time.Millisecond
-	ticksEach  = 4
-	sharesEach = 8
-	sweepsEach = 40
+	claimInterval  = 25 * time.Millisecond
+	claimsPerTick  = 4
+	claimsPerShare = 8
+	claimsPerSweep = 40
 )
 
-// tick does what is due now and then.
-func (h *Host) tick(ctx context.Context) {
-	t := time.NewTicker(drawEvery)
+// runPeriodically does what is due now and then.
+func (h *Host) runPeriodically(ctx context.Context) {
+	t := time.NewTicker(claimInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -293,28 +293,28 @@
 			return
 		case <-t.C:
 		}
-		h.watch.Check()
+		h.gapDetector.Check()
 		h.ingress.ClaimSlots()
-		if n%ticksEach == 0 {
+		if n%claimsPerTick == 0 {
 			h.ingress.Tick()
 		}
-		if n%sharesEach == 0 {
-			h.shareLoads()
-			h.shareHosts()
+		if n%claimsPerShare == 0 {
+			h.applyPeerLoads()
+			h.applyHostCount()
 		}
-		if n%sweepsEach == 0 {
+		if n%claimsPerSweep == 0 {
 			h.ingress.Sweep()
 		}
 	}
 }
 
-// await waits for the signal to stop and stops.
-func (h *Host) await(ctx context.Context, signals <-chan os.Signal) {
+// waitForStop waits for the signal to stop and stops.
+func (h *Host) waitForStop(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.hup:
+		case <-h.reloads:
 			h.reload()
 		case s := <-signals:
 			if s != syscall.SIGHUP {
@@ -335,62 +335,62 @@
 		h.Log.Error(err, "settings file refused; the last one stays")
 		return
 	}
-	if reflect.DeepEqual(b, h.read) {
+	if reflect.DeepEqual(b, h.lastBoot) {
 		return
 	}
-	h.read = b
-	h.agent.SetSeeds(h.seeds(b.Seeds))
-	a := ages(&b)
+	h.lastBoot = b
+	h.agent.SetSeeds(h.seedAddresses(b.Seeds))
+	a := ageLimits(&b)
 	h.ingress.SetAgeLimits(a)
 	h.Log.Info("settings file in force", "seeds", len(b.Seeds), "trust", a.MaxKeyAge.String(), "strict", a.Strict)
 }
 
-// ages gives the bounds on the age of the settings.
-func ages(b *platform.Boot) ingress.AgeLimits {
+// ageLimits gives the bounds on the age of the settings.
+func ageLimits(b *platform.Boot) ingress.AgeLimits {
 	return ingress.AgeLimits{
-		MaxKeyAge:     time.Duration(trustShare * float64(b.RevokeTime)),
+		MaxKeyAge:     time.Duration(maxKeyAgeShare * float64(b.RevokeTime)),
 		Strict:        b.StrictRevoke,
-		MaxUnknownAge: time.Duration(sureShare * float64(b.ConfigTime)),
+		MaxUnknownAge: time.Duration(maxUnknownAgeShare * float64(b.ConfigTime)),
 	}
 }
 
-// watchFile looks for changes of the settings file that nobody tells.
-func (h *Host) watchFile(ctx context.Context) {
+// pollSettingsFile looks for changes of the settings file that nobody tells.
+func (h *Host) pollSettingsFile(ctx context.Context) {
 	if h.Path == "" {
 		return
 	}
-	t := time.NewTicker(fileEvery)
+	t := time.NewTicker(filePollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			h.hup <- struct{}{}
+			h.reloads <- struct{}{}
 		}
 	}
 }
 
-// fileEvery is the time between two looks at the settings file.
-const fileEvery = 5 * time.Second
+// filePollInterval is the time between two looks at the settings file.
+const filePollInterval = 5 * time.Second
 
 // Times of a planned stop.
 const (
-	// lingerLeast is how long callers with old answers are still served.
-	lingerLeast = 3500 * time.Millisecond
-	// graceRest is the part of the grace that is not used.
-	graceRest = 700 * time.Millisecond
+	// minLinger is how long callers with old answers are still served.
+	minLinger = 3500 * time.Millisecond
+	// graceReserve is the part of the grace that is not used.
+	graceReserve = 700 * time.Millisecond
 )
 
 // stop tells callers and peers, and ends once nothing runs or the grace is over.
 func (h *Host) stop() {
-	began := h.now()
+	start := h.now()
 	close(h.stopping)
 	h.ingress.Stop()
 	h.agent.TriggerHeartbeat()
 	h.Log.Info("stopping", "active", h.ingress.Active())
-	for h.now()-began < h.Boot.Grace-graceRest {
-		if h.now()-began > min(lingerLeast, h.Boot.Grace/2) && h.ingress.Active() == 0 {
+	for h.now()-start < h.Boot.Grace-graceReserve {
+		if h.now()-start > min(minLinger, h.Boot.Grace/2) && h.ingress.Active() == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -21,10 +21,10 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// joiner makes a host that has not begun to run, with the given seeds.
-func joiner(boot platform.Boot) *Host {
+// newTestHost makes a host that has not begun to run, with the given seeds.
+func newTestHost(boot platform.Boot) *Host {
 	h := &Host{Boot: boot, Log: logr.Discard(), Clock: clock.NewSteady(), stopping: make(chan struct{})}
-	h.build()
+	h.assemble()
 	h.agent = &peers.Agent{
 		Table: &peers.Table{Host: boot.Host, Life: 1}, Host: h, Now: h.now, Rand: rand.New(rand.NewPCG(1, 2)), Log: logr.Discard(),
 	}
@@ -45,17 +45,17 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h := joiner(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600, Seeds: tc.seeds})
+			h := newTestHost(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600, Seeds: tc.seeds})
 			must.EqOp(t, tc.want, h.isSeed())
 		})
 	}
 }
 
-// TestEntryTellsHosts holds what entries tell of the number of hosts, and what a host makes of them.
-func TestEntryTellsHosts(t *testing.T) {
-	h := joiner(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600})
-	must.Eq(t, feed.HostEntry{Address: "10.0.0.1:7600", HostCount: 1}, feed.ParseHostEntry(h.entryValue()))
-	must.True(t, h.keepsEntry())
+// TestHostCountInEntries holds what entries tell of the number of hosts, and what a host makes of them.
+func TestHostCountInEntries(t *testing.T) {
+	h := newTestHost(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600})
+	must.Eq(t, feed.HostEntry{Address: "10.0.0.1:7600", HostCount: 1}, feed.ParseHostEntry(h.hostEntry()))
+	must.True(t, h.shouldRegister())
 	cases := []struct {
 		name  string
 		items []feed.Item
@@ -67,15 +67,15 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			h.foundHosts(tc.items)
-			must.EqOp(t, tc.want, h.found.Load())
+			h.applyHostEntries(tc.items)
+			must.EqOp(t, tc.want, h.hostsInStore.Load())
 		})
 	}
 }
 
-// TestWaitsForPeers holds how long hosts wait for what peers read before they read themselves: the
+// TestStartWaitsForPeers holds how long hosts wait for what peers read before they read themselves: the
 // seeds and hosts of small fleets not at all.
-func TestWaitsForPeers(t *testing.T) {
+func TestStartWaitsForPeers(t *testing.T) {
 	others := []string{"10.0.0.2:80", "10.0.0.3:80"}
 	cases := []struct {
 		name        string
@@ -84,10 +84,10 @@
 		least, most time.Duration
 	}{
 		{"a seed, at the first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, First: true}, 0, 0, 0},
-		{"the first start", platform.Boot{Seeds: others, First: true}, 0, firstPatience, 2*firstPatience + startLook},
-		{"among many", platform.Boot{Seeds: others}, 295, startPatience, 2*startPatience + startLook},
+		{"the first start", platform.Boot{Seeds: others, First: true}, 0, firstStartWait, 2*firstStartWait + startPollInterval},
+		{"among many", platform.Boot{Seeds: others}, 295, startWait, 2*startWait + startPollInterval},
 		{"among few", platform.Boot{Seeds: others}, 6, 0, 0},
-		{"the store does not tell how many", platform.Boot{Seeds: others}, 0, startPatience, startPatience + startLook},
+		{"the store does not tell how many", platform.Boot{Seeds: others}, 0, startWait, startWait + startPollInterval},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -95,13 +95,13 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				tc.boot.Host, tc.boot.IP, tc.boot.PeerPort, tc.boot.Store = "a", "10.0.0.1", 7600, "store"
 				began := time.Now()
-				h := joiner(tc.boot)
-				h.found.Store(tc.found)
-				store := &firstCall{}
-				h.settings.Store, h.endpoints.Store, h.entry.Store = store, store, store
-				go h.follow(ctx)
+				h := newTestHost(tc.boot)
+				h.hostsInStore.Store(tc.found)
+				store := &failingStore{}
+				h.settings.Store, h.endpoints.Store, h.hostRegistry.Store = store, store, store
+				go h.followStore(ctx)
 				time.Sleep(2 * time.Second)
-				must.Between(t, tc.least, store.at.Sub(began), tc.most)
+				must.Between(t, tc.least, store.firstReadAt.Sub(began), tc.most)
 				cancel()
 				synctest.Wait()
 			})
@@ -109,19 +109,19 @@
 	}
 }
 
-// firstCall notes when a host first reads the settings or the endpoints from a store that fails.
-type firstCall struct {
+// failingStore notes when a host first reads the settings or the endpoints from a store that fails.
+type failingStore struct {
 	feed.Store
-	at time.Time
+	firstReadAt time.Time
 }
 
-func (s *firstCall) Range(_ context.Context, prefix string, _ bool) (feed.Page, error) {
-	if prefix != platform.PrefixOwn && s.at.IsZero() {
-		s.at = time.Now()
+func (s *failingStore) Range(_ context.Context, prefix string, _ bool) (feed.Page, error) {
+	if prefix != platform.PrefixOwn && s.firstReadAt.IsZero() {
+		s.firstReadAt = time.Now()
 	}
 	return feed.Page{}, fmt.Errorf("the store fails")
 }
 
-func (s *firstCall) Grant(context.Context, time.Duration) (uint64, error) {
+func (s *failingStore) Grant(context.Context, time.Duration) (uint64, error) {
 	return 0, fmt.Errorf("the store fails")
 }
--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -22,20 +22,20 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// manyBoot is the settings of the hosts of a deployment of tens.
-var manyBoot = platform.Boot{
+// largeBoot is the settings of the hosts of a deployment of tens.
+var largeBoot = platform.Boot{
 	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, Grace: 8 * time.Second,
 	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
 }
 
-// lastToRead is the host that reads the store last, by the order drawn from names.
-func lastToRead(hosts []*simsite.Host) *simsite.Host {
+// lastReader is the host that reads the store last, by the order drawn from names.
+func lastReader(hosts []*simsite.Host) *simsite.Host {
 	return slices.MaxFunc(hosts, func(a, b *simsite.Host) int {
 		return cmp.Compare(xxhash.Sum64String(a.Boot.Host), xxhash.Sum64String(b.Boot.Host))
 	})
 }
 
-// TestLeaverGetsNoWork plays what users saw in a fleet of 78 hosts, run as real processes: requests reached endpoints later than
+// TestNoRequestsToLeavingEndpoints plays what users saw in a fleet of 78 hosts, run as real processes: requests reached endpoints later than
 // the drain time of 3 s after the store had taken that they leave, from hosts that nothing disturbed, while the store was sound.
 //
 // What happens, in order: a host hears from the others how young the list of endpoints is, and then hears nothing more. Endpoints leave. Once
@@ -46,7 +46,7 @@
 // way of relays, a call and its repetition; one refused call was taken for an outage of the store, after which a host paused for up to 5 s
 // and kept entries that went. Evidence: in a run of 78 real processes on one core the hosts' own lines told lists 4.7 to 6.2 s old at the sends that came late, with
 // the store sound; here all calls but the named ones are answered, and the time after the leaving follows the pause.
-func TestLeaverGetsNoWork(t *testing.T) {
+func TestNoRequestsToLeavingEndpoints(t *testing.T) {
 	const hosts, endpoints, leave = 78, 12, 4
 	calls := func(m simsite.Mood, n int) []simsite.Mood { return slices.Repeat([]simsite.Mood{m}, n) }
 	cases := []struct {
@@ -66,11 +66,11 @@
 		for _, says := range []bool{true, false} {
 			t.Run(fmt.Sprint(tc.name, ", the endpoints say so ", says), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := &simsite.Site{Boot: manyBoot, Zones: 3, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
+					s := &simsite.Site{Boot: largeBoot, Zones: 3, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
 					defer s.Stop()
 					must.NoError(t, s.Start(site.Example(), endpoints, hosts))
 					time.Sleep(tc.wait)
-					h := lastToRead(s.Hosts)
+					h := lastReader(s.Hosts)
 					s.KillOthers(h)
 					s.Store.Next(h.Boot.IP, platform.PrefixEndpoints, tc.next...)
 					for _, e := range s.Endpoints[:leave] {
@@ -85,7 +85,7 @@
 						}
 					}
 					latest := s.LatestArrival()
-					must.LessEq(t, manyBoot.DrainTime, latest)
+					must.LessEq(t, largeBoot.DrainTime, latest)
 					must.Greater(t, asked/2, served)
 				})
 			})
@@ -93,15 +93,15 @@
 	}
 }
 
-// fewBoot is the settings of the hosts of a deployment of a few.
-var fewBoot = platform.Boot{
+// smallBoot is the settings of the hosts of a deployment of a few.
+var smallBoot = platform.Boot{
 	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, Grace: 8 * time.Second,
 	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
 }
 
-// TestOutageStopsNoService holds that hosts serve on with the endpoints that they know while the store fails, for all of them or for one,
+// TestServeDuringStoreOutage holds that hosts serve on with the endpoints that they know while the store fails, for all of them or for one,
 // however it fails, and that they know of a leaving again from the contact time after its return on.
-func TestOutageStopsNoService(t *testing.T) {
+func TestServeDuringStoreOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	cases := []struct {
 		boot  platform.Boot
@@ -109,9 +109,9 @@
 		mood  simsite.Mood
 		one   bool // for the host alone that reads last
 	}{
-		{fewBoot, 6, simsite.Refuse, false}, {fewBoot, 6, simsite.Hang, false}, {fewBoot, 6, simsite.Refuse, true}, {fewBoot, 6, simsite.Hang, true},
-		{fewBoot, 1, simsite.Refuse, false}, {fewBoot, 1, simsite.Hang, false},
-		{manyBoot, 78, simsite.Refuse, false}, {manyBoot, 78, simsite.Hang, false}, {manyBoot, 78, simsite.Hang, true},
+		{smallBoot, 6, simsite.Refuse, false}, {smallBoot, 6, simsite.Hang, false}, {smallBoot, 6, simsite.Refuse, true}, {smallBoot, 6, simsite.Hang, true},
+		{smallBoot, 1, simsite.Refuse, false}, {smallBoot, 1, simsite.Hang, false},
+		{largeBoot, 78, simsite.Refuse, false}, {largeBoot, 78, simsite.Hang, false}, {largeBoot, 78, simsite.Hang, true},
 	}
 	for i, tc := range cases {
 		t.Run(fmt.Sprintf("%d hosts, mood %d, one %t", tc.hosts, tc.mood, tc.one), func(t *testing.T) {
@@ -120,7 +120,7 @@
 				defer s.Stop()
 				must.NoError(t, s.Start(site.Example(), 12, tc.hosts))
 				time.Sleep(6*time.Second + time.Duration(i)*130*time.Millisecond)
-				last := lastToRead(s.Hosts)
+				last := lastReader(s.Hosts)
 				for _, h := range s.Hosts {
 					if !tc.one || h == last {
 						s.Store.Treat(h.Boot.IP, tc.mood)
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -22,26 +22,26 @@
 
 // Defaults of the limits on callers.
 const (
-	defaultHeaderTime  = 3 * time.Second
-	defaultIdle        = 15 * time.Second
-	defaultHeaderBytes = 16 << 10
-	// idleMargin is how much longer than told a resting connection is kept.
-	idleMargin = 1.5
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	defaultHeaderBytes   = 16 << 10
+	// idleTimeoutMargin is how much longer than told a resting connection is kept.
+	idleTimeoutMargin = 1.5
 )
 
 // serve opens the listeners and serves them until ctx ends.
 func (h *Host) serve(ctx context.Context) error {
 	front := &frontServer{host: h}
-	ways := []struct {
+	listeners := []struct {
 		address string
 		serve   func(net.Listener)
 	}{
 		{h.Boot.Front, front.serve},
-		{h.Boot.Ready, plain(h.readyHandler())},
-		{h.Boot.Control, plain(h.controlHandler())},
-		{h.Boot.Directory, plain(h.directoryHandler())},
+		{h.Boot.Ready, serveHandler(h.readyHandler())},
+		{h.Boot.Control, serveHandler(h.controlHandler())},
+		{h.Boot.Directory, serveHandler(h.directoryHandler())},
 	}
-	for _, w := range ways {
+	for _, w := range listeners {
 		if w.address == "" {
 			continue
 		}
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// plain serves a handler with fixed limits.
-func plain(handler http.Handler) func(net.Listener) {
-	srv := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTime, IdleTimeout: defaultIdle, MaxHeaderBytes: defaultHeaderBytes}
+// serveHandler serves a handler with fixed limits.
+func serveHandler(handler http.Handler) func(net.Listener) {
+	srv := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultHeaderBytes}
 	return func(l net.Listener) { _ = srv.Serve(l) }
 }
 
@@ -88,12 +88,12 @@
 			}
 			continue
 		}
-		f.current(l.Addr()).conns <- c
+		f.currentQueue(l.Addr()).conns <- c
 	}
 }
 
-// current returns the queue of the server for the limits in force.
-func (f *frontServer) current(addr net.Addr) *queueListener {
+// currentQueue returns the queue of the server for the limits in force.
+func (f *frontServer) currentQueue(addr net.Addr) *queueListener {
 	var limits route.Limits
 	if src := f.host.settings.Current(); src != nil {
 		limits = src.Table.Document.Limits
@@ -108,16 +108,16 @@
 	f.queue = &queueListener{addr: addr, conns: make(chan net.Conn, 64), closed: make(chan struct{})}
 	srv := &http.Server{
 		Handler:           f.host.ingress,
-		ReadHeaderTimeout: orElse(limits.HeaderTimeout, defaultHeaderTime),
-		IdleTimeout:       time.Duration(idleMargin * float64(orElse(limits.IdleTimeout, defaultIdle))),
-		MaxHeaderBytes:    int(orElse(limits.HeaderBytes, defaultHeaderBytes)),
+		ReadHeaderTimeout: positiveOr(limits.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:       time.Duration(idleTimeoutMargin * float64(positiveOr(limits.IdleTimeout, defaultIdleTimeout))),
+		MaxHeaderBytes:    int(positiveOr(limits.HeaderBytes, defaultHeaderBytes)),
 	}
 	go func(l net.Listener) { _ = srv.Serve(l) }(f.queue)
 	return f.queue
 }
 
-// orElse returns v, or a default if v is not above 0.
-func orElse[T int64 | time.Duration](v, def T) T {
+// positiveOr returns v, or a default if v is not above 0.
+func positiveOr[T int64 | time.Duration](v, def T) T {
 	if v > 0 {
 		return v
 	}
@@ -160,7 +160,7 @@
 func (h *Host) readyHandler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
-		if h.watch.Check(); !h.ready() {
+		if h.gapDetector.Check(); !h.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}).Methods(http.MethodGet)
@@ -170,11 +170,11 @@
 // controlHandler answers other hosts and operators.
 func (h *Host) controlHandler() http.Handler {
 	m := mux.NewRouter()
-	m.HandleFunc(pathSettings, h.answerSettings).Methods(http.MethodGet)
-	m.HandleFunc(pathEndpoints, h.answerEndpoints).Methods(http.MethodGet)
-	m.HandleFunc(PathQuarantine, h.showSuspects).Methods(http.MethodGet)
-	m.HandleFunc(PathQuarantine+"/{fingerprint}", h.release).Methods(http.MethodDelete)
-	m.HandleFunc("/debug/vars", h.showVars).Methods(http.MethodGet)
+	m.HandleFunc(pathSettings, h.serveSettings).Methods(http.MethodGet)
+	m.HandleFunc(pathEndpoints, h.serveEndpoints).Methods(http.MethodGet)
+	m.HandleFunc(PathQuarantine, h.serveSuspects).Methods(http.MethodGet)
+	m.HandleFunc(PathQuarantine+"/{fingerprint}", h.releaseSuspect).Methods(http.MethodDelete)
+	m.HandleFunc("/debug/vars", h.serveVars).Methods(http.MethodGet)
 	return m
 }
 
@@ -182,49 +182,49 @@
 func (h *Host) directoryHandler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, _ *http.Request) {
-		if h.watch.Check(); h.unproven() {
+		if h.gapDetector.Check(); h.unconfirmed() {
 			w.WriteHeader(http.StatusServiceUnavailable) // who of the others lives is not known; callers ask another host
 			return
 		}
-		h.answer(w, platform.Resolve(h.addresses(), answerLife))
+		h.writeJSON(w, platform.Resolve(h.addresses(), addressTTL))
 	}).Methods(http.MethodGet)
 	return m
 }
 
-// answerLife is how long callers keep an address answer.
-const answerLife = time.Second
+// addressTTL is how long callers keep an address answer.
+const addressTTL = time.Second
 
-// mostAddresses bounds an answer.
-const mostAddresses = 64
+// maxAddresses bounds an answer.
+const maxAddresses = 64
 
 // addresses lists where callers may connect: hosts that take requests and know the
 // newest settings, else those that take requests.
 func (h *Host) addresses() []string {
 	self := peers.HostInfo{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.SettingsFresh()}
-	rows := []peers.HostInfo{self}
+	hosts := []peers.HostInfo{self}
 	for _, m := range h.agent.Live() {
-		rows = append(rows, m.Info)
+		hosts = append(hosts, m.Info)
 	}
-	rows = slices.DeleteFunc(rows, func(r peers.HostInfo) bool { return !r.Ready })
-	rows = prefer(rows, func(r peers.HostInfo) bool { return r.Fresh })
-	rand.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
+	hosts = slices.DeleteFunc(hosts, func(info peers.HostInfo) bool { return !info.Ready })
+	hosts = prefer(hosts, func(info peers.HostInfo) bool { return info.Fresh })
+	rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	var out []string
-	for _, r := range rows[:min(mostAddresses, len(rows))] {
-		out = append(out, r.Front)
+	for _, info := range hosts[:min(maxAddresses, len(hosts))] {
+		out = append(out, info.Front)
 	}
 	return out
 }
 
 // prefer returns the rows that satisfy ok, or all if none does.
-func prefer(rows []peers.HostInfo, ok func(peers.HostInfo) bool) []peers.HostInfo {
+func prefer(hosts []peers.HostInfo, ok func(peers.HostInfo) bool) []peers.HostInfo {
 	var out []peers.HostInfo
-	for _, r := range rows {
-		if ok(r) {
-			out = append(out, r)
+	for _, info := range hosts {
+		if ok(info) {
+			out = append(out, info)
 		}
 	}
 	if len(out) == 0 {
-		return rows
+		return hosts
 	}
 	return out
 }
--- a/edge/network.go
+++ b/edge/network.go
@@ -22,8 +22,8 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// machine is the network of the machine.
-type machine struct {
+// systemNetwork is the network of the machine.
+type systemNetwork struct {
 	net.ListenConfig
 	net.Dialer
 }
@@ -31,7 +31,7 @@
 // network is what the host reaches others by.
 func (h *Host) network() Network {
 	if h.Network == nil {
-		return &machine{}
+		return &systemNetwork{}
 	}
 	return h.Network
 }
--- a/edge/network_test.go
+++ b/edge/network_test.go
@@ -18,25 +18,25 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// muteNetwork opens no connection and refuses none.
-type muteNetwork struct{ Network }
+// hangingNetwork opens no connection and refuses none.
+type hangingNetwork struct{ Network }
 
-func (muteNetwork) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
+func (hangingNetwork) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// TestCallsEndBeforeConnections holds that a call to the store to which no connection is opened ends when it is given up, and does not fail before
+// TestStoreCallEndsBeforeDial holds that a call to the store to which no connection is opened ends when it is given up, and does not fail before
 // that: what judges how long the store was silent takes a failure for the store's own word.
 //
 // In runs of 78 processes on one core, five requests reached endpoints up to 11.2 s after they had left: their hosts had logged "store lost",
 // caused by "dial tcp: i/o timeout" after 1 s, four times in a row, while the store was sound and the processes waited for the processor.
-func TestCallsEndBeforeConnections(t *testing.T) {
+func TestStoreCallEndsBeforeDial(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := &Host{Boot: platform.Boot{Host: "a", Store: "10.0.0.9:80"}, Log: logr.Discard(), Clock: clock.NewSteady(), Network: muteNetwork{}}
-				h.build()
+				h := &Host{Boot: platform.Boot{Host: "a", Store: "10.0.0.9:80"}, Log: logr.Discard(), Clock: clock.NewSteady(), Network: hangingNetwork{}}
+				h.assemble()
 				ctx, cancel := context.WithTimeout(t.Context(), d)
 				defer cancel()
 				_, err := h.store.Watch(ctx, "servers/", 1, time.Second)
--- a/edge/policy.go
+++ b/edge/policy.go
@@ -12,9 +12,9 @@
 	// overcommit is the part of an endpoint's places by which the top tier may exceed them:
 	// a short wait at the endpoint costs it less than a longer one here.
 	overcommit = 0.4
-	// farCost is the part by which an endpoint of another zone counts as fuller than it is:
+	// crossZoneCost is the part by which an endpoint of another zone counts as fuller than it is:
 	// bytes between zones are priced.
-	farCost = 0.6
+	crossZoneCost = 0.6
 )
 
 // policy is how hosts on the platform decide. Rules are off that need reports of engines
@@ -23,7 +23,7 @@
 // may exceed the places anyway, and one of 7 left free was a seventh of all work).
 func policy() sched.Config {
 	return sched.Config{
-		Overcommit: overcommit, CrossZoneCost: farCost,
+		Overcommit: overcommit, CrossZoneCost: crossZoneCost,
 		Disabled: sched.Rules{Floor: true, LongCap: true, Share: true, Slow: true, PeerCorrection: true, Reserve: true},
 	}
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -19,30 +19,30 @@
 
 // Figures of the keeping of records.
 const (
-	// keepEvery is the time between two looks for records that are to be written or removed, and between two tries while the store fails.
-	keepEvery = time.Second
-	// keepTimeout bounds one of them.
-	keepTimeout = time.Second
+	// saveInterval is the time between two looks for records that are to be written or removed, and between two tries while the store fails.
+	saveInterval = time.Second
+	// saveTimeout bounds one of them.
+	saveTimeout = time.Second
 )
 
-// keeper writes the requests on trial and held that no grant has written, and removes the records of requests that this host answered. Hosts that are all killed at once forget
+// recordWriter writes the requests on trial and held that no grant has written, and removes the records of requests that this host answered. Hosts that are all killed at once forget
 // what they knew, and the requests would crash as many endpoints again. Each is written once, by the host that is first in the order of
 // hosts; the next one does so if it has not heard of that for a second.
-type keeper struct {
-	since map[quarantine.Fingerprint]time.Duration // when a request was first seen not to be kept
-	freed map[quarantine.Fingerprint]answer        // those whose records are to be removed
+type recordWriter struct {
+	firstSeen map[quarantine.Fingerprint]time.Duration // when a request was first seen not to be kept
+	toRemove  map[quarantine.Fingerprint]answerTime    // those whose records are to be removed
 }
 
-// answer is when a request was answered, on the host's clock and as a Unix time in milliseconds.
-type answer struct {
+// answerTime is when a request was answered, on the host's clock and as a Unix time in milliseconds.
+type answerTime struct {
 	at     time.Duration
 	unixMS int64
 }
 
-// keepRecords writes and removes records until ctx ends.
-func (h *Host) keepRecords(ctx context.Context) {
-	k := keeper{since: make(map[quarantine.Fingerprint]time.Duration), freed: make(map[quarantine.Fingerprint]answer)}
-	t := time.NewTicker(keepEvery)
+// maintainRecords writes and removes records until ctx ends.
+func (h *Host) maintainRecords(ctx context.Context) {
+	k := recordWriter{firstSeen: make(map[quarantine.Fingerprint]time.Duration), toRemove: make(map[quarantine.Fingerprint]answerTime)}
+	t := time.NewTicker(saveInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -50,76 +50,76 @@
 			return
 		case <-t.C:
 		}
-		h.removeFreed(ctx, &k)
-		h.keepSuspects(ctx, &k)
+		h.removeRecords(ctx, &k)
+		h.saveRecords(ctx, &k)
 	}
 }
 
-// removeFreed removes the records of requests that were answered. One that cannot be removed goes with its lease.
-func (h *Host) removeFreed(ctx context.Context, k *keeper) {
+// removeRecords removes the records of requests that were answered. One that cannot be removed goes with its lease.
+func (h *Host) removeRecords(ctx context.Context, k *recordWriter) {
 	for _, c := range h.ingress.RecordsToRemove() {
-		k.freed[c.Fingerprint] = answer{h.now(), time.Now().UnixMilli() - c.AgeMS}
+		k.toRemove[c.Fingerprint] = answerTime{h.now(), time.Now().UnixMilli() - c.AgeMS}
 	}
-	for f, answered := range k.freed {
-		cctx, cancel := context.WithTimeout(ctx, keepTimeout)
+	for f, answered := range k.toRemove {
+		cctx, cancel := context.WithTimeout(ctx, saveTimeout)
 		err := h.records.remove(cctx, f, answered.unixMS)
 		cancel()
 		if err != nil && h.now()-answered.at < quarantine.RecordTTL {
 			h.Log.V(1).Info("record of an answered request not removed yet", "fingerprint", f.String(), "cause", err.Error())
 			continue
 		}
-		delete(k.freed, f)
+		delete(k.toRemove, f)
 	}
 }
 
-// keepSuspects writes the requests that are not kept.
-func (h *Host) keepSuspects(ctx context.Context, k *keeper) {
-	unkept := h.ingress.UnsavedRecords()
-	if len(unkept) == 0 {
-		clear(k.since)
+// saveRecords writes the requests that are not kept.
+func (h *Host) saveRecords(ctx context.Context, k *recordWriter) {
+	unsaved := h.ingress.UnsavedRecords()
+	if len(unsaved) == 0 {
+		clear(k.firstSeen)
 		return
 	}
-	order := h.agent.Rank()
-	for i := range unkept {
-		if !k.due(h.now(), unkept[i].Fingerprint, order) {
+	rank := h.agent.Rank()
+	for i := range unsaved {
+		if !k.isTurn(h.now(), unsaved[i].Fingerprint, rank) {
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, keepTimeout)
-		stands, err := h.records.keep(cctx, unkept[i])
+		cctx, cancel := context.WithTimeout(ctx, saveTimeout)
+		stored, err := h.records.save(cctx, unsaved[i])
 		cancel()
 		if err != nil {
-			h.Log.V(1).Info("record not written yet", "fingerprint", unkept[i].Fingerprint.String(), "cause", err.Error())
+			h.Log.V(1).Info("record not written yet", "fingerprint", unsaved[i].Fingerprint.String(), "cause", err.Error())
 			continue
 		}
-		h.ingress.Restore(&stands)
+		h.ingress.Restore(&stored)
 	}
 }
 
-// due tells whether it is this host's turn to write a record.
-func (k *keeper) due(now time.Duration, f quarantine.Fingerprint, order int) bool {
-	first, known := k.since[f]
+// isTurn tells whether it is this host's turn to write a record.
+func (k *recordWriter) isTurn(now time.Duration, f quarantine.Fingerprint, rank int) bool {
+	firstSeen, known := k.firstSeen[f]
 	if !known {
-		first = now
-		k.since[f] = now
+		firstSeen = now
+		k.firstSeen[f] = now
 	}
-	return now-first >= time.Duration(order)*keepEvery
+	return now-firstSeen >= time.Duration(rank)*saveInterval
 }
 
-// foundOwn takes what hosts have written to the store: their entries, and records.
-func (h *Host) foundOwn(items []feed.Item) {
+// applyOwnEntries takes what hosts have written to the store: their entries, and records.
+func (h *Host) applyOwnEntries(items []feed.Item) {
 	var hosts []feed.Item
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, platform.PrefixRecords) {
-			h.foundRecord(it)
+			h.restoreRecord(it)
 		} else {
 			hosts = append(hosts, it)
 		}
 	}
-	h.foundHosts(hosts)
+	h.applyHostEntries(hosts)
 }
 
-// foundRecord takes a record.
-func (h *Host) foundRecord(it feed.Item) {
+// restoreRecord takes a record.
+func (h *Host) restoreRecord(it feed.Item) {
 	r, err := parseRecord(it)
 	if err != nil {
 		h.Log.Info("record in the store cannot be read; it is passed over", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
@@ -132,13 +132,13 @@
 // release one with DELETE.
 const PathQuarantine = "/v1/quarantine"
 
-// showSuspects answers operators.
-func (h *Host) showSuspects(w http.ResponseWriter, _ *http.Request) {
-	h.answer(w, h.ingress.Suspects())
+// serveSuspects answers operators.
+func (h *Host) serveSuspects(w http.ResponseWriter, _ *http.Request) {
+	h.writeJSON(w, h.ingress.Suspects())
 }
 
-// release lets a request run again at all hosts.
-func (h *Host) release(w http.ResponseWriter, r *http.Request) {
+// releaseSuspect lets a request run again at all hosts.
+func (h *Host) releaseSuspect(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(mux.Vars(r)["fingerprint"])); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/edge/records.go
+++ b/edge/records.go
@@ -21,10 +21,10 @@
 
 // Figures of the records' writes.
 const (
-	// leaseShared is the time for which a lease serves for further records: with it one call in place of two.
-	leaseShared = time.Minute
-	// mostKeeps bounds the writes that are tried for one hold.
-	mostKeeps = 3
+	// leaseReusePeriod is the time for which a lease serves for further records: with it one call in place of two.
+	leaseReusePeriod = time.Minute
+	// maxSwapAttempts bounds the writes that are tried for one hold.
+	maxSwapAttempts = 3
 )
 
 // recordStore is the part of a key-value service that keeps records.
@@ -40,9 +40,9 @@
 	now   func() time.Duration
 	log   logr.Logger
 
-	mu      sync.Mutex
-	lease   uint64 // 0 for none
-	granted time.Duration
+	mu             sync.Mutex
+	lease          uint64 // 0 for none
+	leaseGrantedAt time.Duration
 }
 
 // Swap implements ingress.Records.
@@ -51,48 +51,48 @@
 	if err != nil {
 		return false, quarantine.Record{}, 0, eris.Wrap(err, "record cannot be written")
 	}
-	lease, err := k.leased(ctx)
+	lease, err := k.currentLease(ctx)
 	if err != nil {
 		return false, quarantine.Record{}, 0, err
 	}
 	key := platform.PrefixRecords + r.Fingerprint.String()
 	swapped, it, err := k.store.Swap(ctx, key, value, lease, revision)
 	if errors.Is(err, feed.ErrLeaseExpired) {
-		k.forget(lease)
+		k.dropLease(lease)
 	}
 	if err != nil || swapped || it.Revision == 0 {
 		return swapped, quarantine.Record{}, 0, err
 	}
-	stands, err := parseRecord(it)
+	stored, err := parseRecord(it)
 	if err != nil {
 		// What cannot be read is written over: it grants and refuses nothing.
 		k.log.Info("record in the store cannot be read; it is written over", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
 		return false, quarantine.Record{Fingerprint: r.Fingerprint}, it.Revision, nil
 	}
-	return false, stands, it.Revision, nil
+	return false, stored, it.Revision, nil
 }
 
-// keep writes a hold, unless one stands that was written no earlier and ends no earlier. It returns what stands then.
-func (k *records) keep(ctx context.Context, r quarantine.Record) (quarantine.Record, error) {
+// save writes a hold, unless one stands that was written no earlier and ends no earlier. It returns what stands then.
+func (k *records) save(ctx context.Context, r quarantine.Record) (quarantine.Record, error) {
 	revision := uint64(0)
-	for range mostKeeps {
-		swapped, stands, at, err := k.Swap(ctx, &r, revision)
+	for range maxSwapAttempts {
+		swapped, stored, storedRevision, err := k.Swap(ctx, &r, revision)
 		if err != nil || swapped {
 			return r, err
 		}
-		if at != 0 && stands.Covers(&r) {
-			return stands, nil
+		if storedRevision != 0 && stored.Covers(&r) {
+			return stored, nil
 		}
-		revision = at
+		revision = storedRevision
 	}
-	return r, errContended
+	return r, errContention
 }
 
 // remove removes the record of a request that was answered at a Unix time in milliseconds. One that was written later stays: the request came on trial
 // again. Only what was read is removed, since the store may do a call long after it was sent.
 func (k *records) remove(ctx context.Context, f quarantine.Fingerprint, answeredMS int64) error {
 	key, revision := platform.PrefixRecords+f.String(), uint64(0)
-	for range mostKeeps {
+	for range maxSwapAttempts {
 		removed, it, err := k.store.Remove(ctx, key, revision)
 		if err != nil || removed {
 			return err
@@ -102,33 +102,33 @@
 		}
 		revision = it.Revision
 	}
-	return errContended
+	return errContention
 }
 
-// errContended means that others wrote a record each time.
-var errContended = eris.New("others write the same record; it is tried again")
+// errContention means that others wrote a record each time.
+var errContention = eris.New("others write the same record; it is tried again")
 
-// leased gives a lease for a record that is written now.
-func (k *records) leased(ctx context.Context) (uint64, error) {
+// currentLease gives a lease for a record that is written now.
+func (k *records) currentLease(ctx context.Context) (uint64, error) {
 	k.mu.Lock()
-	lease, at := k.lease, k.granted
+	lease, grantedAt := k.lease, k.leaseGrantedAt
 	k.mu.Unlock()
-	if lease != 0 && k.now()-at < leaseShared {
+	if lease != 0 && k.now()-grantedAt < leaseReusePeriod {
 		return lease, nil
 	}
-	began := k.now()
+	start := k.now()
 	lease, err := k.store.Grant(ctx, quarantine.RecordTTL)
 	if err != nil {
 		return 0, err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lease, k.granted = lease, began
+	k.lease, k.leaseGrantedAt = lease, start
 	return lease, nil
 }
 
-// forget drops a lease that is over.
-func (k *records) forget(lease uint64) {
+// dropLease drops a lease that is over.
+func (k *records) dropLease(lease uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lease == lease {
@@ -136,8 +136,8 @@
 	}
 }
 
-// errRecord means that a record does not belong to its key.
-var errRecord = eris.New("the record is that of another request")
+// errWrongKey means that a record does not belong to its key.
+var errWrongKey = eris.New("the record is that of another request")
 
 // parseRecord reads a record.
 func parseRecord(it feed.Item) (quarantine.Record, error) {
@@ -146,7 +146,7 @@
 		return quarantine.Record{}, err
 	}
 	if platform.PrefixRecords+r.Fingerprint.String() != it.Key {
-		return quarantine.Record{}, errRecord
+		return quarantine.Record{}, errWrongKey
 	}
 	return r, nil
 }
--- a/edge/records_test.go
+++ b/edge/records_test.go
@@ -18,33 +18,33 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// oneKey is a store of one key.
-type oneKey struct {
-	item   feed.Item // revision 0 for none
-	at     uint64
-	leases int
-	over   bool // leases are over
+// singleKeyStore is a store of one key.
+type singleKeyStore struct {
+	item         feed.Item // revision 0 for none
+	revision     uint64
+	leaseCount   int
+	leaseExpired bool // leases are over
 }
 
-func (s *oneKey) Grant(context.Context, time.Duration) (uint64, error) {
-	s.leases++
-	s.over = false
-	return uint64(s.leases), nil
+func (s *singleKeyStore) Grant(context.Context, time.Duration) (uint64, error) {
+	s.leaseCount++
+	s.leaseExpired = false
+	return uint64(s.leaseCount), nil
 }
 
-func (s *oneKey) Swap(_ context.Context, key string, value []byte, _, revision uint64) (bool, feed.Item, error) {
-	if s.over {
+func (s *singleKeyStore) Swap(_ context.Context, key string, value []byte, _, revision uint64) (bool, feed.Item, error) {
+	if s.leaseExpired {
 		return false, feed.Item{}, feed.ErrLeaseExpired
 	}
 	if revision != s.item.Revision {
 		return false, s.item, nil
 	}
-	s.at++
-	s.item = feed.Item{Key: key, Value: value, Revision: s.at}
+	s.revision++
+	s.item = feed.Item{Key: key, Value: value, Revision: s.revision}
 	return true, feed.Item{}, nil
 }
 
-func (s *oneKey) Remove(_ context.Context, _ string, revision uint64) (bool, feed.Item, error) {
+func (s *singleKeyStore) Remove(_ context.Context, _ string, revision uint64) (bool, feed.Item, error) {
 	if revision != s.item.Revision {
 		return false, s.item, nil
 	}
@@ -53,12 +53,12 @@
 }
 
 // put writes a record, or bytes that are none.
-func (s *oneKey) put(t *testing.T, f quarantine.Fingerprint, record any) {
+func (s *singleKeyStore) put(t *testing.T, f quarantine.Fingerprint, record any) {
 	t.Helper()
 	value, err := json.Marshal(record)
 	must.NoError(t, err)
-	s.at++
-	s.item = feed.Item{Key: platform.PrefixRecords + f.String(), Value: value, Revision: s.at}
+	s.revision++
+	s.item = feed.Item{Key: platform.PrefixRecords + f.String(), Value: value, Revision: s.revision}
 }
 
 // newRecords keeps records in a store, at a time that the test sets.
@@ -83,7 +83,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, now := &oneKey{}, time.Duration(0)
+			s, now := &singleKeyStore{}, time.Duration(0)
 			if c.stands != nil {
 				s.put(t, f, c.stands)
 			}
@@ -102,27 +102,27 @@
 
 // TestRecordsShareLease checks that records of a while share a lease, and that one which is over is followed by another.
 func TestRecordsShareLease(t *testing.T) {
-	s, now := &oneKey{}, time.Duration(0)
+	s, now := &singleKeyStore{}, time.Duration(0)
 	k := newRecords(s, &now)
 	write := func() error {
 		_, _, _, err := k.Swap(t.Context(), &quarantine.Record{}, s.item.Revision)
 		return err
 	}
 	must.NoError(t, write())
-	now += leaseShared - 1
+	now += leaseReusePeriod - 1
 	must.NoError(t, write())
-	must.EqOp(t, 1, s.leases)
+	must.EqOp(t, 1, s.leaseCount)
 	now++
 	must.NoError(t, write())
-	must.EqOp(t, 2, s.leases)
-	s.over = true
+	must.EqOp(t, 2, s.leaseCount)
+	s.leaseExpired = true
 	must.ErrorIs(t, write(), feed.ErrLeaseExpired)
 	must.NoError(t, write())
-	must.EqOp(t, 3, s.leases)
+	must.EqOp(t, 3, s.leaseCount)
 }
 
-// TestRecordsKeepAndRemove checks that a hold is written unless one stands that says as much, and that only what was written before the answer is removed.
-func TestRecordsKeepAndRemove(t *testing.T) {
+// TestRecordsSaveAndRemove checks that a hold is written unless one stands that says as much, and that only what was written before the answer is removed.
+func TestRecordsSaveAndRemove(t *testing.T) {
 	f := quarantine.Fingerprint{1}
 	held := quarantine.Record{Fingerprint: f, WrittenMS: 1000, UntilMS: 600000, HoldCount: 1, Trials: 3}
 	more, less := held, held
@@ -139,12 +139,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, now := &oneKey{}, time.Duration(0)
+			s, now := &singleKeyStore{}, time.Duration(0)
 			if c.stands != nil {
 				s.put(t, f, c.stands)
 			}
 			k := newRecords(s, &now)
-			r, err := k.keep(t.Context(), held)
+			r, err := k.save(t.Context(), held)
 			must.NoError(t, err)
 			must.EqOp(t, c.until, r.UntilMS)
 			stands, err := parseRecord(s.item)
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -20,13 +20,13 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestDroppedRouteServesNobody drops a route while a host hears no other, and the first calls by which it would learn of that fail although the
+// TestRemovedRouteNotServed drops a route while a host hears no other, and the first calls by which it would learn of that fail although the
 // store is sound: no request that is sent later than the configuration time is served by the route.
 //
 // Cause: nothing looked at the age of settings but for keys, and after a refused call a host of a late turn paused for up to 5 s. Evidence: here all calls but the named
 // ones are answered, and the time after the change follows the pause. It is the cause of the requests that reached leaving endpoints in a fleet of 78 hosts (TestLeaverGetsNoWork), found by looking for the same elsewhere: the age of settings bounded what keys a
 // host takes, where that is asked for, and no route.
-func TestDroppedRouteServesNobody(t *testing.T) {
+func TestRemovedRouteNotServed(t *testing.T) {
 	calls := func(m simsite.Mood, n int) []simsite.Mood { return slices.Repeat([]simsite.Mood{m}, n) }
 	cases := []struct {
 		name  string
@@ -34,14 +34,14 @@
 		hosts int
 		next  []simsite.Mood // what the host's next readings of the settings meet
 	}{
-		{"few hosts, all calls are answered", fewBoot, 6, nil},
-		{"few hosts, three calls are refused", fewBoot, 6, calls(simsite.Refuse, 3)},
-		{"few hosts, three calls hang", fewBoot, 6, calls(simsite.Hang, 3)},
-		{"all calls are answered", manyBoot, 78, nil},
-		{"one call is refused", manyBoot, 78, calls(simsite.Refuse, 1)},
-		{"three calls are refused", manyBoot, 78, calls(simsite.Refuse, 3)},
-		{"one call hangs", manyBoot, 78, calls(simsite.Hang, 1)},
-		{"three calls hang", manyBoot, 78, calls(simsite.Hang, 3)},
+		{"few hosts, all calls are answered", smallBoot, 6, nil},
+		{"few hosts, three calls are refused", smallBoot, 6, calls(simsite.Refuse, 3)},
+		{"few hosts, three calls hang", smallBoot, 6, calls(simsite.Hang, 3)},
+		{"all calls are answered", largeBoot, 78, nil},
+		{"one call is refused", largeBoot, 78, calls(simsite.Refuse, 1)},
+		{"three calls are refused", largeBoot, 78, calls(simsite.Refuse, 3)},
+		{"one call hangs", largeBoot, 78, calls(simsite.Hang, 1)},
+		{"three calls hang", largeBoot, 78, calls(simsite.Hang, 3)},
 	}
 	for i, tc := range cases {
 		t.Run(fmt.Sprint(tc.name, ", ", tc.hosts, " hosts"), func(t *testing.T) {
@@ -50,7 +50,7 @@
 				defer s.Stop()
 				must.NoError(t, s.Start(site.Example(), 6, tc.hosts))
 				time.Sleep(6*time.Second + time.Duration(i)*170*time.Millisecond)
-				h := lastToRead(s.Hosts)
+				h := lastReader(s.Hosts)
 				s.KillOthers(h)
 				s.Store.Next(h.Boot.IP, platform.PrefixConfig, tc.next...)
 				next := site.Example()
--- a/edge/share.go
+++ b/edge/share.go
@@ -25,8 +25,8 @@
 		Capacity: h.Boot.Capacity(), Ready: h.ready(), Fresh: h.ingress.SettingsFresh(),
 	}
 	b.Load, b.Waiting = h.ingress.Loads()
-	told := h.ingress.Usage()
-	b.Used, b.Left = told.Used, told.Left
+	usage := h.ingress.Usage()
+	b.Used, b.Left = usage.Used, usage.Left
 	b.Crashes = h.Crashes(quarantine.Local)
 }
 
@@ -60,108 +60,112 @@
 }
 
 // LoadsReceived implements peers.Host.
-func (h *Host) LoadsReceived() { h.shareLoads() }
+func (h *Host) LoadsReceived() { h.applyPeerLoads() }
 
 // ProofReceived implements peers.Host: settings and endpoints that a peer knows to be newest are
 // so here too, and newer ones are asked for.
 func (h *Host) ProofReceived(p peers.Proof) {
-	settings, endpoints := false, false
+	fetchSettings, fetchEndpoints := false, false
 	if v := p.Settings; v.Known {
-		switch have := h.settings.Age.Revision(); {
-		case v.Revision == have:
+		switch own := h.settings.Age.Revision(); {
+		case v.Revision == own:
 			h.settings.Age.Prove(v.Revision, v.At)
-		case v.Revision > have:
-			settings = true
+		case v.Revision > own:
+			fetchSettings = true
 		}
 	}
 	if v := p.Endpoints; v.Known {
-		endpoints = h.endpoints.ReceiveView(viewOf(v))
+		fetchEndpoints = h.endpoints.ReceiveView(feedView(v))
 	}
-	if settings {
-		want(h.wantedSettings, p)
+	if fetchSettings {
+		requestFetch(h.settingsToFetch, p)
 	}
-	if endpoints {
-		want(h.wantedEndpoints, p)
+	if fetchEndpoints {
+		requestFetch(h.endpointsToFetch, p)
 	}
-	if !settings && !endpoints && p.Settings.Known && p.Endpoints.Known {
-		h.waking.level.Store(int64(h.now()))
+	if !fetchSettings && !fetchEndpoints && p.Settings.Known && p.Endpoints.Known {
+		h.gaps.peerLevelAt.Store(int64(h.now()))
 	}
 }
 
-// want lets what a peer proved be asked for, unless something is asked for already: the next heartbeat tells of what is newer still.
-func want(wanted chan peers.Proof, p peers.Proof) {
+// requestFetch lets what a peer proved be asked for, unless something is asked for already: the next heartbeat tells of what is newer still.
+func requestFetch(pending chan peers.Proof, p peers.Proof) {
 	select {
-	case wanted <- p:
+	case pending <- p:
 	default:
 	}
 }
 
-// viewOf names the endpoints that a peer proved.
-func viewOf(v peers.Version) feed.View {
+// feedView names the endpoints that a peer proved.
+func feedView(v peers.Version) feed.View {
 	return feed.View{Revision: v.Revision, Checksum: v.Sum, ProvenAt: v.At}
 }
 
 // fetchSettings and fetchEndpoints ask peers for what they know better, until ctx ends. The list of endpoints does not wait for
 // settings, which may be large: both have bounds on their age.
-func (h *Host) fetchSettings(ctx context.Context)  { h.fetch(ctx, h.wantedSettings, h.askSettings) }
-func (h *Host) fetchEndpoints(ctx context.Context) { h.fetch(ctx, h.wantedEndpoints, h.askEndpoints) }
+func (h *Host) fetchSettings(ctx context.Context) {
+	h.fetch(ctx, h.settingsToFetch, h.fetchSettingsFrom)
+}
+func (h *Host) fetchEndpoints(ctx context.Context) {
+	h.fetch(ctx, h.endpointsToFetch, h.fetchEndpointsFrom)
+}
 
 // fetch asks peers for what they proved, one at a time.
-func (h *Host) fetch(ctx context.Context, wanted chan peers.Proof, ask func(context.Context, peers.Proof)) {
+func (h *Host) fetch(ctx context.Context, pending chan peers.Proof, fetchOne func(context.Context, peers.Proof)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-wanted:
-			began := h.now()
+		case p := <-pending:
+			start := h.now()
 			cctx, cancel := context.WithTimeout(ctx, fetchTimeout)
-			ask(cctx, p)
+			fetchOne(cctx, p)
 			cancel()
-			h.fetched.longestMS.Store(max(h.fetched.longestMS.Load(), (h.now() - began).Milliseconds()))
+			h.fetchStats.longestMS.Store(max(h.fetchStats.longestMS.Load(), (h.now() - start).Milliseconds()))
 		}
 	}
 }
 
-// fetches counts the questions to peers for what they know better.
-type fetches struct {
-	asked, failed atomic.Int64
-	longestMS     atomic.Int64
+// fetchStats counts the questions to peers for what they know better.
+type fetchStats struct {
+	started, failed atomic.Int64
+	longestMS       atomic.Int64
 }
 
 // fetchTimeout bounds a question to a peer. A peer that does not answer is followed by
 // another one's heartbeat.
 const fetchTimeout = 500 * time.Millisecond
 
-// askSettings asks a peer for the settings that it proved.
-func (h *Host) askSettings(ctx context.Context, p peers.Proof) {
+// fetchSettingsFrom asks a peer for the settings that it proved.
+func (h *Host) fetchSettingsFrom(ctx context.Context, p peers.Proof) {
 	var b settingsBody
-	if h.ask(ctx, p.Control, pathSettings, &b) {
+	if h.fetchJSON(ctx, p.Control, pathSettings, &b) {
 		h.settings.Offer(b.Value, b.Revision)
 		h.settings.Age.Prove(p.Settings.Revision, p.Settings.At)
 	}
 }
 
-// askEndpoints asks a peer for the list of endpoints that it proved.
-func (h *Host) askEndpoints(ctx context.Context, p peers.Proof) {
+// fetchEndpointsFrom asks a peer for the list of endpoints that it proved.
+func (h *Host) fetchEndpointsFrom(ctx context.Context, p peers.Proof) {
 	var l feed.EndpointList
-	if h.ask(ctx, p.Control, pathEndpoints, &l) {
+	if h.fetchJSON(ctx, p.Control, pathEndpoints, &l) {
 		h.endpoints.Offer(l)
-		h.endpoints.ReceiveView(viewOf(p.Endpoints))
+		h.endpoints.ReceiveView(feedView(p.Endpoints))
 	}
 }
 
-// ask reads a peer's answer and reports whether there was one.
-func (h *Host) ask(ctx context.Context, control, path string, out any) bool {
-	h.fetched.asked.Add(1)
-	if !h.askOnce(ctx, control, path, out) {
-		h.fetched.failed.Add(1)
+// fetchJSON reads a peer's answer and reports whether there was one.
+func (h *Host) fetchJSON(ctx context.Context, control, path string, out any) bool {
+	h.fetchStats.started.Add(1)
+	if !h.tryFetchJSON(ctx, control, path, out) {
+		h.fetchStats.failed.Add(1)
 		return false
 	}
 	return true
 }
 
-// askOnce asks and reads the answer.
-func (h *Host) askOnce(ctx context.Context, control, path string, out any) bool {
+// tryFetchJSON asks and reads the answer.
+func (h *Host) tryFetchJSON(ctx context.Context, control, path string, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+path, nil)
 	if err != nil {
 		h.Log.Error(err, "peer's address cannot be asked", "peer", control)
@@ -187,26 +191,26 @@
 	return true
 }
 
-// shareLoads gives the ingress what the other hosts told of their requests.
-func (h *Host) shareLoads() {
+// applyPeerLoads gives the ingress what the other hosts told of their requests.
+func (h *Host) applyPeerLoads() {
 	h.ingress.SetOthers(h.agent.PeerLoads())
 }
 
-// foundFor is the time after its start for which a host counts the entries in the store among
+// storeCountPeriod is the time after its start for which a host counts the entries in the store among
 // the hosts: those of hosts that ended stay there for some seconds, but until heartbeats have
 // come, a host that counts itself alone takes all of an amount, and so does each other one that
 // starts at that moment. It is as long as a book takes levels from peers.
-const foundFor = 2 * time.Second
+const storeCountPeriod = 2 * time.Second
 
-// shareHosts tells the ingress which hosts share amounts and endpoints with this one.
-func (h *Host) shareHosts() {
+// applyHostCount tells the ingress which hosts share amounts and endpoints with this one.
+func (h *Host) applyHostCount() {
 	h.ingress.RetainHosts(h.agent.UsageSources())
 	n := 1 + len(h.agent.Unexpired())
 	if n == 1 && len(h.Boot.Seeds) > 1 {
 		n = len(h.Boot.Seeds)
 	}
-	if h.now() < foundFor {
-		n = max(n, int(h.found.Load()))
+	if h.now() < storeCountPeriod {
+		n = max(n, int(h.hostsInStore.Load()))
 	}
 	h.ingress.SetHosts(n, peers.ReportInterval(n))
 }
@@ -225,28 +229,28 @@
 	pathEndpoints = "/v1/endpoints"
 )
 
-// answerSettings answers other hosts with the configuration in force.
-func (h *Host) answerSettings(w http.ResponseWriter, _ *http.Request) {
+// serveSettings answers other hosts with the configuration in force.
+func (h *Host) serveSettings(w http.ResponseWriter, _ *http.Request) {
 	src := h.settings.Current()
 	if src == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	h.answer(w, settingsBody{src.Revision, src.Value})
+	h.writeJSON(w, settingsBody{src.Revision, src.Value})
 }
 
-// answerEndpoints answers other hosts with the endpoints in force.
-func (h *Host) answerEndpoints(w http.ResponseWriter, _ *http.Request) {
+// serveEndpoints answers other hosts with the endpoints in force.
+func (h *Host) serveEndpoints(w http.ResponseWriter, _ *http.Request) {
 	l, ok := h.endpoints.List()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	h.answer(w, l)
+	h.writeJSON(w, l)
 }
 
-// answer writes JSON.
-func (h *Host) answer(w http.ResponseWriter, body any) {
+// writeJSON writes JSON.
+func (h *Host) writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
 		h.Log.V(1).Info("answer not written", "cause", err.Error())
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -18,9 +18,9 @@
 	"github.com/heathkeel/heathkeel/internal/site"
 )
 
-// TestSuspendedHostsAreBack suspends one host, half of them or all, with the store there and away, and holds that requests are served
+// TestSuspendedHostsRecover suspends one host, half of them or all, with the store there and away, and holds that requests are served
 // again soon, as a waiting caller would want it.
-func TestSuspendedHostsAreBack(t *testing.T) {
+func TestSuspendedHostsRecover(t *testing.T) {
 	cases := []struct {
 		name      string
 		suspended int // of four hosts
@@ -37,7 +37,7 @@
 		for _, d := range []time.Duration{2 * time.Second, 8 * time.Second, time.Minute} {
 			t.Run(fmt.Sprint(tc.name, " ", d), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := &simsite.Site{Boot: fewBoot, Zones: 2, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
+					s := &simsite.Site{Boot: smallBoot, Zones: 2, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
 					defer s.Stop()
 					must.NoError(t, s.Start(site.Example(), 4, 4))
 					time.Sleep(3 * time.Second)
--- a/edge/vars.go
+++ b/edge/vars.go
@@ -39,8 +39,8 @@
 	Fetches        int64 `json:"fetches"`
 	FetchesFailed  int64 `json:"fetches_failed"`
 	FetchLongestMS int64 `json:"fetch_longest_ms"`
-	// PlacesOwned counts the endpoints whose places this host gives, or gave lately.
-	PlacesOwned int `json:"places_owned"`
+	// SlotsOwned counts the endpoints whose places this host gives, or gave lately.
+	SlotsOwned int `json:"places_owned"`
 	// EndpointsEjected counts the endpoints that get no work now because they fail, Ejections how often this host ejected
 	// one for failures of its own requests.
 	EndpointsEjected int `json:"endpoints_ejected"`
@@ -49,17 +49,17 @@
 	// are refused now.
 	RequestsSuspected int `json:"requests_suspected"`
 	RequestsHeld      int `json:"requests_held"`
-	// Wakes counts the times in which the process did not run, suspended or standing still, and AsleepMS is their sum.
-	Wakes    int64 `json:"wakes"`
-	AsleepMS int64 `json:"asleep_ms"`
+	// Gaps counts the times in which the process did not run, suspended or standing still, and AsleepMS is their sum.
+	Gaps  int64 `json:"wakes"`
+	GapMS int64 `json:"asleep_ms"`
 	// PeersLive and PeersCounted are the other hosts heard of lately, and those that may run.
-	PeersLive    int `json:"peers_live"`
-	PeersCounted int `json:"peers_counted"`
-	// Connections counts connections opened to endpoints.
-	Connections int64 `json:"connections_opened"`
+	PeersLive      int `json:"peers_live"`
+	PeersUnexpired int `json:"peers_counted"`
+	// ConnectionsOpened counts connections opened to endpoints.
+	ConnectionsOpened int64 `json:"connections_opened"`
 	// Ready says that the host takes requests, Fresh that it takes those with keys.
-	Ready bool `json:"ready"`
-	Fresh bool `json:"fresh"`
+	Ready         bool `json:"ready"`
+	SettingsFresh bool `json:"fresh"`
 }
 
 // vars reads the figures.
@@ -67,17 +67,17 @@
 	v := vars{
 		Requests: h.ingress.Count.All(), Series: h.ingress.Metrics.Export(), Active: h.ingress.Active(), SettingsAgeMS: -1,
 		SettingsRevision: h.settings.Age.Revision(), SettingsRefused: h.settings.RefusedCount(),
-		PeersLive: len(h.agent.Live()), PeersCounted: len(h.agent.Unexpired()),
-		Connections: h.ingress.OpenedConnections(), Ready: h.ready(), Fresh: h.ingress.SettingsFresh(),
+		PeersLive: len(h.agent.Live()), PeersUnexpired: len(h.agent.Unexpired()),
+		ConnectionsOpened: h.ingress.OpenedConnections(), Ready: h.ready(), SettingsFresh: h.ingress.SettingsFresh(),
 	}
 	if age, ok := h.settings.Age.At(h.now()); ok {
 		v.SettingsAgeMS = age.Milliseconds()
 	}
 	v.Endpoints, v.EndpointsAgeMS = h.endpoints.StateCounts(), -1
-	v.Fetches, v.FetchesFailed, v.FetchLongestMS = h.fetched.asked.Load(), h.fetched.failed.Load(), h.fetched.longestMS.Load()
-	v.PlacesOwned = h.ingress.SlotsOwned()
+	v.Fetches, v.FetchesFailed, v.FetchLongestMS = h.fetchStats.started.Load(), h.fetchStats.failed.Load(), h.fetchStats.longestMS.Load()
+	v.SlotsOwned = h.ingress.SlotsOwned()
 	v.EndpointsEjected, v.Ejections = h.ingress.EjectionCounts()
-	v.Wakes, v.AsleepMS = h.waking.count.Load(), h.waking.gapMS.Load()
+	v.Gaps, v.GapMS = h.gaps.count.Load(), h.gaps.totalMS.Load()
 	v.RequestsSuspected, v.RequestsHeld = h.ingress.SuspectCounts()
 	v.EndpointsForeign = h.endpoints.ForeignCount()
 	if view, ok := h.endpoints.View(); ok {
@@ -86,9 +86,9 @@
 	return v
 }
 
-// showVars answers with expvar's variables and the host's own. Several hosts may
+// serveVars answers with expvar's variables and the host's own. Several hosts may
 // run in one process, so the host's own are not published by name.
-func (h *Host) showVars(w http.ResponseWriter, _ *http.Request) {
+func (h *Host) serveVars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	own, err := json.Marshal(h.vars())
 	if err != nil {
