--- a/edge/doc.go
+++ b/edge/doc.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package edge joins the parts of heathkeel into one host on the users' platform:
-// settings and endpoints from the store or from peers, heartbeats with peers, the
-// ingress for callers, and the answers to those who ask where to go. All hosts are
-// alike and none holds what another needs.
+// Package edge assembles a heathkeel host on the users' platform: it reads settings and endpoints
+// from the store or from peers, exchanges heartbeats with peers, serves callers through the ingress
+// and answers requests for host addresses. All hosts are equal, and no host holds state that
+// another one needs.
 package edge
--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -22,24 +22,25 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestEndpointsFetchedDespiteSlowSettings lets a peer prove newer settings and a newer list of endpoints while its settings take too long to come, as
-// large ones do on a slow link: the list is there at once.
+// TestEndpointsFetchedDespiteSlowSettings checks that a host fetches a newer list of endpoints at
+// once while a fetch of newer settings from the same peer hangs, as large settings do on a slow
+// link.
 func TestEndpointsFetchedDespiteSlowSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		n := &simnet.Net{Delay: time.Millisecond}
+		network := &simnet.Net{Delay: time.Millisecond}
 		const control = "10.0.0.2:8229"
-		l, err := n.Host("10.0.0.2").Listen(ctx, "tcp", control)
+		l, err := network.Host("10.0.0.2").Listen(ctx, "tcp", control)
 		must.NoError(t, err)
-		m := http.NewServeMux()
-		m.HandleFunc(pathSettings, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		m.HandleFunc(pathEndpoints, func(w http.ResponseWriter, _ *http.Request) {
+		router := http.NewServeMux()
+		router.HandleFunc(pathSettings, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+		router.HandleFunc(pathEndpoints, func(w http.ResponseWriter, _ *http.Request) {
 			_ = json.NewEncoder(w).Encode(feed.EndpointList{Revision: 7, Endpoints: []feed.Endpoint{{Instance: "e"}}})
 		})
-		srv := &http.Server{Handler: m, ReadHeaderTimeout: time.Minute}
+		srv := &http.Server{Handler: router, ReadHeaderTimeout: time.Minute}
 		go func() { _ = srv.Serve(l) }()
-		h := &Host{Boot: platform.Boot{Host: "a", IP: "10.0.0.1"}, Network: n.Host("10.0.0.1"), Clock: clock.NewSteady(), Log: logr.Discard()}
+		h := &Host{Boot: platform.Boot{Host: "a", IP: "10.0.0.1"}, Network: network.Host("10.0.0.1"), Clock: clock.NewSteady(), Log: logr.Discard()}
 		h.settingsToFetch, h.endpointsToFetch = make(chan peers.Proof, 1), make(chan peers.Proof, 1)
 		h.assemble()
 		h.agent = &peers.Agent{Table: &peers.Table{Host: "a"}}
@@ -53,7 +54,7 @@
 		must.Eq(t, 7, list.Revision)
 		cancel()
 		_ = srv.Close()
-		n.Host("10.0.0.1").Kill()
+		network.Host("10.0.0.1").Kill()
 		h.peerHTTP.CloseIdleConnections()
 		time.Sleep(time.Second)
 	})
--- a/edge/host.go
+++ b/edge/host.go
@@ -28,63 +28,70 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// Parts of the platform's bounds that the host keeps.
+// Shares of the platform's limits, and times derived from them.
 const (
-	// maxKeyAgeShare is the part of the revocation time up to which settings are trusted.
+	// maxKeyAgeShare is the share of the revocation time up to which settings decide on keys.
 	maxKeyAgeShare = 0.6
-	// maxUnknownAgeShare is the part of the configuration time up to which an unknown key is surely unknown.
+	// maxUnknownAgeShare is the share of the configuration time up to which an unknown key is
+	// certainly unknown.
 	maxUnknownAgeShare = 0.9
-	// settingsWatchShare is the part of the revocation time that a watch of the configuration is
-	// idle: hosts that hear of the settings from others then know them to be younger than
-	// trustShare even if some heartbeats are lost.
+	// settingsWatchShare is the share of the revocation time for which a watch of the configuration
+	// may stay idle. Hosts that learn the age of the settings from others then know them to be
+	// younger than maxKeyAgeShare, even if some heartbeats are lost.
 	settingsWatchShare = 0.2
-	// listIntervalShare is the part of the drain time between two readings of the endpoints by the
-	// host that reads for all; the others read at 0.64 to 0.72 of it, see feed.Turns.
+	// listIntervalShare is the share of the drain time between two reads of the endpoints by the
+	// host that reads for all. The other hosts read at 0.64 to 0.72 of the drain time, see
+	// feed.ReadAge.
 	listIntervalShare = 0.4
-	// maxListAgeShare is the part of the drain time up to which requests are sent by a list of endpoints; the rest is for the way
-	// from the last look at its age to the endpoint.
+	// maxListAgeShare is the share of the drain time up to which a list of endpoints is used to
+	// send requests. The rest covers the time from the last check of its age until the request
+	// arrives at the endpoint.
 	maxListAgeShare = 0.9
-	// maxSettingsAgeShare is the part of the configuration time up to which requests are decided by the settings; the rest is for a request's way.
+	// maxSettingsAgeShare is the share of the configuration time up to which the settings decide on
+	// requests. The rest covers the transit of a request.
 	maxSettingsAgeShare = 0.95
-	// outageShare is the part of the drain time without any answer that tells of an outage of the store: the time between the age at which the host
-	// whose turn is last asks and that up to which it may use the list.
+	// outageShare is the share of the drain time without any answer that indicates an outage of the
+	// store: the time between the age at which the host with the last rank asks the store and the
+	// age up to which it may use the list.
 	outageShare = 0.2
-	// settingsRetryInterval and endpointsPause are the times between two tries while the store
-	// fails: a few in the time after its return in which hosts are to be in touch again.
+	// settingsRetryInterval and endpointsRetryInterval are the times between two attempts while the
+	// store fails. They allow a few attempts in the time after the store's return within which
+	// hosts have to be in contact with it again.
 	settingsRetryInterval  = 300 * time.Millisecond
 	endpointsRetryInterval = 400 * time.Millisecond
-	// listWatchTimeout is how long a reading of the endpoints' changes waits for some. Endpoints
-	// write all the time, so that there mostly are.
+	// listWatchTimeout is how long a read of the endpoints' changes waits for changes. Endpoints
+	// write continuously, so there usually are some.
 	listWatchTimeout = 100 * time.Millisecond
-	// lapseHeartbeats is the number of heartbeats of an endpoint that an outage must last for its
-	// entry to lapse: it goes with the third that is missing, and the outage may begin just before the first.
+	// lapseHeartbeats is the number of an endpoint's heartbeats that an outage must last for its
+	// entry to lapse. The entry is removed after the third missing heartbeat, and the outage may
+	// begin just before the first.
 	lapseHeartbeats = 2
-	// renewTime is the time after the store's return in which endpoints' entries are back (the
-	// platform's pages: within about two seconds).
+	// renewTime is the time after the store's return in which the endpoints renew their entries:
+	// about two seconds according to the platform's documentation.
 	renewTime = 2 * time.Second
-	// maxLapseShare is the part of the contact time for which lapsed endpoints are kept at most.
+	// maxLapseShare is the share of the contact time for which lapsed endpoints are kept at most.
 	maxLapseShare = 0.9
-	// retryBudgetShare is the part of the retry bound that hosts use.
+	// retryBudgetShare is the share of the platform's retry limit that hosts use.
 	retryBudgetShare = 0.7
-	// bodyMemoryShare is the part of the memory for bodies of requests.
+	// bodyMemoryShare is the share of the memory for bodies of requests.
 	bodyMemoryShare = 0.2
-	// memoryLimitShare is the part of the memory that the collector aims to stay under.
+	// memoryLimitShare is the share of the memory that is set as the garbage collector's soft
+	// limit.
 	memoryLimitShare = 0.6
 )
 
-// Host is one host: its parts and what joins them. The exported fields must be
-// set before Run.
+// Host is a heathkeel host on the users' platform. The exported fields must be set before Run.
 type Host struct {
-	// Boot is the settings file and Path where it lies.
+	// Boot is the content of the settings file, and Path is the file's path.
 	Boot platform.Boot
 	Path string
-	// Trace logs a line for every request.
+	// Trace enables a log line for every request.
 	Trace bool
-	// Clock is the host's clock, or nil for one that Run makes.
+	// Clock is the host's clock. If nil, Run creates one.
 	Clock *clock.Clock
-	// Network is how the host reaches others, or nil for the machine's.
+	// Network connects the host to others. If nil, the operating system's network is used.
 	Network Network
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
 	incarnation  uint64
@@ -98,11 +105,11 @@
 	agent        *peers.Agent
 	hostRegistry *feed.HostRegistry
 	records      *records
-	registered   bool         // this host keeps an entry; of entry.Run only
-	hostsInStore atomic.Int64 // hosts that there are by their entries in the store
+	registered   bool         // this host keeps an entry in the store; used by hostRegistry.Run only
+	hostsInStore atomic.Int64 // number of hosts according to the entries in the store
 	peerHTTP     *http.Client
 	fetchStats   fetchStats
-	// what peers proved, to be asked for
+	// versions that peers proved and that this host has to fetch from them
 	settingsToFetch, endpointsToFetch chan peers.Proof
 
 	stopping chan struct{}
@@ -110,14 +117,14 @@
 	lastBoot platform.Boot
 }
 
-// now is the time since the host's start, suspensions included.
+// now returns the time since the host's start, including suspensions.
 func (h *Host) now() time.Duration { return h.Clock.Now() }
 
-// Signals are what the process is told from outside.
+// Signals are the signals that Run handles.
 var Signals = []os.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP}
 
-// Run keeps the host going until a signal to stop comes and the stop is done, or
-// until ctx ends, which ends the host at once.
+// Run runs the host until a signal to stop arrives and the stop is complete, or until ctx ends,
+// which stops the host at once.
 func (h *Host) Run(ctx context.Context, signals <-chan os.Signal) error {
 	if h.Clock == nil {
 		h.Clock = clock.New()
@@ -144,14 +151,14 @@
 		go run(ctx)
 	}
 	if !h.Clock.Whole() {
-		h.Log.Info("no clock that counts suspensions of the host; what it knew before one looks younger than it is")
+		h.Log.Info("the clock does not count suspensions of the host; after a suspension its settings and endpoints look younger than they are")
 	}
 	h.Log.Info("started", "front", h.Boot.Front, "zone", h.Boot.Zone, "life", h.incarnation)
 	h.waitForStop(ctx, signals)
 	return nil
 }
 
-// assemble makes the parts.
+// assemble creates the components of the host.
 func (h *Host) assemble() {
 	b := &h.Boot
 	h.store = &platform.Store{
@@ -201,29 +208,32 @@
 	}
 }
 
-// listConfirmedAt tells when the list of endpoints was surely the newest.
+// listConfirmedAt returns the time at which the list of endpoints was last known to be the newest.
 func (h *Host) listConfirmedAt() (time.Duration, bool) { return h.endpoints.ProvenAt() }
 
-// storeDialTimeout bounds the opening of a connection to the store. It is longer than any call: a connection that is opened late because this
-// process waits for the processor must not fail before the call, whose silence is judged by the time in which the process ran.
+// storeDialTimeout limits the time for opening a connection to the store. It is longer than any
+// call. If this process waits for the processor and opens a connection late, the dial must not fail
+// before the call does: the silence of a call is judged by the time in which the process ran.
 const storeDialTimeout = 10 * time.Second
 
-// listUsable reports whether the list of endpoints is young enough to send requests by it.
+// listUsable reports whether the list of endpoints is recent enough to send requests by it.
 func (h *Host) listUsable() bool { return h.endpoints.Usable() }
 
-// applyTable puts a configuration in force and tells the other hosts of it at once.
+// applyTable puts a configuration in force and sends a heartbeat at once, so that the other hosts
+// learn of it.
 func (h *Host) applyTable(t *route.Table) {
 	h.ingress.SetTable(t)
 	h.agent.TriggerHeartbeat()
 }
 
-// applyEndpoints puts a list of endpoints in force and tells the other hosts of it at once.
+// applyEndpoints puts a list of endpoints in force and sends a heartbeat at once, so that the other
+// hosts learn of it.
 func (h *Host) applyEndpoints(list []feed.Endpoint) {
 	h.ingress.SetEndpoints(list)
 	h.agent.TriggerHeartbeat()
 }
 
-// bodyMemory bounds the bytes of requests held.
+// bodyMemory returns the limit in bytes for the bodies of requests.
 func (h *Host) bodyMemory() int64 {
 	if h.Boot.MemoryMB == 0 {
 		return 64 << 20
@@ -231,10 +241,10 @@
 	return int64(bodyMemoryShare * float64(h.Boot.MemoryMB<<20))
 }
 
-// peerAddress is where this host hears heartbeats.
+// peerAddress returns the address at which this host receives heartbeats.
 func (h *Host) peerAddress() string { return fmt.Sprintf("%s:%d", h.Boot.IP, h.Boot.PeerPort) }
 
-// listenPeers opens the socket for heartbeats.
+// listenPeers opens the socket for heartbeats and creates the agent.
 func (h *Host) listenPeers(ctx context.Context) error {
 	conn, err := h.network().ListenPacket(ctx, "udp", h.peerAddress())
 	if err != nil {
@@ -251,8 +261,8 @@
 	return nil
 }
 
-// seedAddresses gives where the named hosts hear heartbeats, but for this host: ports are
-// alike on all hosts.
+// seedAddresses returns the heartbeat addresses of the hosts with the given control addresses,
+// without this host. All hosts use the same port for heartbeats.
 func (h *Host) seedAddresses(controlAddresses []string) []string {
 	var out []string
 	for _, s := range controlAddresses {
@@ -263,7 +273,8 @@
 	return out
 }
 
-// ready tells whether the host takes requests: it knows settings and endpoints and does not stop.
+// ready reports whether the host accepts requests: it knows settings and endpoints and is not
+// stopping.
 func (h *Host) ready() bool {
 	select {
 	case <-h.stopping:
@@ -274,8 +285,9 @@
 	return listed && h.settings.Current() != nil && !h.unconfirmed()
 }
 
-// drawEvery is the time between two draws of places, as long as changed loads take to be
-// told; what is done less often is done at each so many of them: every 0.1, 0.2 and 1 s.
+// claimInterval is the time between two claims of slots. It equals the time between two checks for
+// changed loads to report. The other periodic tasks run at every 4th, 8th and 40th claim: every
+// 0.1, 0.2 and 1 s.
 const (
 	claimInterval  = 25 * time.Millisecond
 	claimsPerTick  = 4
@@ -283,7 +295,7 @@
 	claimsPerSweep = 40
 )
 
-// runPeriodically does what is due now and then.
+// runPeriodically runs the periodic tasks until ctx ends.
 func (h *Host) runPeriodically(ctx context.Context) {
 	t := time.NewTicker(claimInterval)
 	defer t.Stop()
@@ -308,7 +320,7 @@
 	}
 }
 
-// waitForStop waits for the signal to stop and stops.
+// waitForStop handles signals until one to stop arrives, and stops the host.
 func (h *Host) waitForStop(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -326,13 +338,12 @@
 	}
 }
 
-// reload reads the settings file again and puts in force what may change while
-// the host runs: the addresses of other hosts and the bounds of trust. A broken
-// file changes nothing.
+// reload reads the settings file again and applies what may change while the host runs: the
+// addresses of other hosts and the limits on the age of settings. An invalid file changes nothing.
 func (h *Host) reload() {
 	b, err := platform.ReadBoot(h.Path)
 	if err != nil {
-		h.Log.Error(err, "settings file refused; the last one stays")
+		h.Log.Error(err, "invalid settings file ignored; the previous one stays in force")
 		return
 	}
 	if reflect.DeepEqual(b, h.lastBoot) {
@@ -345,7 +356,7 @@
 	h.Log.Info("settings file in force", "seeds", len(b.Seeds), "trust", a.MaxKeyAge.String(), "strict", a.Strict)
 }
 
-// ageLimits gives the bounds on the age of the settings.
+// ageLimits returns the limits on the age of the settings.
 func ageLimits(b *platform.Boot) ingress.AgeLimits {
 	return ingress.AgeLimits{
 		MaxKeyAge:     time.Duration(maxKeyAgeShare * float64(b.RevokeTime)),
@@ -354,7 +365,8 @@
 	}
 }
 
-// pollSettingsFile looks for changes of the settings file that nobody tells.
+// pollSettingsFile triggers a reload periodically, for changes of the settings file without a
+// signal.
 func (h *Host) pollSettingsFile(ctx context.Context) {
 	if h.Path == "" {
 		return
@@ -371,18 +383,19 @@
 	}
 }
 
-// filePollInterval is the time between two looks at the settings file.
+// filePollInterval is the time between two reads of the settings file.
 const filePollInterval = 5 * time.Second
 
-// Times of a planned stop.
+// Times of a graceful stop.
 const (
-	// minLinger is how long callers with old answers are still served.
+	// minLinger is how long callers with old address answers are still served.
 	minLinger = 3500 * time.Millisecond
-	// graceReserve is the part of the grace that is not used.
+	// graceReserve is the part of the grace period that is left unused.
 	graceReserve = 700 * time.Millisecond
 )
 
-// stop tells callers and peers, and ends once nothing runs or the grace is over.
+// stop announces the stop to callers and peers and returns when no request is active or the grace
+// period is over.
 func (h *Host) stop() {
 	start := h.now()
 	close(h.stopping)
--- a/edge/join.go
+++ b/edge/join.go
@@ -13,38 +13,42 @@
 	"github.com/heathkeel/heathkeel/feed"
 )
 
-// How hosts find each other, and who of them asks the store. Calls to the store are priced, and a
-// fleet that starts at once would make four for each host: two readings, a lease and an entry.
-// docs/design/membership.md has the ways weighed and the calls counted.
+// Hosts find each other through seeds and through entries in the store. Calls to the store are
+// priced, and a fleet that starts at once would make four calls per host: two reads, a lease and an
+// entry. docs/design/membership.md has the alternatives and the number of calls of each.
 
 const (
-	// registeredHosts is the number of hosts that keep an entry in the store. Hosts that start and find
-	// no seed that answers are told of all others by any one of them; with eight in several
-	// zones, the loss of a zone and of three hosts besides leaves some.
+	// registeredHosts is the number of hosts that keep an entry in the store. A host that starts
+	// and gets no answer from a seed learns of all other hosts from any one of these. With eight of
+	// them in several zones, some remain after the loss of a zone and of three other hosts.
 	registeredHosts = 8
-	// maxRegisteredRank is the place up to which a host that keeps an entry goes on doing so: hosts that come and go
-	// near the last place would write entries in turn.
+	// maxRegisteredRank is the rank below which a host that keeps an entry continues to do so.
+	// Without this margin, hosts that join and leave near the last rank would make others write
+	// entries alternately.
 	maxRegisteredRank = 12
-	// largeFleet is the number of hosts from which one that starts lets peers tell it what they read. In
-	// smaller fleets a start costs 64 calls at most, and the time of a host counts for more.
+	// largeFleet is the number of hosts from which a starting host waits for peers to send what
+	// they read. In smaller fleets a start costs at most 64 calls, and the host's time matters
+	// more.
 	largeFleet = 32
-	// firstStartWait is the time for which hosts that all start for the first time wait for the seeds to
-	// read for them, before callers come; startPatience is that of a start among many: a seed's
-	// proof comes within 21 ms (TestStartersAreTold), and two questions to it follow.
-	// As much again is drawn, so that those which were not told do not all read at once.
+	// firstStartWait is how long hosts that all start for the first time, before callers arrive,
+	// wait for the seeds to read for them. startWait is the same for a host that starts in a large
+	// fleet: a seed's proof arrives within 21 ms (TestStartingHostsGetProofs), and two fetches from
+	// the seed follow. Up to the same time again is added at random, so that hosts that received
+	// nothing do not all read at once.
 	firstStartWait = 400 * time.Millisecond
 	startWait      = 120 * time.Millisecond
-	// startPollInterval is the time between two looks for what peers told.
+	// startPollInterval is the time between two checks for what peers sent.
 	startPollInterval = 5 * time.Millisecond
-	// joinPeriod is the time after a start for which a host that knows less than half of the
-	// hosts, by the entries in the store, lets others read: it cannot know its turn.
+	// joinPeriod is the time after a start for which a host that knows less than half of the hosts
+	// that exist according to the store's entries lets others read, because it cannot know its
+	// rank.
 	joinPeriod = 3 * time.Second
-	// hostCountStep is the factor between two numbers of hosts that entries tell, so that an
-	// entry is seldom written anew.
+	// hostCountStep is the factor between two host counts written to entries, so that an entry is
+	// rarely rewritten.
 	hostCountStep = 1.25
 )
 
-// followStore keeps up with the store, after peers had the time to tell this host what they read.
+// followStore reads the store until ctx ends, after giving peers time to send what they read.
 func (h *Host) followStore(ctx context.Context) {
 	if !h.isSeed() && h.Boot.First {
 		h.awaitPeers(ctx, firstStartWait)
@@ -57,11 +61,12 @@
 	h.endpoints.Run(ctx)
 }
 
-// isSeed tells whether this host is one of those that hosts ask first. One that has no other
-// to ask counts as one.
+// isSeed reports whether this host is one of the seeds. A host without another seed to ask counts
+// as one.
 func (h *Host) isSeed() bool { return len(h.seedAddresses(h.Boot.Seeds)) < max(1, len(h.Boot.Seeds)) }
 
-// awaitPeers waits until peers told all that is needed, or a time drawn between one and two patiences.
+// awaitPeers waits until peers have sent all that the host needs to be ready, or for a random time
+// from minWait to twice minWait.
 func (h *Host) awaitPeers(ctx context.Context, minWait time.Duration) {
 	until := h.now() + minWait + rand.N(minWait)
 	for h.now() < until && !h.ready() && ctx.Err() == nil {
@@ -69,8 +74,8 @@
 	}
 }
 
-// awaitHostCount waits for the entries of hosts in the store and returns how many hosts there are by
-// them, 0 if they are not told soon.
+// awaitHostCount waits for the hosts' entries in the store and returns the number of hosts
+// according to them, or 0 if it is not known within startWait.
 func (h *Host) awaitHostCount(ctx context.Context) int {
 	for until := h.now() + startWait; h.now() < until && h.hostsInStore.Load() == 0 && ctx.Err() == nil; {
 		time.Sleep(startPollInterval)
@@ -78,7 +83,7 @@
 	return int(h.hostsInStore.Load())
 }
 
-// applyHostEntries takes the hosts' entries in the store.
+// applyHostEntries applies the hosts' entries in the store.
 func (h *Host) applyHostEntries(items []feed.Item) {
 	var seeds []string
 	count := max(1, len(items))
@@ -92,7 +97,8 @@
 	h.applyHostCount()
 }
 
-// hostEntry is this host's entry. A large number of hosts in it is rounded up.
+// hostEntry returns the value of this host's entry. A large number of hosts is rounded up to a
+// power of hostCountStep.
 func (h *Host) hostEntry() []byte {
 	n := h.hostCount()
 	if n >= largeFleet {
@@ -102,10 +108,10 @@
 	return feed.HostEntry{Address: h.peerAddress(), HostCount: n}.Encode()
 }
 
-// hostCount is the number of hosts that may run, this one included.
+// hostCount returns the number of hosts that may be running, including this one.
 func (h *Host) hostCount() int { return 1 + len(h.agent.Unexpired()) }
 
-// shouldRegister tells whether this host is one of those that keep an entry in the store.
+// shouldRegister reports whether this host has to keep an entry in the store.
 func (h *Host) shouldRegister() bool {
 	maxRank := registeredHosts
 	if h.registered {
@@ -115,7 +121,7 @@
 	return h.registered
 }
 
-// readRank is this host's place in the order in which hosts read the store for each other.
+// readRank returns this host's rank in the order in which hosts read the store for each other.
 func (h *Host) readRank() int {
 	rank, _ := h.agent.Turn()
 	if inStore := int(h.hostsInStore.Load()); rank > 0 && h.now() < joinPeriod && inStore >= largeFleet && 2*h.hostCount() < inStore {
@@ -124,7 +130,7 @@
 	return rank
 }
 
-// viaRelay tells whether proofs of peers reach this host by way of relays.
+// viaRelay reports whether proofs of peers reach this host through relays.
 func (h *Host) viaRelay() bool {
 	_, viaRelay := h.agent.Turn()
 	return viaRelay
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -21,7 +21,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// newTestHost makes a host that has not begun to run, with the given seeds.
+// newTestHost returns a host that is assembled but not running.
 func newTestHost(boot platform.Boot) *Host {
 	h := &Host{Boot: boot, Log: logr.Discard(), Clock: clock.NewSteady(), stopping: make(chan struct{})}
 	h.assemble()
@@ -41,7 +41,7 @@
 		{"named", []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}, true},
 		{"not named", []string{"10.0.0.2:80", "10.0.0.3:80"}, false},
 		{"no seeds", nil, true},
-		{"a seed that cannot be read", []string{"10.0.0.2:80", "host"}, true},
+		{"a seed with an invalid address", []string{"10.0.0.2:80", "host"}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestHostCountInEntries holds what entries tell of the number of hosts, and what a host makes of them.
+// TestHostCountInEntries checks the number of hosts that entries state, and how a host uses it.
 func TestHostCountInEntries(t *testing.T) {
 	h := newTestHost(platform.Boot{Host: "a", IP: "10.0.0.1", PeerPort: 7600})
 	must.Eq(t, feed.HostEntry{Address: "10.0.0.1:7600", HostCount: 1}, feed.ParseHostEntry(h.hostEntry()))
@@ -73,35 +73,35 @@
 	}
 }
 
-// TestStartWaitsForPeers holds how long hosts wait for what peers read before they read themselves: the
-// seeds and hosts of small fleets not at all.
+// TestStartWaitsForPeers checks how long starting hosts wait for what peers read before they read
+// the store themselves. Seeds and hosts of small fleets do not wait.
 func TestStartWaitsForPeers(t *testing.T) {
 	others := []string{"10.0.0.2:80", "10.0.0.3:80"}
 	cases := []struct {
-		name        string
-		boot        platform.Boot
-		found       int64
-		least, most time.Duration
+		name               string
+		boot               platform.Boot
+		found              int64
+		minDelay, maxDelay time.Duration
 	}{
-		{"a seed, at the first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, First: true}, 0, 0, 0},
-		{"the first start", platform.Boot{Seeds: others, First: true}, 0, firstStartWait, 2*firstStartWait + startPollInterval},
-		{"among many", platform.Boot{Seeds: others}, 295, startWait, 2*startWait + startPollInterval},
-		{"among few", platform.Boot{Seeds: others}, 6, 0, 0},
-		{"the store does not tell how many", platform.Boot{Seeds: others}, 0, startWait, startWait + startPollInterval},
+		{"seed, first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, First: true}, 0, 0, 0},
+		{"first start", platform.Boot{Seeds: others, First: true}, 0, firstStartWait, 2*firstStartWait + startPollInterval},
+		{"large fleet", platform.Boot{Seeds: others}, 295, startWait, 2*startWait + startPollInterval},
+		{"small fleet", platform.Boot{Seeds: others}, 6, 0, 0},
+		{"number of hosts unknown", platform.Boot{Seeds: others}, 0, startWait, startWait + startPollInterval},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				tc.boot.Host, tc.boot.IP, tc.boot.PeerPort, tc.boot.Store = "a", "10.0.0.1", 7600, "store"
-				began := time.Now()
+				start := time.Now()
 				h := newTestHost(tc.boot)
 				h.hostsInStore.Store(tc.found)
 				store := &failingStore{}
 				h.settings.Store, h.endpoints.Store, h.hostRegistry.Store = store, store, store
 				go h.followStore(ctx)
 				time.Sleep(2 * time.Second)
-				must.Between(t, tc.least, store.firstReadAt.Sub(began), tc.most)
+				must.Between(t, tc.minDelay, store.firstReadAt.Sub(start), tc.maxDelay)
 				cancel()
 				synctest.Wait()
 			})
@@ -109,7 +109,8 @@
 	}
 }
 
-// failingStore notes when a host first reads the settings or the endpoints from a store that fails.
+// failingStore is a store that fails. It records when a host first reads the settings or the
+// endpoints.
 type failingStore struct {
 	feed.Store
 	firstReadAt time.Time
@@ -119,9 +120,9 @@
 	if prefix != platform.PrefixOwn && s.firstReadAt.IsZero() {
 		s.firstReadAt = time.Now()
 	}
-	return feed.Page{}, fmt.Errorf("the store fails")
+	return feed.Page{}, fmt.Errorf("the store is down")
 }
 
 func (s *failingStore) Grant(context.Context, time.Duration) (uint64, error) {
-	return 0, fmt.Errorf("the store fails")
+	return 0, fmt.Errorf("the store is down")
 }
--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -22,37 +22,43 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// largeBoot is the settings of the hosts of a deployment of tens.
+// largeBoot is the configuration of hosts in a deployment of tens of hosts.
 var largeBoot = platform.Boot{
 	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, Grace: 8 * time.Second,
 	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
 }
 
-// lastReader is the host that reads the store last, by the order drawn from names.
+// lastReader returns the host with the last rank in the order of reading the store, which is
+// derived from the hosts' names.
 func lastReader(hosts []*simsite.Host) *simsite.Host {
 	return slices.MaxFunc(hosts, func(a, b *simsite.Host) int {
 		return cmp.Compare(xxhash.Sum64String(a.Boot.Host), xxhash.Sum64String(b.Boot.Host))
 	})
 }
 
-// TestNoRequestsToLeavingEndpoints plays what users saw in a fleet of 78 hosts, run as real processes: requests reached endpoints later than
-// the drain time of 3 s after the store had taken that they leave, from hosts that nothing disturbed, while the store was sound.
+// TestNoRequestsToLeavingEndpoints checks that no request reaches an endpoint later than the drain
+// time after the store has recorded that it leaves, even if the store refuses or does not answer a
+// host's first calls.
 //
-// What happens, in order: a host hears from the others how young the list of endpoints is, and then hears nothing more. Endpoints leave. Once
-// its own turn has come, the host asks the store; its first calls are refused, as beyond the store's rate, or get no answer. The host goes on
-// sending requests by the list that it has.
+// The failure was seen in a fleet of 78 hosts run as real processes, with a drain time of 3 s and a
+// sound store: a host learns from others how recent the list of endpoints is and then loses contact
+// with them. Endpoints leave. When its own rank makes it read the store, its first calls are
+// refused, as for exceeding the store's rate, or get no answer, and it keeps sending requests by
+// the old list.
 //
-// Cause: nothing looked at the age of the list as a request was sent. That it was young enough rested on a sum of usual times: of readings by turns, proofs by
-// way of relays, a call and its repetition; one refused call was taken for an outage of the store, after which a host paused for up to 5 s
-// and kept entries that went. Evidence: in a run of 78 real processes on one core the hosts' own lines told lists 4.7 to 6.2 s old at the sends that came late, with
-// the store sound; here all calls but the named ones are answered, and the time after the leaving follows the pause.
+// The cause was that the age of the list was not checked when a request was sent. It was assumed
+// from typical durations: reads by rank, proofs through relays, one call and its repetition. A
+// single refused call was taken for an outage, after which a host paused for up to 5 s and kept
+// entries that were removed. Evidence: in a run of 78 processes on one core the hosts logged lists
+// 4.7 to 6.2 s old at the late sends while the store was sound. In this test all calls but the
+// given ones are answered, and the delay of the late requests followed the pause.
 func TestNoRequestsToLeavingEndpoints(t *testing.T) {
-	const hosts, endpoints, leave = 78, 12, 4
+	const hosts, endpoints, leaving = 78, 12, 4
 	calls := func(m simsite.Mood, n int) []simsite.Mood { return slices.Repeat([]simsite.Mood{m}, n) }
 	cases := []struct {
 		name string
-		next []simsite.Mood // what the host's next readings of the endpoints meet
-		wait time.Duration  // from the start of the hosts to the leaving
+		next []simsite.Mood // results of the host's next reads of the endpoints
+		wait time.Duration  // from the start of the hosts until endpoints leave
 	}{
 		{"all calls are answered", nil, 6 * time.Second},
 		{"one call is refused", calls(simsite.Refuse, 1), 6200 * time.Millisecond},
@@ -63,8 +69,8 @@
 		{"three calls hang", calls(simsite.Hang, 3), 7200 * time.Millisecond},
 	}
 	for _, tc := range cases {
-		for _, says := range []bool{true, false} {
-			t.Run(fmt.Sprint(tc.name, ", the endpoints say so ", says), func(t *testing.T) {
+		for _, announced := range []bool{true, false} {
+			t.Run(fmt.Sprint(tc.name, ", announced by the endpoints ", announced), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := &simsite.Site{Boot: largeBoot, Zones: 3, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
 					defer s.Stop()
@@ -73,8 +79,8 @@
 					h := lastReader(s.Hosts)
 					s.KillOthers(h)
 					s.Store.Next(h.Boot.IP, platform.PrefixEndpoints, tc.next...)
-					for _, e := range s.Endpoints[:leave] {
-						e.Leave(says)
+					for _, e := range s.Endpoints[:leaving] {
+						e.Leave(announced)
 					}
 					served := 0
 					const asked = 400
@@ -93,36 +99,37 @@
 	}
 }
 
-// smallBoot is the settings of the hosts of a deployment of a few.
+// smallBoot is the configuration of hosts in a deployment of a few hosts.
 var smallBoot = platform.Boot{
 	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, Grace: 8 * time.Second,
 	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
 }
 
-// TestServeDuringStoreOutage holds that hosts serve on with the endpoints that they know while the store fails, for all of them or for one,
-// however it fails, and that they know of a leaving again from the contact time after its return on.
+// TestServeDuringStoreOutage checks that hosts continue to serve with the endpoints that they know
+// while the store fails in any way, for all hosts or for one. From the contact time after the
+// store's return, they notice leaving endpoints again.
 func TestServeDuringStoreOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	cases := []struct {
-		boot  platform.Boot
-		hosts int
-		mood  simsite.Mood
-		one   bool // for the host alone that reads last
+		boot           platform.Boot
+		hosts          int
+		mood           simsite.Mood
+		onlyLastReader bool // only for the host that reads last
 	}{
 		{smallBoot, 6, simsite.Refuse, false}, {smallBoot, 6, simsite.Hang, false}, {smallBoot, 6, simsite.Refuse, true}, {smallBoot, 6, simsite.Hang, true},
 		{smallBoot, 1, simsite.Refuse, false}, {smallBoot, 1, simsite.Hang, false},
 		{largeBoot, 78, simsite.Refuse, false}, {largeBoot, 78, simsite.Hang, false}, {largeBoot, 78, simsite.Hang, true},
 	}
 	for i, tc := range cases {
-		t.Run(fmt.Sprintf("%d hosts, mood %d, one %t", tc.hosts, tc.mood, tc.one), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, mood %d, one %t", tc.hosts, tc.mood, tc.onlyLastReader), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &simsite.Site{Boot: tc.boot, Zones: 3, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
 				defer s.Stop()
 				must.NoError(t, s.Start(site.Example(), 12, tc.hosts))
 				time.Sleep(6*time.Second + time.Duration(i)*130*time.Millisecond)
-				last := lastReader(s.Hosts)
+				lastHost := lastReader(s.Hosts)
 				for _, h := range s.Hosts {
-					if !tc.one || h == last {
+					if !tc.onlyLastReader || h == lastHost {
 						s.Store.Treat(h.Boot.IP, tc.mood)
 					}
 				}
@@ -130,7 +137,7 @@
 				asked, served := 0, 0
 				ask := func(d time.Duration) {
 					for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-						for _, h := range []*simsite.Host{last, s.Hosts[0]} {
+						for _, h := range []*simsite.Host{lastHost, s.Hosts[0]} {
 							asked++
 							if s.Ask(h) == http.StatusOK {
 								served++
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -20,12 +20,13 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// Defaults of the limits on callers.
+// Default limits on callers' connections.
 const (
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
 	defaultHeaderBytes   = 16 << 10
-	// idleTimeoutMargin is how much longer than told a resting connection is kept.
+	// idleTimeoutMargin is the factor by which an idle connection is kept longer than callers are
+	// told.
 	idleTimeoutMargin = 1.5
 )
 
@@ -55,21 +56,21 @@
 	return nil
 }
 
-// serveHandler serves a handler with fixed limits.
+// serveHandler returns a function that serves a handler with the default limits.
 func serveHandler(handler http.Handler) func(net.Listener) {
 	srv := &http.Server{Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultHeaderBytes}
 	return func(l net.Listener) { _ = srv.Serve(l) }
 }
 
-// frontServer serves callers under the limits of the configuration in force when
-// they connect.
+// frontServer serves callers. A connection gets the limits of the configuration that is in force
+// when it is accepted.
 type frontServer struct {
 	host   *Host
 	limits route.Limits
 	queue  *queueListener
 }
 
-// serve accepts connections and hands each to the server with the limits in force.
+// serve accepts connections and passes each to the server with the current limits.
 func (f *frontServer) serve(l net.Listener) {
 	defer func() {
 		if f.queue != nil {
@@ -92,7 +93,8 @@
 	}
 }
 
-// currentQueue returns the queue of the server for the limits in force.
+// currentQueue returns the queue of the server for the current limits, and starts that server if
+// the limits changed.
 func (f *frontServer) currentQueue(addr net.Addr) *queueListener {
 	var limits route.Limits
 	if src := f.host.settings.Current(); src != nil {
@@ -102,7 +104,7 @@
 		return f.queue
 	}
 	if f.queue != nil {
-		_ = f.queue.Close() // its server goes on with the connections that it has
+		_ = f.queue.Close() // its server continues with the connections that it already has
 	}
 	f.limits = limits
 	f.queue = &queueListener{addr: addr, conns: make(chan net.Conn, 64), closed: make(chan struct{})}
@@ -116,7 +118,7 @@
 	return f.queue
 }
 
-// positiveOr returns v, or a default if v is not above 0.
+// positiveOr returns v if it is positive, otherwise def.
 func positiveOr[T int64 | time.Duration](v, def T) T {
 	if v > 0 {
 		return v
@@ -124,7 +126,7 @@
 	return def
 }
 
-// queueListener is a listener that is fed connections.
+// queueListener is a net.Listener that accepts connections from a channel.
 type queueListener struct {
 	addr   net.Addr
 	conns  chan net.Conn
@@ -132,7 +134,7 @@
 	once   sync.Once
 }
 
-// Accept implements net.Listener. What was fed before the end is still accepted.
+// Accept implements net.Listener. Connections queued before Close are still accepted.
 func (q *queueListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-q.conns:
@@ -156,49 +158,49 @@
 // Addr implements net.Listener.
 func (q *queueListener) Addr() net.Addr { return q.addr }
 
-// readyHandler answers the platform's checks.
+// readyHandler serves the platform's readiness checks.
 func (h *Host) readyHandler() http.Handler {
-	m := mux.NewRouter()
-	m.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
+	router := mux.NewRouter()
+	router.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		if h.gapDetector.Check(); !h.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}).Methods(http.MethodGet)
-	return m
+	return router
 }
 
-// controlHandler answers other hosts and operators.
+// controlHandler serves other hosts and operators.
 func (h *Host) controlHandler() http.Handler {
-	m := mux.NewRouter()
-	m.HandleFunc(pathSettings, h.serveSettings).Methods(http.MethodGet)
-	m.HandleFunc(pathEndpoints, h.serveEndpoints).Methods(http.MethodGet)
-	m.HandleFunc(PathQuarantine, h.serveSuspects).Methods(http.MethodGet)
-	m.HandleFunc(PathQuarantine+"/{fingerprint}", h.releaseSuspect).Methods(http.MethodDelete)
-	m.HandleFunc("/debug/vars", h.serveVars).Methods(http.MethodGet)
-	return m
+	router := mux.NewRouter()
+	router.HandleFunc(pathSettings, h.serveSettings).Methods(http.MethodGet)
+	router.HandleFunc(pathEndpoints, h.serveEndpoints).Methods(http.MethodGet)
+	router.HandleFunc(PathQuarantine, h.serveSuspects).Methods(http.MethodGet)
+	router.HandleFunc(PathQuarantine+"/{fingerprint}", h.releaseSuspect).Methods(http.MethodDelete)
+	router.HandleFunc("/debug/vars", h.serveVars).Methods(http.MethodGet)
+	return router
 }
 
-// directoryHandler answers callers that ask where to go.
+// directoryHandler serves callers that ask for addresses of hosts.
 func (h *Host) directoryHandler() http.Handler {
-	m := mux.NewRouter()
-	m.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, _ *http.Request) {
+	router := mux.NewRouter()
+	router.HandleFunc(platform.PathResolve, func(w http.ResponseWriter, _ *http.Request) {
 		if h.gapDetector.Check(); h.unconfirmed() {
-			w.WriteHeader(http.StatusServiceUnavailable) // who of the others lives is not known; callers ask another host
+			w.WriteHeader(http.StatusServiceUnavailable) // it is not known which other hosts are alive; callers ask another host
 			return
 		}
 		h.writeJSON(w, platform.Resolve(h.addresses(), addressTTL))
 	}).Methods(http.MethodGet)
-	return m
+	return router
 }
 
-// addressTTL is how long callers keep an address answer.
+// addressTTL is how long callers may keep an address answer.
 const addressTTL = time.Second
 
-// maxAddresses bounds an answer.
+// maxAddresses limits the addresses in an answer.
 const maxAddresses = 64
 
-// addresses lists where callers may connect: hosts that take requests and know the
-// newest settings, else those that take requests.
+// addresses returns the addresses for callers to connect to: those of ready hosts with the newest
+// settings, or of all ready hosts if none has them.
 func (h *Host) addresses() []string {
 	self := peers.HostInfo{Front: h.Boot.Front, Zone: h.Boot.Zone, Ready: h.ready(), Fresh: h.ingress.SettingsFresh()}
 	hosts := []peers.HostInfo{self}
@@ -215,7 +217,7 @@
 	return out
 }
 
-// prefer returns the rows that satisfy ok, or all if none does.
+// prefer returns the hosts that satisfy ok, or all hosts if none does.
 func prefer(hosts []peers.HostInfo, ok func(peers.HostInfo) bool) []peers.HostInfo {
 	var out []peers.HostInfo
 	for _, info := range hosts {
--- a/edge/network.go
+++ b/edge/network.go
@@ -12,9 +12,9 @@
 	"github.com/heathkeel/heathkeel/upstream"
 )
 
-// Network is how a host reaches others, and they it.
+// Network provides the connections between a host and others.
 type Network interface {
-	// Listen listens for connections.
+	// Listen opens a listener for connections.
 	Listen(ctx context.Context, network, address string) (net.Listener, error)
 	// ListenPacket opens a socket for datagrams.
 	ListenPacket(ctx context.Context, network, address string) (net.PacketConn, error)
@@ -22,13 +22,13 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// systemNetwork is the network of the machine.
+// systemNetwork is the network of the operating system.
 type systemNetwork struct {
 	net.ListenConfig
 	net.Dialer
 }
 
-// network is what the host reaches others by.
+// network returns the host's network.
 func (h *Host) network() Network {
 	if h.Network == nil {
 		return &systemNetwork{}
@@ -36,7 +36,8 @@
 	return h.Network
 }
 
-// endpointDial gives what opens connections to endpoints, nil for the machine's, which have options of their own.
+// endpointDial returns the function that opens connections to endpoints, or nil for the default of
+// package upstream, which sets socket options of its own.
 func (h *Host) endpointDial() upstream.Dial {
 	if h.Network == nil {
 		return nil
@@ -44,7 +45,7 @@
 	return h.Network.DialContext
 }
 
-// dial opens a connection within a time.
+// dial returns a function that opens connections with a timeout.
 func (h *Host) dial(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/edge/network_test.go
+++ b/edge/network_test.go
@@ -18,7 +18,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// hangingNetwork opens no connection and refuses none.
+// hangingNetwork neither opens nor refuses connections.
 type hangingNetwork struct{ Network }
 
 func (hangingNetwork) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -26,11 +26,14 @@
 	return nil, ctx.Err()
 }
 
-// TestStoreCallEndsBeforeDial holds that a call to the store to which no connection is opened ends when it is given up, and does not fail before
-// that: what judges how long the store was silent takes a failure for the store's own word.
+// TestStoreCallEndsBeforeDial checks that a call to the store whose connection is not opened ends
+// when the caller gives up, and does not fail before that. A failure counts as an answer of the
+// store when its silence is judged.
 //
-// In runs of 78 processes on one core, five requests reached endpoints up to 11.2 s after they had left: their hosts had logged "store lost",
-// caused by "dial tcp: i/o timeout" after 1 s, four times in a row, while the store was sound and the processes waited for the processor.
+// The failure was seen in runs of 78 processes on one core: five requests reached endpoints up to
+// 11.2 s after these had left. Their hosts had logged "store lost", caused by "dial tcp: i/o
+// timeout" after 1 s, four times in a row, while the store was sound and the processes were waiting
+// for the processor.
 func TestStoreCallEndsBeforeDial(t *testing.T) {
 	for _, d := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second} {
 		t.Run(d.String(), func(t *testing.T) {
@@ -43,7 +46,7 @@
 				must.Error(t, err)
 				must.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
 				synctest.Wait()
-				time.Sleep(time.Minute) // the connection is given up
+				time.Sleep(time.Minute) // until the dial times out
 			})
 		})
 	}
--- a/edge/policy.go
+++ b/edge/policy.go
@@ -6,21 +6,22 @@
 
 import "github.com/heathkeel/heathkeel/sched"
 
-// Figures of the decisions. They come from trials on three deployments with several seeds
-// each: docs/MEASUREMENTS.md and docs/ACCOUNT.md have what was tried beside them.
+// Parameters of the scheduling policy. docs/MEASUREMENTS.md and docs/ACCOUNT.md have the trials on
+// three deployments with several seeds each behind these values, and the alternatives.
 const (
-	// overcommit is the part of an endpoint's places by which the top tier may exceed them:
-	// a short wait at the endpoint costs it less than a longer one here.
+	// overcommit is the fraction of an endpoint's slots by which the top tier may exceed them: a
+	// short wait at the endpoint costs a request less than a longer wait at the host.
 	overcommit = 0.4
-	// crossZoneCost is the part by which an endpoint of another zone counts as fuller than it is:
-	// bytes between zones are priced.
+	// crossZoneCost is the fraction by which an endpoint in another zone counts as more loaded than
+	// it is, because traffic between zones is priced.
 	crossZoneCost = 0.6
 )
 
-// policy is how hosts on the platform decide. Rules are off that need reports of engines
-// (Slow, Others: here hosts tell each other what they have running, and paces are learned
-// from streams) or that earned nothing or cost worth in trials (Floor, LongCap, Share; Reserve, since the top tier
-// may exceed the places anyway, and one of 7 left free was a seventh of all work).
+// policy returns the scheduling policy of hosts on the platform. Disabled are the rules that need
+// reports of engines (Slow, PeerCorrection: here hosts report to each other what they have running,
+// and the endpoints' pace is learned from streams) and the rules that earned nothing or cost worth
+// in trials (Floor, LongCap, Share, Reserve). Reserve cost worth because the top tier may exceed
+// the slots anyway, and one slot of seven left free was a seventh of all work.
 func policy() sched.Config {
 	return sched.Config{
 		Overcommit: overcommit, CrossZoneCost: crossZoneCost,
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -17,23 +17,27 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Figures of the keeping of records.
+// Parameters for maintaining records.
 const (
-	// saveInterval is the time between two looks for records that are to be written or removed, and between two tries while the store fails.
+	// saveInterval is the time between two checks for records to write or to remove, and between
+	// two attempts while the store fails.
 	saveInterval = time.Second
-	// saveTimeout bounds one of them.
+	// saveTimeout limits the time for writing or removing one record.
 	saveTimeout = time.Second
 )
 
-// recordWriter writes the requests on trial and held that no grant has written, and removes the records of requests that this host answered. Hosts that are all killed at once forget
-// what they knew, and the requests would crash as many endpoints again. Each is written once, by the host that is first in the order of
-// hosts; the next one does so if it has not heard of that for a second.
+// recordWriter writes the records of requests on trial or held that no grant has written, and
+// removes the records of requests that this host answered. Without records, hosts that are all
+// killed at once would lose their evidence, and the requests would crash as many endpoints again. A
+// record is written once, by the host with the first rank. The next host writes it if it has not
+// learned of that write within a second.
 type recordWriter struct {
-	firstSeen map[quarantine.Fingerprint]time.Duration // when a request was first seen not to be kept
-	toRemove  map[quarantine.Fingerprint]answerTime    // those whose records are to be removed
+	firstSeen map[quarantine.Fingerprint]time.Duration // when a request was first seen without a record
+	toRemove  map[quarantine.Fingerprint]answerTime    // requests whose records have to be removed
 }
 
-// answerTime is when a request was answered, on the host's clock and as a Unix time in milliseconds.
+// answerTime is when a request was answered, on the host's clock and as a Unix time in
+// milliseconds.
 type answerTime struct {
 	at     time.Duration
 	unixMS int64
@@ -41,7 +45,7 @@
 
 // maintainRecords writes and removes records until ctx ends.
 func (h *Host) maintainRecords(ctx context.Context) {
-	k := recordWriter{firstSeen: make(map[quarantine.Fingerprint]time.Duration), toRemove: make(map[quarantine.Fingerprint]answerTime)}
+	w := recordWriter{firstSeen: make(map[quarantine.Fingerprint]time.Duration), toRemove: make(map[quarantine.Fingerprint]answerTime)}
 	t := time.NewTicker(saveInterval)
 	defer t.Stop()
 	for {
@@ -50,62 +54,65 @@
 			return
 		case <-t.C:
 		}
-		h.removeRecords(ctx, &k)
-		h.saveRecords(ctx, &k)
+		h.removeRecords(ctx, &w)
+		h.saveRecords(ctx, &w)
 	}
 }
 
-// removeRecords removes the records of requests that were answered. One that cannot be removed goes with its lease.
-func (h *Host) removeRecords(ctx context.Context, k *recordWriter) {
+// removeRecords removes the records of answered requests. A record that cannot be removed expires
+// with its lease.
+func (h *Host) removeRecords(ctx context.Context, w *recordWriter) {
 	for _, c := range h.ingress.RecordsToRemove() {
-		k.toRemove[c.Fingerprint] = answerTime{h.now(), time.Now().UnixMilli() - c.AgeMS}
+		w.toRemove[c.Fingerprint] = answerTime{h.now(), time.Now().UnixMilli() - c.AgeMS}
 	}
-	for f, answered := range k.toRemove {
+	for f, answered := range w.toRemove {
 		cctx, cancel := context.WithTimeout(ctx, saveTimeout)
 		err := h.records.remove(cctx, f, answered.unixMS)
 		cancel()
 		if err != nil && h.now()-answered.at < quarantine.RecordTTL {
-			h.Log.V(1).Info("record of an answered request not removed yet", "fingerprint", f.String(), "cause", err.Error())
+			h.Log.V(1).Info("cannot remove the record of an answered request yet; it is retried", "fingerprint", f.String(), "cause", err.Error())
 			continue
 		}
-		delete(k.toRemove, f)
+		delete(w.toRemove, f)
 	}
 }
 
-// saveRecords writes the requests that are not kept.
-func (h *Host) saveRecords(ctx context.Context, k *recordWriter) {
+// saveRecords writes the records that are missing in the store or due to be rewritten.
+func (h *Host) saveRecords(ctx context.Context, w *recordWriter) {
 	unsaved := h.ingress.UnsavedRecords()
 	if len(unsaved) == 0 {
-		clear(k.firstSeen)
+		clear(w.firstSeen)
 		return
 	}
 	rank := h.agent.Rank()
 	for i := range unsaved {
-		if !k.isTurn(h.now(), unsaved[i].Fingerprint, rank) {
+		if !w.isTurn(h.now(), unsaved[i].Fingerprint, rank) {
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, saveTimeout)
 		stored, err := h.records.save(cctx, unsaved[i])
 		cancel()
 		if err != nil {
-			h.Log.V(1).Info("record not written yet", "fingerprint", unsaved[i].Fingerprint.String(), "cause", err.Error())
+			h.Log.V(1).Info("cannot write a record yet; it is retried", "fingerprint", unsaved[i].Fingerprint.String(), "cause", err.Error())
 			continue
 		}
 		h.ingress.Restore(&stored)
 	}
 }
 
-// isTurn tells whether it is this host's turn to write a record.
-func (k *recordWriter) isTurn(now time.Duration, f quarantine.Fingerprint, rank int) bool {
-	firstSeen, known := k.firstSeen[f]
+// isTurn reports whether this host has to write a record now. A host waits for saveInterval per
+// rank, so that hosts with lower ranks write first.
+func (w *recordWriter) isTurn(now time.Duration, f quarantine.Fingerprint, rank int) bool {
+	firstSeen, known := w.firstSeen[f]
 	if !known {
 		firstSeen = now
-		k.firstSeen[f] = now
+		w.firstSeen[f] = now
 	}
 	return now-firstSeen >= time.Duration(rank)*saveInterval
 }
 
-// applyOwnEntries takes what hosts have written to the store: their entries, and records.
+// applyOwnEntries applies the entries that hosts have written to the store: host entries and
+// records.
 func (h *Host) applyOwnEntries(items []feed.Item) {
 	var hosts []feed.Item
 	for _, it := range items {
@@ -118,26 +125,27 @@
 	h.applyHostEntries(hosts)
 }
 
-// restoreRecord takes a record.
+// restoreRecord applies a record from the store.
 func (h *Host) restoreRecord(it feed.Item) {
 	r, err := parseRecord(it)
 	if err != nil {
-		h.Log.Info("record in the store cannot be read; it is passed over", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
+		h.Log.Info("invalid record in the store is ignored", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
 		return
 	}
 	h.ingress.Restore(&r)
 }
 
-// PathQuarantine is where operators read what a host knows of requests under which endpoints crashed, and, followed by a fingerprint, where they
-// release one with DELETE.
+// PathQuarantine is the path at which operators read what a host knows of requests under which
+// endpoints crashed. Followed by a fingerprint, it is the path at which DELETE releases one
+// request.
 const PathQuarantine = "/v1/quarantine"
 
-// serveSuspects answers operators.
+// serveSuspects answers operators with the suspected requests.
 func (h *Host) serveSuspects(w http.ResponseWriter, _ *http.Request) {
 	h.writeJSON(w, h.ingress.Suspects())
 }
 
-// releaseSuspect lets a request run again at all hosts.
+// releaseSuspect releases a request, so that it may run again at all hosts.
 func (h *Host) releaseSuspect(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(mux.Vars(r)["fingerprint"])); err != nil {
--- a/edge/records.go
+++ b/edge/records.go
@@ -19,22 +19,24 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// Figures of the records' writes.
+// Parameters for writing records.
 const (
-	// leaseReusePeriod is the time for which a lease serves for further records: with it one call in place of two.
+	// leaseReusePeriod is how long a lease is reused for further records, which then take one call
+	// instead of two.
 	leaseReusePeriod = time.Minute
-	// maxSwapAttempts bounds the writes that are tried for one hold.
+	// maxSwapAttempts limits the attempts to write or remove one record.
 	maxSwapAttempts = 3
 )
 
-// recordStore is the part of a key-value service that keeps records.
+// recordStore is the part of the key-value store that records need.
 type recordStore interface {
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Swap(ctx context.Context, key string, value []byte, lease, revision uint64) (bool, feed.Item, error)
 	Remove(ctx context.Context, key string, revision uint64) (bool, feed.Item, error)
 }
 
-// records keeps requests that are on trial or held where they outlast all hosts, under leases, so that what nobody needs any more goes by itself.
+// records stores the records of requests that are on trial or held. They are written under leases,
+// so that records that are no longer needed expire.
 type records struct {
 	store recordStore
 	now   func() time.Duration
@@ -46,37 +48,38 @@
 }
 
 // Swap implements ingress.Records.
-func (k *records) Swap(ctx context.Context, r *quarantine.Record, revision uint64) (bool, quarantine.Record, uint64, error) {
+func (recs *records) Swap(ctx context.Context, r *quarantine.Record, revision uint64) (bool, quarantine.Record, uint64, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
-		return false, quarantine.Record{}, 0, eris.Wrap(err, "record cannot be written")
+		return false, quarantine.Record{}, 0, eris.Wrap(err, "cannot encode the record")
 	}
-	lease, err := k.currentLease(ctx)
+	lease, err := recs.currentLease(ctx)
 	if err != nil {
 		return false, quarantine.Record{}, 0, err
 	}
 	key := platform.PrefixRecords + r.Fingerprint.String()
-	swapped, it, err := k.store.Swap(ctx, key, value, lease, revision)
+	swapped, it, err := recs.store.Swap(ctx, key, value, lease, revision)
 	if errors.Is(err, feed.ErrLeaseExpired) {
-		k.dropLease(lease)
+		recs.dropLease(lease)
 	}
 	if err != nil || swapped || it.Revision == 0 {
 		return swapped, quarantine.Record{}, 0, err
 	}
 	stored, err := parseRecord(it)
 	if err != nil {
-		// What cannot be read is written over: it grants and refuses nothing.
-		k.log.Info("record in the store cannot be read; it is written over", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
+		// An invalid record is overwritten: it grants and refuses nothing.
+		recs.log.Info("invalid record in the store is overwritten", "key", it.Key, "bytes", len(it.Value), "cause", err.Error())
 		return false, quarantine.Record{Fingerprint: r.Fingerprint}, it.Revision, nil
 	}
 	return false, stored, it.Revision, nil
 }
 
-// save writes a hold, unless one stands that was written no earlier and ends no earlier. It returns what stands then.
-func (k *records) save(ctx context.Context, r quarantine.Record) (quarantine.Record, error) {
+// save writes a record unless the stored one covers it. It returns the record that is in the store
+// afterwards.
+func (recs *records) save(ctx context.Context, r quarantine.Record) (quarantine.Record, error) {
 	revision := uint64(0)
 	for range maxSwapAttempts {
-		swapped, stored, storedRevision, err := k.Swap(ctx, &r, revision)
+		swapped, stored, storedRevision, err := recs.Swap(ctx, &r, revision)
 		if err != nil || swapped {
 			return r, err
 		}
@@ -88,12 +91,13 @@
 	return r, errContention
 }
 
-// remove removes the record of a request that was answered at a Unix time in milliseconds. One that was written later stays: the request came on trial
-// again. Only what was read is removed, since the store may do a call long after it was sent.
-func (k *records) remove(ctx context.Context, f quarantine.Fingerprint, answeredMS int64) error {
+// remove removes the record of a request that was answered at a Unix time in milliseconds. A record
+// written after that stays, since the request is on trial again. Only the revision that was read is
+// removed, because the store may execute a call long after it was sent.
+func (recs *records) remove(ctx context.Context, f quarantine.Fingerprint, answeredMS int64) error {
 	key, revision := platform.PrefixRecords+f.String(), uint64(0)
 	for range maxSwapAttempts {
-		removed, it, err := k.store.Remove(ctx, key, revision)
+		removed, it, err := recs.store.Remove(ctx, key, revision)
 		if err != nil || removed {
 			return err
 		}
@@ -105,41 +109,41 @@
 	return errContention
 }
 
-// errContention means that others wrote a record each time.
-var errContention = eris.New("others write the same record; it is tried again")
+// errContention means that other hosts changed a record before each attempt.
+var errContention = eris.New("other hosts are writing the same record; the write is retried")
 
-// currentLease gives a lease for a record that is written now.
-func (k *records) currentLease(ctx context.Context) (uint64, error) {
-	k.mu.Lock()
-	lease, grantedAt := k.lease, k.leaseGrantedAt
-	k.mu.Unlock()
-	if lease != 0 && k.now()-grantedAt < leaseReusePeriod {
+// currentLease returns a lease for a record that is written now.
+func (recs *records) currentLease(ctx context.Context) (uint64, error) {
+	recs.mu.Lock()
+	lease, grantedAt := recs.lease, recs.leaseGrantedAt
+	recs.mu.Unlock()
+	if lease != 0 && recs.now()-grantedAt < leaseReusePeriod {
 		return lease, nil
 	}
-	start := k.now()
-	lease, err := k.store.Grant(ctx, quarantine.RecordTTL)
+	start := recs.now()
+	lease, err := recs.store.Grant(ctx, quarantine.RecordTTL)
 	if err != nil {
 		return 0, err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease, k.leaseGrantedAt = lease, start
+	recs.mu.Lock()
+	defer recs.mu.Unlock()
+	recs.lease, recs.leaseGrantedAt = lease, start
 	return lease, nil
 }
 
-// dropLease drops a lease that is over.
-func (k *records) dropLease(lease uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.lease == lease {
-		k.lease = 0
+// dropLease stops the reuse of a lease that has expired.
+func (recs *records) dropLease(lease uint64) {
+	recs.mu.Lock()
+	defer recs.mu.Unlock()
+	if recs.lease == lease {
+		recs.lease = 0
 	}
 }
 
 // errWrongKey means that a record does not belong to its key.
-var errWrongKey = eris.New("the record is that of another request")
+var errWrongKey = eris.New("the record belongs to another request than its key")
 
-// parseRecord reads a record.
+// parseRecord decodes a record from the store.
 func parseRecord(it feed.Item) (quarantine.Record, error) {
 	var r quarantine.Record
 	if err := json.Unmarshal(it.Value, &r); err != nil {
--- a/edge/records_test.go
+++ b/edge/records_test.go
@@ -18,12 +18,12 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// singleKeyStore is a store of one key.
+// singleKeyStore is a store that holds one key.
 type singleKeyStore struct {
-	item         feed.Item // revision 0 for none
+	item         feed.Item // revision 0 if there is none
 	revision     uint64
 	leaseCount   int
-	leaseExpired bool // leases are over
+	leaseExpired bool // the lease has expired
 }
 
 func (s *singleKeyStore) Grant(context.Context, time.Duration) (uint64, error) {
@@ -52,7 +52,7 @@
 	return true, feed.Item{}, nil
 }
 
-// put writes a record, or bytes that are none.
+// put stores a value, not necessarily a record, under the key of f.
 func (s *singleKeyStore) put(t *testing.T, f quarantine.Fingerprint, record any) {
 	t.Helper()
 	value, err := json.Marshal(record)
@@ -61,51 +61,53 @@
 	s.item = feed.Item{Key: platform.PrefixRecords + f.String(), Value: value, Revision: s.revision}
 }
 
-// newRecords keeps records in a store, at a time that the test sets.
+// newRecords returns records that use the given store and clock.
 func newRecords(s recordStore, now *time.Duration) *records {
 	return &records{store: s, now: func() time.Duration { return *now }, log: logr.Discard()}
 }
 
-// TestRecordsSwap checks what a host learns of the record that stands, and that one which cannot be read is written over.
+// TestRecordsSwap checks what Swap returns about the stored record, and that an invalid record is
+// overwritten.
 func TestRecordsSwap(t *testing.T) {
 	f := quarantine.Fingerprint{1}
 	cases := []struct {
-		name   string
-		stands any // nil for nothing
-		trials int // of what is told
-		at     uint64
-		swaps  bool
+		name     string
+		stored   any // nil for none
+		trials   int // of the returned record
+		revision uint64
+		swapped  bool
 	}{
-		{"nothing", nil, 0, 0, true},
-		{"a record", quarantine.Record{Fingerprint: f, Trials: 2}, 2, 1, false},
-		{"what is no record", "text", 0, 1, false},
-		{"that of another request", quarantine.Record{Fingerprint: quarantine.Fingerprint{2}, Trials: 2}, 0, 1, false},
+		{"no record", nil, 0, 0, true},
+		{"valid record", quarantine.Record{Fingerprint: f, Trials: 2}, 2, 1, false},
+		{"invalid record", "text", 0, 1, false},
+		{"record of another request", quarantine.Record{Fingerprint: quarantine.Fingerprint{2}, Trials: 2}, 0, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s, now := &singleKeyStore{}, time.Duration(0)
-			if c.stands != nil {
-				s.put(t, f, c.stands)
+			if c.stored != nil {
+				s.put(t, f, c.stored)
 			}
-			k := newRecords(s, &now)
-			swapped, stands, at, err := k.Swap(t.Context(), &quarantine.Record{Fingerprint: f, Trials: 3}, 0)
+			recs := newRecords(s, &now)
+			swapped, stored, revision, err := recs.Swap(t.Context(), &quarantine.Record{Fingerprint: f, Trials: 3}, 0)
 			must.NoError(t, err)
-			must.EqOp(t, c.swaps, swapped)
-			must.EqOp(t, c.trials, stands.Trials)
-			must.EqOp(t, c.at, at)
-			swapped, _, _, err = k.Swap(t.Context(), &quarantine.Record{Fingerprint: f, Trials: 3}, s.item.Revision)
+			must.EqOp(t, c.swapped, swapped)
+			must.EqOp(t, c.trials, stored.Trials)
+			must.EqOp(t, c.revision, revision)
+			swapped, _, _, err = recs.Swap(t.Context(), &quarantine.Record{Fingerprint: f, Trials: 3}, s.item.Revision)
 			must.NoError(t, err)
 			must.True(t, swapped)
 		})
 	}
 }
 
-// TestRecordsShareLease checks that records of a while share a lease, and that one which is over is followed by another.
+// TestRecordsShareLease checks that records written within leaseReusePeriod share a lease, and that
+// a new lease is granted after one has expired.
 func TestRecordsShareLease(t *testing.T) {
 	s, now := &singleKeyStore{}, time.Duration(0)
-	k := newRecords(s, &now)
+	recs := newRecords(s, &now)
 	write := func() error {
-		_, _, _, err := k.Swap(t.Context(), &quarantine.Record{}, s.item.Revision)
+		_, _, _, err := recs.Swap(t.Context(), &quarantine.Record{}, s.item.Revision)
 		return err
 	}
 	must.NoError(t, write())
@@ -121,40 +123,41 @@
 	must.EqOp(t, 3, s.leaseCount)
 }
 
-// TestRecordsSaveAndRemove checks that a hold is written unless one stands that says as much, and that only what was written before the answer is removed.
+// TestRecordsSaveAndRemove checks that a record is written unless the stored one covers it, and
+// that only a record written before the answer is removed.
 func TestRecordsSaveAndRemove(t *testing.T) {
 	f := quarantine.Fingerprint{1}
 	held := quarantine.Record{Fingerprint: f, WrittenMS: 1000, UntilMS: 600000, HoldCount: 1, Trials: 3}
-	more, less := held, held
-	more.UntilMS, less.UntilMS = 2*held.UntilMS, held.UntilMS/2
+	longer, shorter := held, held
+	longer.UntilMS, shorter.UntilMS = 2*held.UntilMS, held.UntilMS/2
 	cases := []struct {
 		name    string
-		stands  *quarantine.Record
-		until   int64 // of what stands then
+		stored  *quarantine.Record
+		until   int64 // of the stored record afterwards
 		removed bool  // by an answer at 1,000 ms
 	}{
-		{"nothing stands", nil, held.UntilMS, true},
-		{"a longer one", &more, more.UntilMS, true},
-		{"a shorter one", &less, held.UntilMS, true},
+		{"no record", nil, held.UntilMS, true},
+		{"longer hold", &longer, longer.UntilMS, true},
+		{"shorter hold", &shorter, held.UntilMS, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s, now := &singleKeyStore{}, time.Duration(0)
-			if c.stands != nil {
-				s.put(t, f, c.stands)
+			if c.stored != nil {
+				s.put(t, f, c.stored)
 			}
-			k := newRecords(s, &now)
-			r, err := k.save(t.Context(), held)
+			recs := newRecords(s, &now)
+			saved, err := recs.save(t.Context(), held)
 			must.NoError(t, err)
-			must.EqOp(t, c.until, r.UntilMS)
-			stands, err := parseRecord(s.item)
+			must.EqOp(t, c.until, saved.UntilMS)
+			stored, err := parseRecord(s.item)
 			must.NoError(t, err)
-			must.EqOp(t, c.until, stands.UntilMS)
-			must.NoError(t, k.remove(t.Context(), f, 999)) // answered before it was written
+			must.EqOp(t, c.until, stored.UntilMS)
+			must.NoError(t, recs.remove(t.Context(), f, 999)) // answered before the record was written
 			must.Positive(t, s.item.Revision)
-			must.NoError(t, k.remove(t.Context(), f, 1000))
+			must.NoError(t, recs.remove(t.Context(), f, 1000))
 			must.EqOp(t, c.removed, s.item.Revision == 0)
-			must.NoError(t, k.remove(t.Context(), f, 1000)) // nothing is there
+			must.NoError(t, recs.remove(t.Context(), f, 1000)) // there is no record any more
 		})
 	}
 }
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -20,19 +20,22 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestRemovedRouteNotServed drops a route while a host hears no other, and the first calls by which it would learn of that fail although the
-// store is sound: no request that is sent later than the configuration time is served by the route.
+// TestRemovedRouteNotServed checks that a request sent later than the configuration time after a
+// route was removed is not served by it, even if the host has no contact with others and its first
+// reads of the new settings fail although the store is sound.
 //
-// Cause: nothing looked at the age of settings but for keys, and after a refused call a host of a late turn paused for up to 5 s. Evidence: here all calls but the named
-// ones are answered, and the time after the change follows the pause. It is the cause of the requests that reached leaving endpoints in a fleet of 78 hosts (TestLeaverGetsNoWork), found by looking for the same elsewhere: the age of settings bounded what keys a
-// host takes, where that is asked for, and no route.
+// The failure was found by looking for the cause of requests to leaving endpoints elsewhere
+// (TestNoRequestsToLeavingEndpoints): the age of the settings was checked for keys, where that is
+// configured, but not for routes, and after a refused call a host with a late rank paused for up to
+// 5 s. Evidence: in this test all calls but the given ones are answered, and the time for which the
+// removed route was served followed the pause.
 func TestRemovedRouteNotServed(t *testing.T) {
 	calls := func(m simsite.Mood, n int) []simsite.Mood { return slices.Repeat([]simsite.Mood{m}, n) }
 	cases := []struct {
 		name  string
 		boot  platform.Boot
 		hosts int
-		next  []simsite.Mood // what the host's next readings of the settings meet
+		next  []simsite.Mood // results of the host's next reads of the settings
 	}{
 		{"few hosts, all calls are answered", smallBoot, 6, nil},
 		{"few hosts, three calls are refused", smallBoot, 6, calls(simsite.Refuse, 3)},
--- a/edge/share.go
+++ b/edge/share.go
@@ -62,8 +62,8 @@
 // LoadsReceived implements peers.Host.
 func (h *Host) LoadsReceived() { h.applyPeerLoads() }
 
-// ProofReceived implements peers.Host: settings and endpoints that a peer knows to be newest are
-// so here too, and newer ones are asked for.
+// ProofReceived implements peers.Host. If a peer proves the versions that this host has, they are
+// confirmed; newer versions are fetched.
 func (h *Host) ProofReceived(p peers.Proof) {
 	fetchSettings, fetchEndpoints := false, false
 	if v := p.Settings; v.Known {
@@ -88,7 +88,8 @@
 	}
 }
 
-// requestFetch lets what a peer proved be asked for, unless something is asked for already: the next heartbeat tells of what is newer still.
+// requestFetch queues a fetch of what a peer proved, unless one is queued already. The next
+// heartbeat announces anything that is newer still.
 func requestFetch(pending chan peers.Proof, p peers.Proof) {
 	select {
 	case pending <- p:
@@ -96,13 +97,13 @@
 	}
 }
 
-// feedView names the endpoints that a peer proved.
+// feedView converts the version of the endpoints that a peer proved.
 func feedView(v peers.Version) feed.View {
 	return feed.View{Revision: v.Revision, Checksum: v.Sum, ProvenAt: v.At}
 }
 
-// fetchSettings and fetchEndpoints ask peers for what they know better, until ctx ends. The list of endpoints does not wait for
-// settings, which may be large: both have bounds on their age.
+// fetchSettings and fetchEndpoints fetch newer versions from peers until ctx ends. The list of
+// endpoints does not wait for the settings, which may be large: the age of both is limited.
 func (h *Host) fetchSettings(ctx context.Context) {
 	h.fetch(ctx, h.settingsToFetch, h.fetchSettingsFrom)
 }
@@ -110,7 +111,7 @@
 	h.fetch(ctx, h.endpointsToFetch, h.fetchEndpointsFrom)
 }
 
-// fetch asks peers for what they proved, one at a time.
+// fetch runs the queued fetches one at a time.
 func (h *Host) fetch(ctx context.Context, pending chan peers.Proof, fetchOne func(context.Context, peers.Proof)) {
 	for {
 		select {
@@ -126,17 +127,17 @@
 	}
 }
 
-// fetchStats counts the questions to peers for what they know better.
+// fetchStats counts the fetches from peers.
 type fetchStats struct {
 	started, failed atomic.Int64
 	longestMS       atomic.Int64
 }
 
-// fetchTimeout bounds a question to a peer. A peer that does not answer is followed by
-// another one's heartbeat.
+// fetchTimeout limits the time for a fetch. If a peer does not answer, the heartbeat of another
+// peer triggers the next fetch.
 const fetchTimeout = 500 * time.Millisecond
 
-// fetchSettingsFrom asks a peer for the settings that it proved.
+// fetchSettingsFrom fetches the settings that a peer proved.
 func (h *Host) fetchSettingsFrom(ctx context.Context, p peers.Proof) {
 	var b settingsBody
 	if h.fetchJSON(ctx, p.Control, pathSettings, &b) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// fetchEndpointsFrom asks a peer for the list of endpoints that it proved.
+// fetchEndpointsFrom fetches the list of endpoints that a peer proved.
 func (h *Host) fetchEndpointsFrom(ctx context.Context, p peers.Proof) {
 	var l feed.EndpointList
 	if h.fetchJSON(ctx, p.Control, pathEndpoints, &l) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// fetchJSON reads a peer's answer and reports whether there was one.
+// fetchJSON fetches and decodes an answer of a peer and counts failures. It reports success.
 func (h *Host) fetchJSON(ctx context.Context, control, path string, out any) bool {
 	h.fetchStats.started.Add(1)
 	if !h.tryFetchJSON(ctx, control, path, out) {
@@ -164,45 +165,47 @@
 	return true
 }
 
-// tryFetchJSON asks and reads the answer.
+// tryFetchJSON fetches and decodes an answer of a peer. It reports success.
 func (h *Host) tryFetchJSON(ctx context.Context, control, path string, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+path, nil)
 	if err != nil {
-		h.Log.Error(err, "peer's address cannot be asked", "peer", control)
+		h.Log.Error(err, "invalid address of a peer", "peer", control)
 		return false
 	}
 	resp, err := h.peerHTTP.Do(req)
 	if err != nil {
-		h.Log.V(1).Info("peer not reached", "peer", control, "path", path, "cause", err.Error())
+		h.Log.V(1).Info("request to a peer failed", "peer", control, "path", path, "cause", err.Error())
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			h.peerHTTP.CloseIdleConnections() // they may have fallen silent with this one
+			h.peerHTTP.CloseIdleConnections() // they may have stopped responding together with this one
 		}
 		return false
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		h.Log.V(1).Info("peer has no answer", "peer", control, "path", path, "status", resp.StatusCode)
+		h.Log.V(1).Info("peer answered with an error status", "peer", control, "path", path, "status", resp.StatusCode)
 		return false
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		h.Log.Error(err, "peer's answer cannot be read", "peer", control, "path", path)
+		h.Log.Error(err, "cannot decode the answer of a peer", "peer", control, "path", path)
 		return false
 	}
 	return true
 }
 
-// applyPeerLoads gives the ingress what the other hosts told of their requests.
+// applyPeerLoads passes the loads that the other hosts reported to the ingress.
 func (h *Host) applyPeerLoads() {
 	h.ingress.SetOthers(h.agent.PeerLoads())
 }
 
-// storeCountPeriod is the time after its start for which a host counts the entries in the store among
-// the hosts: those of hosts that ended stay there for some seconds, but until heartbeats have
-// come, a host that counts itself alone takes all of an amount, and so does each other one that
-// starts at that moment. It is as long as a book takes levels from peers.
+// storeCountPeriod is the time after its start for which a host also uses the number of hosts
+// according to the entries in the store. Entries of hosts that ended stay there for some seconds.
+// But until heartbeats have arrived, a host that counts only itself would use the full amount of
+// each workspace, and so would every other host that starts at that moment. The period is as long
+// as quota.Book accepts levels from peers.
 const storeCountPeriod = 2 * time.Second
 
-// applyHostCount tells the ingress which hosts share amounts and endpoints with this one.
+// applyHostCount tells the ingress which hosts, and how many, share amounts and endpoints with this
+// one.
 func (h *Host) applyHostCount() {
 	h.ingress.RetainHosts(h.agent.UsageSources())
 	n := 1 + len(h.agent.Unexpired())
@@ -215,15 +218,15 @@
 	h.ingress.SetHosts(n, peers.ReportInterval(n))
 }
 
-// settingsBody is how hosts pass the configuration on.
+// settingsBody is the configuration in the form in which hosts pass it on.
 type settingsBody struct {
-	// Revision is the number of its write.
+	// Revision is the store's revision of the configuration.
 	Revision uint64 `json:"revision"`
-	// Value is the document.
+	// Value is the configuration document.
 	Value []byte `json:"value"`
 }
 
-// Paths at which other hosts ask for the configuration and the endpoints in force.
+// Paths at which other hosts fetch the configuration and the endpoints in force.
 const (
 	pathSettings  = "/v1/settings"
 	pathEndpoints = "/v1/endpoints"
@@ -249,10 +252,10 @@
 	h.writeJSON(w, l)
 }
 
-// writeJSON writes JSON.
+// writeJSON writes a JSON answer.
 func (h *Host) writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		h.Log.V(1).Info("answer not written", "cause", err.Error())
+		h.Log.V(1).Info("cannot write an answer", "cause", err.Error())
 	}
 }
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -18,20 +18,21 @@
 	"github.com/heathkeel/heathkeel/internal/site"
 )
 
-// TestSuspendedHostsRecover suspends one host, half of them or all, with the store there and away, and holds that requests are served
-// again soon, as a waiting caller would want it.
+// TestSuspendedHostsRecover checks that hosts serve requests again soon after one, half or all of
+// them were suspended, with the store available or not. The limits are what a waiting caller would
+// accept.
 func TestSuspendedHostsRecover(t *testing.T) {
 	cases := []struct {
-		name      string
-		suspended int // of four hosts
-		storeDown bool
-		most      time.Duration
+		name        string
+		suspended   int // of four hosts
+		storeDown   bool
+		maxRecovery time.Duration
 	}{
 		{"one", 1, false, 500 * time.Millisecond},
 		{"half", 2, false, 500 * time.Millisecond},
 		{"all", 4, false, 500 * time.Millisecond},
-		{"one, the store down", 1, true, time.Second},
-		{"half, the store down", 2, true, time.Second},
+		{"one, store down", 1, true, time.Second},
+		{"half, store down", 2, true, time.Second},
 	}
 	for _, tc := range cases {
 		for _, d := range []time.Duration{2 * time.Second, 8 * time.Second, time.Minute} {
@@ -51,11 +52,11 @@
 					for _, h := range suspended {
 						h.Suspend(d)
 					}
-					began := time.Now()
+					start := time.Now()
 					for _, h := range suspended {
 						for s.Ask(h) != http.StatusOK {
 							time.Sleep(10 * time.Millisecond)
-							must.Less(t, tc.most, time.Since(began))
+							must.Less(t, tc.maxRecovery, time.Since(start))
 						}
 					}
 				})
--- a/edge/vars.go
+++ b/edge/vars.go
@@ -14,55 +14,59 @@
 	"github.com/heathkeel/heathkeel/metrics"
 )
 
-// vars are the figures of a host.
+// vars are the variables that a host reports about itself.
 type vars struct {
-	// Requests are counters of outcomes since the start.
+	// Requests counts requests by outcome since the start.
 	Requests map[string]int64 `json:"requests"`
-	// Series are the histograms per workspace and tier, in microseconds.
+	// Series are histograms per workspace and tier, in microseconds.
 	Series []metrics.Series `json:"series"`
-	// Active is the number of requests held.
+	// Active is the number of requests being handled.
 	Active int64 `json:"active"`
-	// SettingsRevision and SettingsAgeMS tell which settings are in force and how old
-	// they may be, -1 for none; SettingsRefused counts documents that could not be read.
+	// SettingsRevision and SettingsAgeMS are the revision and the maximum age of the settings in
+	// force; the age is -1 if there are none. SettingsRefused counts documents that could not be
+	// parsed.
 	SettingsRevision uint64 `json:"settings_revision"`
 	SettingsAgeMS    int64  `json:"settings_age_ms"`
 	SettingsRefused  int64  `json:"settings_refused"`
-	// Endpoints counts the endpoints by what this host takes them for; EndpointsRevision and
-	// EndpointsAgeMS tell which list is in force and how old it may be, -1 for none.
+	// Endpoints counts the endpoints by state. EndpointsRevision and EndpointsAgeMS are the
+	// revision and the maximum age of the list in force; the age is -1 if there is none.
 	Endpoints         map[feed.State]int `json:"endpoints"`
 	EndpointsRevision uint64             `json:"endpoints_revision"`
 	EndpointsAgeMS    int64              `json:"endpoints_age_ms"`
-	// EndpointsForeign counts the entries that another program wrote in the place of endpoints'.
+	// EndpointsForeign counts entries that another program wrote below the prefix of the endpoints.
 	EndpointsForeign int `json:"endpoints_foreign"`
-	// Fetches counts the questions to other hosts for newer settings and lists, FetchesFailed those without an answer in time, and
-	// FetchLongestMS is the longest time that one took.
+	// Fetches counts fetches of newer settings and lists from other hosts, FetchesFailed those
+	// without an answer in time, and FetchLongestMS is the longest duration of one.
 	Fetches        int64 `json:"fetches"`
 	FetchesFailed  int64 `json:"fetches_failed"`
 	FetchLongestMS int64 `json:"fetch_longest_ms"`
-	// SlotsOwned counts the endpoints whose places this host gives, or gave lately.
+	// SlotsOwned counts the endpoints whose slots this host grants, or granted recently.
 	SlotsOwned int `json:"places_owned"`
-	// EndpointsEjected counts the endpoints that get no work now because they fail, Ejections how often this host ejected
-	// one for failures of its own requests.
+	// EndpointsEjected counts the endpoints that get no work now because they fail. Ejections
+	// counts how often this host ejected an endpoint because its own requests failed there.
 	EndpointsEjected int `json:"endpoints_ejected"`
 	Ejections        int `json:"ejections"`
-	// RequestsSuspected counts the requests under which an endpoint crashed in the last hour, RequestsHeld those of them that
-	// are refused now.
+	// RequestsSuspected counts the requests under which an endpoint crashed in the last hour, and
+	// RequestsHeld those of them that are refused now.
 	RequestsSuspected int `json:"requests_suspected"`
 	RequestsHeld      int `json:"requests_held"`
-	// Gaps counts the times in which the process did not run, suspended or standing still, and AsleepMS is their sum.
+	// Gaps counts the times in which the process did not run, because the host was suspended or the
+	// process was stalled. GapMS is their total duration.
 	Gaps  int64 `json:"wakes"`
 	GapMS int64 `json:"asleep_ms"`
-	// PeersLive and PeersCounted are the other hosts heard of lately, and those that may run.
+	// PeersLive is the number of other hosts heard from recently, and PeersUnexpired the number of
+	// those that may still be running.
 	PeersLive      int `json:"peers_live"`
 	PeersUnexpired int `json:"peers_counted"`
-	// ConnectionsOpened counts connections opened to endpoints.
+	// ConnectionsOpened counts the connections opened to endpoints.
 	ConnectionsOpened int64 `json:"connections_opened"`
-	// Ready says that the host takes requests, Fresh that it takes those with keys.
+	// Ready reports that the host accepts requests, and SettingsFresh that it accepts requests with
+	// keys.
 	Ready         bool `json:"ready"`
 	SettingsFresh bool `json:"fresh"`
 }
 
-// vars reads the figures.
+// vars collects the variables.
 func (h *Host) vars() vars {
 	v := vars{
 		Requests: h.ingress.Count.All(), Series: h.ingress.Metrics.Export(), Active: h.ingress.Active(), SettingsAgeMS: -1,
@@ -86,8 +90,8 @@
 	return v
 }
 
-// serveVars answers with expvar's variables and the host's own. Several hosts may
-// run in one process, so the host's own are not published by name.
+// serveVars answers with expvar's variables and those of the host. Several hosts may run in one
+// process, so the host's variables are not published in expvar by name.
 func (h *Host) serveVars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	own, err := json.Marshal(h.vars())
--- a/edge/woke.go
+++ b/edge/woke.go
@@ -11,20 +11,23 @@
 	"github.com/heathkeel/heathkeel/clock"
 )
 
-// maxUnconfirmedTime is the time after which a host that woke and hears nothing goes on with what it knew, by the rules for an outage of
-// the store. Peers prove what they know within 0.21 s, at 300 hosts too (TestWokenHostIsBack), the store within a call.
+// maxUnconfirmedTime is the time after a gap for which a host waits for confirmation of what it
+// knows. After that it continues by the rules for an outage of the store. Peers prove what they
+// know within 0.21 s, also among 300 hosts (TestResumedHostRejoins), and the store answers within
+// one call.
 const maxUnconfirmedTime = time.Second
 
-// gapState is what a host knows of times in which it did not run.
+// gapState describes the gaps in which the process did not run.
 type gapState struct {
-	endedAt     atomic.Int64 // when it woke last, in nanoseconds of its clock, until what it knows is proven again; else 0
-	peerLevelAt atomic.Int64 // when a peer told last that it knows no more than this host
+	endedAt     atomic.Int64 // end of the last gap in nanoseconds of the host's clock, 0 once its knowledge is confirmed again
+	peerLevelAt atomic.Int64 // when a peer last proved that it knows nothing newer than this host
 	count       atomic.Int64
-	totalMS     atomic.Int64 // the sum of all gaps
+	totalMS     atomic.Int64 // total duration of all gaps
 }
 
-// noteGap is called once after each time in which the process did not run, before anything else acts on what it knew. Whether the host was
-// suspended or the process stood still makes no difference to the world outside.
+// noteGap is called once after each gap in which the process did not run, before anything else uses
+// what the host knew. It treats a suspension of the host and a stall of the process alike, since
+// they look the same from outside.
 func (h *Host) noteGap(g clock.Gap) {
 	gap := g.Ended - g.Began
 	h.gaps.endedAt.Store(int64(g.Ended))
@@ -33,7 +36,7 @@
 	h.Log.Info("did not run", "for_ms", gap.Milliseconds(), "suspended_ms", g.Suspended.Milliseconds(), "active", h.ingress.Active())
 	h.ingress.NoteGap(g)
 	h.agent.NoteGap(gap)
-	// Who is at the other end has mostly given the connections up.
+	// The other ends have usually given up the connections by now.
 	h.store.HTTP.CloseIdleConnections()
 	h.peerHTTP.CloseIdleConnections()
 	h.settings.NoteGap()
@@ -41,9 +44,9 @@
 	h.hostRegistry.NoteGap()
 }
 
-// unconfirmed reports whether the host woke and has heard nothing of settings and endpoints since: neither a proof that they were the
-// newest after that, nor a peer that knows no more. While the store is down the second is all that there is, and makes this host as
-// good as the others.
+// unconfirmed reports whether the host has had a gap and since then neither a proof that its
+// settings and endpoints are the newest nor a peer that has no newer ones. While the store is down,
+// only the second is possible; it makes this host as good as the others.
 func (h *Host) unconfirmed() bool {
 	endedAt := h.gaps.endedAt.Load()
 	if endedAt == 0 {
