--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -41,10 +41,10 @@
 // host's first calls.
 //
 // The failure was seen in a fleet of 78 hosts run as real processes, with a drain time of 3 s and a
-// sound store: a host learns from others how recent the list of endpoints is and then loses contact
-// with them. Endpoints leave. When its own rank makes it read the store, its first calls are
-// refused, as for exceeding the store's rate, or get no answer, and it keeps sending requests by
-// the old list.
+// sound store, at hosts that nothing disturbed: a host learns from others how recent the list of
+// endpoints is and then loses contact with them. Endpoints leave. When its own rank makes it read
+// the store, its first calls are refused, as for exceeding the store's rate, or get no answer, and
+// it keeps sending requests by the old list.
 //
 // The cause was that the age of the list was not checked when a request was sent. It was assumed
 // from typical durations: reads by rank, proofs through relays, one call and its repetition. A
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -42,15 +42,15 @@
 		{h.Boot.Control, serveHandler(h.controlHandler())},
 		{h.Boot.Directory, serveHandler(h.directoryHandler())},
 	}
-	for _, w := range listeners {
-		if w.address == "" {
+	for _, listener := range listeners {
+		if listener.address == "" {
 			continue
 		}
-		l, err := h.network().Listen(ctx, "tcp", w.address)
+		l, err := h.network().Listen(ctx, "tcp", listener.address)
 		if err != nil {
 			return err
 		}
-		go w.serve(l)
+		go listener.serve(l)
 		context.AfterFunc(ctx, func() { _ = l.Close() })
 	}
 	return nil
