--- a/edge/share.go
+++ b/edge/share.go
@@ -25,8 +25,8 @@
 		Capacity: h.Boot.Capacity(), Ready: h.ready(), Fresh: h.ingress.SettingsFresh(),
 	}
 	b.Load, b.Waiting = h.ingress.Loads()
-	told := h.ingress.Usage()
-	b.Used, b.Left = told.Used, told.Left
+	usage := h.ingress.Usage()
+	b.Used, b.Left = usage.Used, usage.Left
 	b.Crashes = h.Crashes(quarantine.Local)
 }
 
@@ -60,195 +60,202 @@
 }
 
 // LoadsReceived implements peers.Host.
-func (h *Host) LoadsReceived() { h.shareLoads() }
+func (h *Host) LoadsReceived() { h.applyPeerLoads() }
 
-// ProofReceived implements peers.Host: settings and endpoints that a peer knows to be newest are
-// so here too, and newer ones are asked for.
+// ProofReceived implements peers.Host. If a peer proves the versions that this host has, they are
+// confirmed; newer versions are fetched.
 func (h *Host) ProofReceived(p peers.Proof) {
-	settings, endpoints := false, false
+	fetchSettings, fetchEndpoints := false, false
 	if v := p.Settings; v.Known {
-		switch have := h.settings.Age.Revision(); {
-		case v.Revision == have:
+		switch own := h.settings.Age.Revision(); {
+		case v.Revision == own:
 			h.settings.Age.Prove(v.Revision, v.At)
-		case v.Revision > have:
-			settings = true
+		case v.Revision > own:
+			fetchSettings = true
 		}
 	}
 	if v := p.Endpoints; v.Known {
-		endpoints = h.endpoints.ReceiveView(viewOf(v))
+		fetchEndpoints = h.endpoints.ReceiveView(feedView(v))
 	}
-	if settings {
-		want(h.wantedSettings, p)
+	if fetchSettings {
+		requestFetch(h.settingsToFetch, p)
 	}
-	if endpoints {
-		want(h.wantedEndpoints, p)
+	if fetchEndpoints {
+		requestFetch(h.endpointsToFetch, p)
 	}
-	if !settings && !endpoints && p.Settings.Known && p.Endpoints.Known {
-		h.waking.level.Store(int64(h.now()))
+	if !fetchSettings && !fetchEndpoints && p.Settings.Known && p.Endpoints.Known {
+		h.gaps.peerLevelAt.Store(int64(h.now()))
 	}
 }
 
-// want lets what a peer proved be asked for, unless something is asked for already: the next heartbeat tells of what is newer still.
-func want(wanted chan peers.Proof, p peers.Proof) {
+// requestFetch queues a fetch of what a peer proved, unless one is queued already. The next
+// heartbeat announces anything that is newer still.
+func requestFetch(pending chan peers.Proof, p peers.Proof) {
 	select {
-	case wanted <- p:
+	case pending <- p:
 	default:
 	}
 }
 
-// viewOf names the endpoints that a peer proved.
-func viewOf(v peers.Version) feed.View {
+// feedView converts the version of the endpoints that a peer proved.
+func feedView(v peers.Version) feed.View {
 	return feed.View{Revision: v.Revision, Checksum: v.Sum, ProvenAt: v.At}
 }
 
-// fetchSettings and fetchEndpoints ask peers for what they know better, until ctx ends. The list of endpoints does not wait for
-// settings, which may be large: both have bounds on their age.
-func (h *Host) fetchSettings(ctx context.Context)  { h.fetch(ctx, h.wantedSettings, h.askSettings) }
-func (h *Host) fetchEndpoints(ctx context.Context) { h.fetch(ctx, h.wantedEndpoints, h.askEndpoints) }
+// fetchSettings and fetchEndpoints fetch newer versions from peers until ctx ends. The list of
+// endpoints does not wait for the settings, which may be large: the age of both is limited.
+func (h *Host) fetchSettings(ctx context.Context) {
+	h.fetch(ctx, h.settingsToFetch, h.fetchSettingsFrom)
+}
+func (h *Host) fetchEndpoints(ctx context.Context) {
+	h.fetch(ctx, h.endpointsToFetch, h.fetchEndpointsFrom)
+}
 
-// fetch asks peers for what they proved, one at a time.
-func (h *Host) fetch(ctx context.Context, wanted chan peers.Proof, ask func(context.Context, peers.Proof)) {
+// fetch runs the queued fetches one at a time.
+func (h *Host) fetch(ctx context.Context, pending chan peers.Proof, fetchOne func(context.Context, peers.Proof)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-wanted:
-			began := h.now()
+		case p := <-pending:
+			start := h.now()
 			cctx, cancel := context.WithTimeout(ctx, fetchTimeout)
-			ask(cctx, p)
+			fetchOne(cctx, p)
 			cancel()
-			h.fetched.longestMS.Store(max(h.fetched.longestMS.Load(), (h.now() - began).Milliseconds()))
+			h.fetchStats.longestMS.Store(max(h.fetchStats.longestMS.Load(), (h.now() - start).Milliseconds()))
 		}
 	}
 }
 
-// fetches counts the questions to peers for what they know better.
-type fetches struct {
-	asked, failed atomic.Int64
-	longestMS     atomic.Int64
+// fetchStats counts the fetches from peers.
+type fetchStats struct {
+	started, failed atomic.Int64
+	longestMS       atomic.Int64
 }
 
-// fetchTimeout bounds a question to a peer. A peer that does not answer is followed by
-// another one's heartbeat.
+// fetchTimeout limits the time for a fetch. If a peer does not answer, the heartbeat of another
+// peer triggers the next fetch.
 const fetchTimeout = 500 * time.Millisecond
 
-// askSettings asks a peer for the settings that it proved.
-func (h *Host) askSettings(ctx context.Context, p peers.Proof) {
+// fetchSettingsFrom fetches the settings that a peer proved.
+func (h *Host) fetchSettingsFrom(ctx context.Context, p peers.Proof) {
 	var b settingsBody
-	if h.ask(ctx, p.Control, pathSettings, &b) {
+	if h.fetchJSON(ctx, p.Control, pathSettings, &b) {
 		h.settings.Offer(b.Value, b.Revision)
 		h.settings.Age.Prove(p.Settings.Revision, p.Settings.At)
 	}
 }
 
-// askEndpoints asks a peer for the list of endpoints that it proved.
-func (h *Host) askEndpoints(ctx context.Context, p peers.Proof) {
+// fetchEndpointsFrom fetches the list of endpoints that a peer proved.
+func (h *Host) fetchEndpointsFrom(ctx context.Context, p peers.Proof) {
 	var l feed.EndpointList
-	if h.ask(ctx, p.Control, pathEndpoints, &l) {
+	if h.fetchJSON(ctx, p.Control, pathEndpoints, &l) {
 		h.endpoints.Offer(l)
-		h.endpoints.ReceiveView(viewOf(p.Endpoints))
+		h.endpoints.ReceiveView(feedView(p.Endpoints))
 	}
 }
 
-// ask reads a peer's answer and reports whether there was one.
-func (h *Host) ask(ctx context.Context, control, path string, out any) bool {
-	h.fetched.asked.Add(1)
-	if !h.askOnce(ctx, control, path, out) {
-		h.fetched.failed.Add(1)
+// fetchJSON fetches and decodes an answer of a peer and counts failures. It reports success.
+func (h *Host) fetchJSON(ctx context.Context, control, path string, out any) bool {
+	h.fetchStats.started.Add(1)
+	if !h.tryFetchJSON(ctx, control, path, out) {
+		h.fetchStats.failed.Add(1)
 		return false
 	}
 	return true
 }
 
-// askOnce asks and reads the answer.
-func (h *Host) askOnce(ctx context.Context, control, path string, out any) bool {
+// tryFetchJSON fetches and decodes an answer of a peer. It reports success.
+func (h *Host) tryFetchJSON(ctx context.Context, control, path string, out any) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+path, nil)
 	if err != nil {
-		h.Log.Error(err, "peer's address cannot be asked", "peer", control)
+		h.Log.Error(err, "invalid address of a peer", "peer", control)
 		return false
 	}
 	resp, err := h.peerHTTP.Do(req)
 	if err != nil {
-		h.Log.V(1).Info("peer not reached", "peer", control, "path", path, "cause", err.Error())
+		h.Log.V(1).Info("request to a peer failed", "peer", control, "path", path, "cause", err.Error())
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			h.peerHTTP.CloseIdleConnections() // they may have fallen silent with this one
+			h.peerHTTP.CloseIdleConnections() // they may have stopped responding together with this one
 		}
 		return false
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		h.Log.V(1).Info("peer has no answer", "peer", control, "path", path, "status", resp.StatusCode)
+		h.Log.V(1).Info("peer answered with an error status", "peer", control, "path", path, "status", resp.StatusCode)
 		return false
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		h.Log.Error(err, "peer's answer cannot be read", "peer", control, "path", path)
+		h.Log.Error(err, "cannot decode the answer of a peer", "peer", control, "path", path)
 		return false
 	}
 	return true
 }
 
-// shareLoads gives the ingress what the other hosts told of their requests.
-func (h *Host) shareLoads() {
+// applyPeerLoads passes the loads that the other hosts reported to the ingress.
+func (h *Host) applyPeerLoads() {
 	h.ingress.SetOthers(h.agent.PeerLoads())
 }
 
-// foundFor is the time after its start for which a host counts the entries in the store among
-// the hosts: those of hosts that ended stay there for some seconds, but until heartbeats have
-// come, a host that counts itself alone takes all of an amount, and so does each other one that
-// starts at that moment. It is as long as a book takes levels from peers.
-const foundFor = 2 * time.Second
+// storeCountPeriod is the time after its start for which a host also uses the number of hosts
+// according to the entries in the store. Entries of hosts that ended stay there for some seconds.
+// But until heartbeats have arrived, a host that counts only itself would use the full amount of
+// each workspace, and so would every other host that starts at that moment. The period is as long
+// as quota.Book accepts levels from peers.
+const storeCountPeriod = 2 * time.Second
 
-// shareHosts tells the ingress which hosts share amounts and endpoints with this one.
-func (h *Host) shareHosts() {
+// applyHostCount tells the ingress which hosts, and how many, share amounts and endpoints with this
+// one.
+func (h *Host) applyHostCount() {
 	h.ingress.RetainHosts(h.agent.UsageSources())
 	n := 1 + len(h.agent.Unexpired())
 	if n == 1 && len(h.Boot.Seeds) > 1 {
 		n = len(h.Boot.Seeds)
 	}
-	if h.now() < foundFor {
-		n = max(n, int(h.found.Load()))
+	if h.now() < storeCountPeriod {
+		n = max(n, int(h.hostsInStore.Load()))
 	}
 	h.ingress.SetHosts(n, peers.ReportInterval(n))
 }
 
-// settingsBody is how hosts pass the configuration on.
+// settingsBody is the configuration in the form in which hosts pass it on.
 type settingsBody struct {
-	// Revision is the number of its write.
+	// Revision is the store's revision of the configuration.
 	Revision uint64 `json:"revision"`
-	// Value is the document.
+	// Value is the configuration document.
 	Value []byte `json:"value"`
 }
 
-// Paths at which other hosts ask for the configuration and the endpoints in force.
+// Paths at which other hosts fetch the configuration and the endpoints in force.
 const (
 	pathSettings  = "/v1/settings"
 	pathEndpoints = "/v1/endpoints"
 )
 
-// answerSettings answers other hosts with the configuration in force.
-func (h *Host) answerSettings(w http.ResponseWriter, _ *http.Request) {
+// serveSettings answers other hosts with the configuration in force.
+func (h *Host) serveSettings(w http.ResponseWriter, _ *http.Request) {
 	src := h.settings.Current()
 	if src == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	h.answer(w, settingsBody{src.Revision, src.Value})
+	h.writeJSON(w, settingsBody{src.Revision, src.Value})
 }
 
-// answerEndpoints answers other hosts with the endpoints in force.
-func (h *Host) answerEndpoints(w http.ResponseWriter, _ *http.Request) {
+// serveEndpoints answers other hosts with the endpoints in force.
+func (h *Host) serveEndpoints(w http.ResponseWriter, _ *http.Request) {
 	l, ok := h.endpoints.List()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	h.answer(w, l)
+	h.writeJSON(w, l)
 }
 
-// answer writes JSON.
-func (h *Host) answer(w http.ResponseWriter, body any) {
+// writeJSON writes a JSON answer.
+func (h *Host) writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		h.Log.V(1).Info("answer not written", "cause", err.Error())
+		h.Log.V(1).Info("cannot write an answer", "cause", err.Error())
 	}
 }
