--- a/edge/host.go
+++ b/edge/host.go
@@ -251,12 +251,12 @@
 		return err
 	}
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: h.Boot.Host, Life: h.incarnation}, Conn: conn, Seeds: h.seedAddresses(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.gapDetector.Check,
+		Table: &peers.Table{Host: h.Boot.Host, Incarnation: h.incarnation}, Conn: conn, Seeds: h.seedAddresses(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.gapDetector.Check,
 		Rand: rand.New(rand.NewPCG(h.incarnation, 1)), Log: h.Log.WithName("peers"),
 	}
-	h.agent.Places = h.ingress
+	h.agent.Slots = h.ingress
 	h.agent.Init()
-	h.ingress.SetRequestSlots(h.agent.TriggerAsks)
+	h.ingress.SetRequestSlots(h.agent.TriggerSlotRequests)
 	h.ingress.SetCrashNotifier(h.agent.TriggerHeartbeat)
 	return nil
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -123,7 +123,7 @@
 
 // readRank returns this host's rank in the order in which hosts read the store for each other.
 func (h *Host) readRank() int {
-	rank, _ := h.agent.Turn()
+	rank, _ := h.agent.ReadRank()
 	if inStore := int(h.hostsInStore.Load()); rank > 0 && h.now() < joinPeriod && inStore >= largeFleet && 2*h.hostCount() < inStore {
 		return inStore
 	}
@@ -132,6 +132,6 @@
 
 // viaRelay reports whether proofs of peers reach this host through relays.
 func (h *Host) viaRelay() bool {
-	_, viaRelay := h.agent.Turn()
+	_, viaRelay := h.agent.ReadRank()
 	return viaRelay
 }
--- a/edge/share.go
+++ b/edge/share.go
@@ -45,7 +45,7 @@
 
 // UsageReceived implements peers.Host.
 func (h *Host) UsageReceived(u peers.Usage) {
-	h.ingress.MergeUsage(u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
+	h.ingress.MergeUsage(u.Source, u.Incarnation, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // Crashes implements peers.Host.
@@ -194,7 +194,7 @@
 
 // applyPeerLoads passes the loads that the other hosts reported to the ingress.
 func (h *Host) applyPeerLoads() {
-	h.ingress.SetOthers(h.agent.PeerLoads())
+	h.ingress.SetPeerLoads(h.agent.PeerLoads())
 }
 
 // storeCountPeriod is the time after its start for which a host also uses the number of hosts
--- a/ingress/state.go
+++ b/ingress/state.go
@@ -22,5 +22,5 @@
 	return b.sched.Ejected(b.now()), b.sched.Ejections()
 }
 
-// SetOthers applies the running and waiting requests of all other hosts together.
-func (s *Server) SetOthers(loads peers.PeerLoads) { s.balance.setPeerLoads(s.Now(), loads) }
+// SetPeerLoads applies the running and waiting requests of all other hosts together.
+func (s *Server) SetPeerLoads(loads peers.PeerLoads) { s.balance.setPeerLoads(s.Now(), loads) }
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -81,8 +81,8 @@
 // Usage is what one or several other hosts used of shared amounts.
 type Usage struct {
 	// Source is the name of the host that reported it; Life identifies one run of that host's process.
-	Source string
-	Life   uint64
+	Source      string
+	Incarnation uint64
 	// Hosts is the number of hosts whose use is included.
 	Hosts int
 	// Used is what they used since that run began, by workspace, and Left the level of each workspace whose
@@ -100,8 +100,8 @@
 	Seeds []string
 	// Host is the program that the agent runs in.
 	Host Host
-	// Places is the program as an owner of slots and as a host that asks for them, or nil.
-	Places SlotHost
+	// Slots is the program as an owner of slots and as a host that asks for them, or nil.
+	Slots SlotHost
 	// Now is the host's clock; it includes the time in which the host is suspended.
 	Now func() time.Duration
 	// CheckGap checks whether the process did not run for a while and, if so, calls NoteGap; it may be nil. It
@@ -141,7 +141,7 @@
 	a.askTrigger = make(chan struct{}, 1)
 	a.loggedLive = make(map[string]bool)
 	a.logBudget = outcome.Budget{Rate: peerLogRate, Burst: peerLogBurst}
-	a.relay = Relay{Host: a.Table.Host, Life: a.Table.Life}
+	a.relay = Relay{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
 	if a.Interval == 0 {
 		a.Interval = DefaultInterval
 	}
@@ -215,7 +215,7 @@
 func (a *Agent) Run(ctx context.Context) {
 	go a.receive(ctx)
 	go a.shareLoadChanges(ctx)
-	if a.Places != nil {
+	if a.Slots != nil {
 		go a.askLoop(ctx)
 	}
 	t := time.NewTicker(a.Interval)
@@ -237,7 +237,7 @@
 // sendHeartbeat sends one heartbeat: to all others, or to the relay; and at intervals to the seeds and to some
 // hosts, with the hosts that it knows.
 func (a *Agent) sendHeartbeat() {
-	b := Heartbeat{Host: a.Table.Host, Life: a.Table.Life}
+	b := Heartbeat{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
 	a.Host.Fill(&b)
 	a.mu.Lock()
 	a.info = b.Info
@@ -408,7 +408,7 @@
 	if !ok {
 		return
 	}
-	u := Update{Host: a.Table.Host, Life: a.Table.Life, Load: load, Waiting: waiting}
+	u := Update{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Load: load, Waiting: waiting}
 	a.mu.Lock()
 	u.LoadSeq = a.Table.NextLoadSeq()
 	a.mu.Unlock()
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -13,8 +13,8 @@
 // Heartbeat is the periodic report of a host. It is one datagram of JSON.
 type Heartbeat struct {
 	// Host is the name of the sender; Life identifies one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Seq numbers the sender's heartbeats and digests.
 	Seq uint32 `json:"s"`
 	// Echo is the newest Seq received from each receiver.
@@ -68,8 +68,8 @@
 // KnownHost is another host as the sender knows it.
 type KnownHost struct {
 	// Host and Life identify the host and one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Info is what the host reported about itself.
 	Info HostInfo `json:"r"`
 	// Age is the time since the host was heard from, in milliseconds.
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -47,7 +47,7 @@
 		return encodeDeflated(kindDigest, msg)
 	case *Update:
 		return encodeJSON(kindUpdate, msg)
-	case *Asks:
+	case *SlotRequests:
 		return encodeJSON(kindAsks, msg)
 	case *Grants:
 		return encodeJSON(kindGrants, msg)
@@ -102,7 +102,7 @@
 		var u Update
 		return &u, json.Unmarshal(data, &u)
 	case kindAsks:
-		var m Asks
+		var m SlotRequests
 		return &m, json.Unmarshal(data, &m)
 	case kindGrants:
 		var m Grants
--- a/peers/digest.go
+++ b/peers/digest.go
@@ -7,8 +7,8 @@
 // Digest is what a relay passes on: the sum of the reports of several hosts. It is one datagram of JSON.
 type Digest struct {
 	// Host is the name of the relay; Life identifies one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Seq numbers the relay's heartbeats and digests.
 	Seq uint32 `json:"s"`
 	// Partial says that the digest is the sum of the relay's own members, for other relays; otherwise it is the
--- a/peers/places.go
+++ b/peers/places.go
@@ -23,14 +23,14 @@
 	ownersInterval = 200 * time.Millisecond
 )
 
-// Asks is what a host asks the owner of some endpoints' slots. It is one datagram of JSON.
-type Asks struct {
+// SlotRequests is what a host asks the owner of some endpoints' slots. It is one datagram of JSON.
+type SlotRequests struct {
 	// Host is the name of the sender; Life identifies one run of its process; Seq numbers its asks.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
-	Seq  uint32 `json:"s"`
-	// Asks holds the requests by incarnation of the endpoint.
-	Asks map[string]places.Request `json:"a"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
+	Seq         uint32 `json:"s"`
+	// Requests holds the requests by incarnation of the endpoint.
+	Requests map[string]places.Request `json:"a"`
 }
 
 // Grants is what an owner answers, and sends to hosts when slots become free. It is one datagram of JSON.
@@ -46,10 +46,10 @@
 type SlotHost interface {
 	// ZoneOf returns the zone of an endpoint, given its incarnation.
 	ZoneOf(endpoint string) string
-	// Asks returns what to ask the owners, and whether something waits.
-	Asks() (asks map[string]places.Request, waits bool)
-	// HandleAsks handles what a host asks this one as an owner, and returns the grants by host.
-	HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
+	// SlotRequests returns what to ask the owners, and whether something waits.
+	SlotRequests() (asks map[string]places.Request, waits bool)
+	// HandleSlotRequests handles what a host asks this one as an owner, and returns the grants by host.
+	HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
 	// HandleGrants handles an owner's answer.
 	HandleGrants(grants map[string]places.Grant)
 }
@@ -77,14 +77,14 @@
 	}
 	name, ok := owners.byEndpoint[endpoint]
 	if !ok {
-		name = places.Owner(endpoint, a.Places.ZoneOf(endpoint), owners.candidates)
+		name = places.Owner(endpoint, a.Slots.ZoneOf(endpoint), owners.candidates)
 		owners.byEndpoint[endpoint] = name
 	}
 	return name
 }
 
-// TriggerAsks makes the agent ask for slots after askDelay.
-func (a *Agent) TriggerAsks() {
+// TriggerSlotRequests makes the agent ask for slots after askDelay.
+func (a *Agent) TriggerSlotRequests() {
 	select {
 	case a.askTrigger <- struct{}{}:
 	default:
@@ -115,7 +115,7 @@
 			continue
 		}
 		var asks map[string]places.Request
-		asks, waits = a.Places.Asks()
+		asks, waits = a.Slots.SlotRequests()
 		a.sendAsks(asks)
 	}
 }
@@ -146,9 +146,9 @@
 	a.mu.Unlock()
 	for name, part := range byOwner {
 		if name == a.Table.Host {
-			a.sendGrants(a.Places.HandleAsks(name, a.Table.Life, seq, part))
+			a.sendGrants(a.Slots.HandleSlotRequests(name, a.Table.Incarnation, seq, part))
 		} else if to[name] != "" {
-			a.sendTo(&Asks{Host: a.Table.Host, Life: a.Table.Life, Seq: seq, Asks: part}, []string{to[name]})
+			a.sendTo(&SlotRequests{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Seq: seq, Requests: part}, []string{to[name]})
 		}
 	}
 }
@@ -157,14 +157,14 @@
 func (a *Agent) sendGrants(grants map[string]map[string]places.Grant) {
 	for host, part := range grants {
 		if host == a.Table.Host {
-			a.Places.HandleGrants(part)
+			a.Slots.HandleGrants(part)
 			continue
 		}
 		a.mu.Lock()
 		m := a.Table.members[host]
 		address, life := "", uint64(0)
 		if m != nil {
-			address, life = m.Info.Address, m.Life
+			address, life = m.Info.Address, m.Incarnation
 		}
 		a.mu.Unlock()
 		if address != "" {
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -37,7 +37,7 @@
 
 func (p *slotNode) ZoneOf(endpoint string) string { return p.zones[endpoint] }
 
-func (p *slotNode) Asks() (map[string]places.Request, bool) {
+func (p *slotNode) SlotRequests() (map[string]places.Request, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]places.Request)
@@ -66,7 +66,7 @@
 	return out, p.waiting > 0
 }
 
-func (p *slotNode) HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+func (p *slotNode) HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.node.now()
@@ -107,10 +107,10 @@
 			p.running[e]--
 			p.waiting++
 			p.mu.Unlock()
-			p.node.agent.TriggerAsks()
+			p.node.agent.TriggerSlotRequests()
 		})
 	}
-	p.node.agent.TriggerAsks()
+	p.node.agent.TriggerSlotRequests()
 }
 
 // TestSlotUse runs fleets that have 1.5 times as many requests as slots and ask the owners for slots. It checks
@@ -146,7 +146,7 @@
 						node: n, rand: rand.New(rand.NewPCG(uint64(i), 5)), zones: zones, slots: slots, requestTime: requestTime, running: make(map[string]int),
 						sent: make(map[string]places.Request), allocators: make(map[string]*places.Allocator), returned: make(map[string]bool),
 					}
-					n.agent.Places = all[i]
+					n.agent.Slots = all[i]
 					go n.agent.askLoop(ctx)
 				}
 				time.Sleep(4 * time.Second)
@@ -155,7 +155,7 @@
 					p.mu.Lock()
 					p.waiting++
 					p.mu.Unlock()
-					p.node.agent.TriggerAsks()
+					p.node.agent.TriggerSlotRequests()
 				}
 				if tc.dies > 0 {
 					time.Sleep(time.Second)
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -24,8 +24,8 @@
 // does no I/O, and it is not safe for concurrent use.
 type Relay struct {
 	// Host and Life identify this host and one run of its process.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 
 	members map[string]*source
 	relays  map[string]*source
@@ -37,13 +37,13 @@
 
 // source is the last report of a host or a relay.
 type source struct {
-	life       uint64
-	seq        uint32
-	receivedAt time.Duration
-	hosts      int
-	address    string
-	lost       []string
-	words      Words
+	incarnation uint64
+	seq         uint32
+	receivedAt  time.Duration
+	hosts       int
+	address     string
+	lost        []string
+	words       Words
 }
 
 // init creates the maps.
@@ -60,7 +60,7 @@
 func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
-	used, ok := updateSource(r.members, b.Host, &source{life: b.Life, seq: b.Seq, receivedAt: now, hosts: 1, address: b.Info.Address, words: b.Words})
+	used, ok := updateSource(r.members, b.Host, &source{incarnation: b.Incarnation, seq: b.Seq, receivedAt: now, hosts: 1, address: b.Info.Address, words: b.Words})
 	if !ok {
 		return
 	}
@@ -73,7 +73,7 @@
 // ReceivePartial stores another relay's partial digest.
 func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
-	used, ok := updateSource(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
+	used, ok := updateSource(r.relays, d.Host, &source{incarnation: d.Incarnation, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
 	if !ok {
 		return
 	}
@@ -86,11 +86,11 @@
 // starts with the first report of a run. It returns false for a report that arrives after a newer one.
 func updateSource(sources map[string]*source, name string, s *source) (map[string]float64, bool) {
 	old := sources[name]
-	if old != nil && old.life == s.life && s.seq <= old.seq {
+	if old != nil && old.incarnation == s.incarnation && s.seq <= old.seq {
 		return nil, false
 	}
 	sources[name] = s
-	if old == nil || old.life != s.life {
+	if old == nil || old.incarnation != s.incarnation {
 		return nil, true
 	}
 	used := make(map[string]float64)
@@ -144,7 +144,7 @@
 // PartialDigest returns the sum of the members, for other relays.
 func (r *Relay) PartialDigest(now time.Duration) Digest {
 	r.expire(now)
-	d := Digest{Host: r.Host, Life: r.Life, Partial: true, Echo: make(map[string]uint32)}
+	d := Digest{Host: r.Host, Incarnation: r.Incarnation, Partial: true, Echo: make(map[string]uint32)}
 	var sum loadSum
 	for _, s := range r.members {
 		d.Hosts += s.hosts
@@ -161,7 +161,7 @@
 // FullDigest returns the sum of all hosts, for the members.
 func (r *Relay) FullDigest(now time.Duration) Digest {
 	r.expire(now)
-	d := Digest{Host: r.Host, Life: r.Life, Echo: make(map[string]uint32)}
+	d := Digest{Host: r.Host, Incarnation: r.Incarnation, Echo: make(map[string]uint32)}
 	var sum loadSum
 	for name, s := range r.members {
 		d.Hosts += s.hosts
--- a/peers/relayed.go
+++ b/peers/relayed.go
@@ -17,7 +17,7 @@
 	a.mu.Lock()
 	now := a.Now()
 	a.sentWords.add(&b)
-	self := &Member{Host: b.Host, Life: b.Life, Info: b.Info}
+	self := &Member{Host: b.Host, Incarnation: b.Incarnation, Info: b.Info}
 	relay := a.uplink.choose(now, b.Host, a.Table.Relays(now, b.Info.Zone, self))
 	var to []string
 	switch relay {
@@ -69,7 +69,7 @@
 
 // otherRelays returns the addresses of the preferred relays of all zones, without this host. mu must be held.
 func (a *Agent) otherRelays(now time.Duration, b *Heartbeat) []string {
-	self := &Member{Host: b.Host, Life: b.Life, Info: b.Info}
+	self := &Member{Host: b.Host, Incarnation: b.Incarnation, Info: b.Info}
 	all := append(a.Table.Live(now), self)
 	var out []string
 	for _, zone := range zonesOf(all) {
--- a/peers/table.go
+++ b/peers/table.go
@@ -36,8 +36,8 @@
 // Member is another host.
 type Member struct {
 	// Host and Life identify the host and one run of its process.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 	// Info is what the host reported about itself.
 	Info HostInfo
 	// LastHeard is when the host was last known to be live.
@@ -64,8 +64,8 @@
 // Table is what a host knows about the others. It does no I/O, and it is not safe for concurrent use.
 type Table struct {
 	// Host and Life identify this host and one run of its process.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 	// SilenceTimeout and ForgetTimeout are described at their defaults, which are used for 0.
 	SilenceTimeout, ForgetTimeout time.Duration
 
@@ -108,15 +108,15 @@
 		return Proof{}, false
 	}
 	m := t.member(b.Host)
-	if b.Life == m.Life && b.Seq <= m.lastSeq {
+	if b.Incarnation == m.Incarnation && b.Seq <= m.lastSeq {
 		return Proof{}, false
 	}
-	if b.Life != m.Life || b.LoadSeq >= m.loadSeq {
+	if b.Incarnation != m.Incarnation || b.LoadSeq >= m.loadSeq {
 		m.Load, m.Waiting, m.loadSeq = b.Load, b.Waiting, b.LoadSeq
 	}
 	m.setInfo(now, b.Info)
 	t.noteReturn(now, m)
-	m.Life, m.lastSeq = b.Life, b.Seq
+	m.Incarnation, m.lastSeq = b.Incarnation, b.Seq
 	m.LastHeard, m.lastDirect = now, now
 	for _, k := range b.Known {
 		t.mergeKnownHost(now, k)
@@ -131,11 +131,11 @@
 		return Proof{}, false
 	}
 	m := t.member(d.Host)
-	if d.Life == m.Life && d.Seq <= m.lastSeq {
+	if d.Incarnation == m.Incarnation && d.Seq <= m.lastSeq {
 		return Proof{}, false
 	}
 	m.setInfo(now, d.Info)
-	m.Life, m.lastSeq = d.Life, d.Seq
+	m.Incarnation, m.lastSeq = d.Incarnation, d.Seq
 	m.LastHeard, m.lastDirect = now, now
 	for _, k := range d.Known {
 		t.mergeKnownHost(now, k)
@@ -152,7 +152,7 @@
 // or in the known one if life is 0. A relay that lost some heartbeats may report the member as silent; a host
 // that hears from it knows better.
 func (t *Table) MarkAlive(now time.Duration, host string, life uint64) {
-	if m := t.members[host]; m != nil && (life == 0 || life == m.Life) {
+	if m := t.members[host]; m != nil && (life == 0 || life == m.Incarnation) {
 		t.noteReturn(now, m)
 		m.LastHeard, m.lastDirect = now, now
 	}
@@ -242,8 +242,8 @@
 	}
 	m := t.member(k.Host)
 	if m.Info.Address == "" || (lastHeard > m.lastDirect && lastHeard > m.LastHeard) {
-		if m.Life != k.Life {
-			m.Life, m.lastSeq, m.loadSeq = k.Life, 0, 0
+		if m.Incarnation != k.Incarnation {
+			m.Incarnation, m.lastSeq, m.loadSeq = k.Incarnation, 0, 0
 		}
 		m.setInfo(now, k.Info)
 		t.noteReturn(now, m)
@@ -351,7 +351,7 @@
 
 // knownHost returns a member in the form in which it is passed on.
 func (m *Member) knownHost(now time.Duration) KnownHost {
-	return KnownHost{m.Host, m.Life, m.Info, (now - m.LastHeard).Milliseconds()}
+	return KnownHost{m.Host, m.Incarnation, m.Info, (now - m.LastHeard).Milliseconds()}
 }
 
 // lastSeqOf returns the newest Seq received from a host, 0 for none.
--- a/peers/turn.go
+++ b/peers/turn.go
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turn returns this host's position in the order in which hosts read the store for each other; viaRelay reports
+// ReadRank returns this host's position in the order in which hosts read the store for each other; viaRelay reports
 // whether proofs arrive through relays. In small fleets the order is that of the hashes of the names. In fleets
 // with relays the relays come first, because their reports reach all hosts of their zone soonest. A host that
 // hears from no other host has turn 0.
-func (a *Agent) Turn() (turn int, viaRelay bool) {
+func (a *Agent) ReadRank() (turn int, viaRelay bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
@@ -22,7 +22,7 @@
 	if len(live) == 0 {
 		return 0, false
 	}
-	self := &Member{Host: a.Table.Host, Life: a.Table.Life, Info: a.info}
+	self := &Member{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Info: a.info}
 	if !a.usesRelays() {
 		return countBefore(live, self.Host), false
 	}
--- a/peers/update.go
+++ b/peers/update.go
@@ -10,8 +10,8 @@
 // The next heartbeat, which has all loads, makes up for a lost update.
 type Update struct {
 	// Host is the name of the sender; Life identifies one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// LoadSeq numbers the sender's load reports, in updates and heartbeats.
 	LoadSeq uint32 `json:"n"`
 	// Load is what the sender has running now at the endpoints where that changed.
@@ -24,7 +24,7 @@
 // from a host or a Life that is not known yet, is ignored.
 func (t *Table) ReceiveUpdate(u *Update) bool {
 	m := t.members[u.Host]
-	if m == nil || m.Life != u.Life || u.LoadSeq <= m.loadSeq {
+	if m == nil || m.Incarnation != u.Incarnation || u.LoadSeq <= m.loadSeq {
 		return false
 	}
 	m.loadSeq = u.LoadSeq
--- a/peers/update_test.go
+++ b/peers/update_test.go
@@ -15,11 +15,11 @@
 // loads are stored in the end.
 func TestUpdates(t *testing.T) {
 	two, three, none := Load{Running: 2}, Load{Running: 3}, Load{}
-	first := &Heartbeat{Host: "b", Life: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
-	second := &Update{Host: "b", Life: 1, LoadSeq: 2, Load: map[string]Load{"f": two}, Waiting: map[string][]int{"s": {1}}}
-	third := &Update{Host: "b", Life: 1, LoadSeq: 3, Load: map[string]Load{"e": none, "f": three}}
-	full := &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
-	restarted := &Heartbeat{Host: "b", Life: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
+	first := &Heartbeat{Host: "b", Incarnation: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
+	second := &Update{Host: "b", Incarnation: 1, LoadSeq: 2, Load: map[string]Load{"f": two}, Waiting: map[string][]int{"s": {1}}}
+	third := &Update{Host: "b", Incarnation: 1, LoadSeq: 3, Load: map[string]Load{"e": none, "f": three}}
+	full := &Heartbeat{Host: "b", Incarnation: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
+	restarted := &Heartbeat{Host: "b", Incarnation: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
 	cases := []struct {
 		name     string
 		received []any
@@ -29,14 +29,14 @@
 		{"in order", []any{first, second}, map[string]Load{"e": two, "f": two}, 1},
 		{"an endpoint that no longer has requests", []any{first, second, third}, map[string]Load{"e": none, "f": three}, 0},
 		{"an out-of-order update is ignored", []any{first, third, second}, map[string]Load{"e": none, "f": three}, 0},
-		{"an out-of-order heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
+		{"an out-of-order heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Incarnation: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
 		{"a heartbeat makes up for a lost update", []any{first, full}, map[string]Load{"f": three}, 0},
 		{"an update of an unknown host", []any{second}, nil, 0},
 		{"an update of an ended Life", []any{first, restarted, third}, map[string]Load{"g": two}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			table := &Table{Host: "a", Life: 9}
+			table := &Table{Host: "a", Incarnation: 9}
 			var copies []Member
 			for _, msg := range tc.received {
 				switch msg := msg.(type) {
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -62,7 +62,7 @@
 // receive stores a digest of the relay in use and returns what the other hosts used.
 func (u *uplink) receive(now time.Duration, d *Digest, sent *history) (Usage, bool) {
 	old := u.digest
-	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Life == d.Life && d.Seq <= old.Seq) {
+	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Incarnation == d.Incarnation && d.Seq <= old.Seq) {
 		return Usage{}, false
 	}
 	u.lastDigest = now
@@ -78,7 +78,7 @@
 	for ws, n := range d.Used {
 		used[ws] = n - own.Used[ws]
 	}
-	return Usage{Source: d.Host, Life: d.Life, Hosts: d.Hosts - 1, Used: used, Left: d.Left}, true
+	return Usage{Source: d.Host, Incarnation: d.Incarnation, Hosts: d.Hosts - 1, Used: used, Left: d.Left}, true
 }
 
 // peerLoads returns what the other hosts have running and waiting according to the last digest, which is its
--- a/peers/woke_test.go
+++ b/peers/woke_test.go
@@ -182,7 +182,7 @@
 			return n
 		})
 		time.Sleep(time.Second)
-		msg := &Heartbeat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Evidence{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
+		msg := &Heartbeat{Host: "h001", Incarnation: nodes[1].agent.Table.Incarnation, Words: Words{Crashes: quarantine.Evidence{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
 		send := func() {
 			msg.Seq = 1000 + nodes[1].agent.Table.seq
 			nodes[1].agent.sendTo(msg, []string{nodes[0].info.Address})
--- a/revision/store.go
+++ b/revision/store.go
@@ -43,8 +43,8 @@
 type Store struct {
 	// KV is the key-value service.
 	KV keyval.KV
-	// Pause is the time before a retry; 0 means 100 ms.
-	Pause time.Duration
+	// RetryDelay is the time before a retry; 0 means 100 ms.
+	RetryDelay time.Duration
 }
 
 // Load returns the head and the declaration in force. Before the first change the head is empty.
@@ -119,7 +119,7 @@
 		if err == nil || !isTemporary(err) {
 			return done, err
 		}
-		pause := s.Pause
+		pause := s.RetryDelay
 		if pause == 0 {
 			pause = 100 * time.Millisecond
 		}
