--- a/ingress/balance.go
+++ b/ingress/balance.go
@@ -115,7 +115,7 @@
 	}
 	v := &settings.Effective{
 		Workspace: name, Service: c.route.Name, Rank: max(0, slices.Index(b.ranks[c.service.Name], rankFor(c.workspace, c.route))),
-		Weight: 1, Queue: maxWaiting, Repeatable: c.route.MayRepeat(), Affinity: c.route.Sticky,
+		Weight: 1, MaxQueued: maxWaiting, Repeatable: c.route.MayRepeat(), Affinity: c.route.Sticky,
 	}
 	b.effective[key] = v
 	return v
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -241,7 +241,7 @@
 		if !c.serverError {
 			c.s.crashes.noteAnswer(c)
 		}
-		c.recordDuration(metrics.WholeTime, c.s.Now()-c.arrived)
+		c.recordDuration(metrics.TotalTime, c.s.Now()-c.arrived)
 		if c.s.Trace && !c.serverError {
 			c.logOutcome(outcome.Served, http.StatusOK, "", 0)
 		}
@@ -265,7 +265,7 @@
 func (c *call) giveUp(ctx context.Context, d sched.Decision) {
 	if c.r.Context().Err() != nil {
 		c.s.Count.Gone.Add(1)
-		c.logOutcome(outcome.Gone, 0, "the caller closed its connection", 0)
+		c.logOutcome(outcome.CallerGone, 0, "the caller closed its connection", 0)
 		panic(http.ErrAbortHandler)
 	}
 	if c.stream.started {
@@ -274,7 +274,7 @@
 		if c.s.Now() >= c.deadline {
 			why = "the stream was not over by its deadline"
 		}
-		c.logOutcome(outcome.Cut, 0, why, 0)
+		c.logOutcome(outcome.Truncated, 0, why, 0)
 		panic(http.ErrAbortHandler)
 	}
 	if c.savedResponse != nil {
@@ -366,7 +366,7 @@
 	c.recordDuration(metrics.ListAge, c.timings.listAge)
 	c.recordDuration(metrics.ChoiceToSend, now-c.timings.chosen)
 	if drainTime := c.s.DrainTime; drainTime > 0 && c.timings.listAge > drainTime/2 {
-		c.logOutcome(outcome.SentByOldList, 0, "the endpoint list may contain endpoints that have left", 0)
+		c.logOutcome(outcome.SentByStaleList, 0, "the endpoint list may contain endpoints that have left", 0)
 	}
 }
 
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -76,7 +76,7 @@
 	quotas       *quota.Book
 	retryBudgets map[string]*quota.RetryBudget
 	hostCount    int
-	logBudgets   map[outcome.Kind]*outcome.Budget
+	logBudgets   map[outcome.Kind]*outcome.LineLimiter
 
 	// Count counts outcomes.
 	Count Counters
@@ -94,7 +94,7 @@
 	s.quotas = quota.NewBook(s.Now())
 	s.quotas.Tolerance, s.quotas.StartFull = s.Tolerance, s.FirstStart
 	s.retryBudgets = make(map[string]*quota.RetryBudget)
-	s.logBudgets = make(map[outcome.Kind]*outcome.Budget)
+	s.logBudgets = make(map[outcome.Kind]*outcome.LineLimiter)
 	s.hostCount = 1
 	s.SetAgeLimits(AgeLimits{Strict: true})
 	s.balance = newBalancer(s.Zone, s.Policy, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), s.Now)
--- a/ingress/tell.go
+++ b/ingress/tell.go
@@ -22,7 +22,7 @@
 	e.Outcome, e.Status, e.Why, e.RetryAfterMS = kind, status, why, retryAfter.Milliseconds()
 	switch kind {
 	case outcome.SendLost:
-		e.Fingerprint, e.SentMS, e.Beside = c.fingerprint().String(), (now - c.timings.lastSent).Milliseconds(), c.s.balance.concurrent(c)
+		e.Fingerprint, e.SentMS, e.OtherInFlight = c.fingerprint().String(), (now - c.timings.lastSent).Milliseconds(), c.s.balance.concurrent(c)
 	case outcome.Held:
 		e.Fingerprint = c.fingerprint().String()
 	}
@@ -34,10 +34,10 @@
 	c.s.mu.Lock()
 	budget := c.s.logBudgets[kind]
 	if budget == nil {
-		budget = &outcome.Budget{}
+		budget = &outcome.LineLimiter{}
 		c.s.logBudgets[kind] = budget
 	}
-	dropped, ok := budget.Take(now)
+	dropped, ok := budget.Allow(now)
 	c.s.mu.Unlock()
 	if !ok {
 		c.s.Count.LinesDropped.Add(1)
@@ -66,7 +66,7 @@
 func (c *call) outcomeEvent(now time.Duration) outcome.Event {
 	e := outcome.Event{
 		ID: c.id, Endpoint: c.endpoint.Instance, Sends: c.tracker.Sends(), Events: c.stream.events,
-		HeldMS: (now - c.arrived).Milliseconds(), SettingsAgeMS: -1, FirstMS: -1, ListAgeMS: -1, ChoiceMS: -1,
+		ElapsedMS: (now - c.arrived).Milliseconds(), SettingsAgeMS: -1, FirstEventMS: -1, ListAgeMS: -1, ChoiceMS: -1,
 		TokensIn: c.tokensIn, TokensOut: c.tokensOut, TokensGuess: c.lengthHint,
 		LongestPauseMS: c.timings.longestPause.Milliseconds(),
 	}
@@ -77,7 +77,7 @@
 		e.ListAgeMS, e.ChoiceMS = c.timings.listAge.Milliseconds(), (c.timings.lastSent - c.timings.chosen).Milliseconds()
 	}
 	if c.timings.firstWritten > 0 {
-		e.FirstMS = (c.timings.firstWritten - c.arrived).Milliseconds()
+		e.FirstEventMS = (c.timings.firstWritten - c.arrived).Milliseconds()
 	}
 	if e.ID == "" {
 		e.ID = c.r.Header.Get(c.s.Headers.AttemptID)
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -121,7 +121,7 @@
 	trigger        chan struct{}
 	heartbeats     int
 	loggedLive     map[string]bool // live hosts as last logged
-	logBudget      outcome.Budget
+	logBudget      outcome.LineLimiter
 	info           HostInfo // what this host last reported about itself
 	relay          Relay    // this host as a relay
 	uplink         uplink   // the relay that this host uses
@@ -140,7 +140,7 @@
 	a.trigger = make(chan struct{}, 1)
 	a.askTrigger = make(chan struct{}, 1)
 	a.loggedLive = make(map[string]bool)
-	a.logBudget = outcome.Budget{Rate: peerLogRate, Burst: peerLogBurst}
+	a.logBudget = outcome.LineLimiter{Rate: peerLogRate, Burst: peerLogBurst}
 	a.relay = Relay{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
 	if a.Interval == 0 {
 		a.Interval = DefaultInterval
@@ -351,7 +351,7 @@
 	if len(seen)+len(lost) == 0 {
 		return
 	}
-	dropped, ok := a.logBudget.Take(now)
+	dropped, ok := a.logBudget.Allow(now)
 	if !ok {
 		return
 	}
--- a/revision/follower.go
+++ b/revision/follower.go
@@ -309,7 +309,7 @@
 		rebuild = rebuild || s == FleetShard
 	}
 	if !rebuild {
-		return f.Snapshot().With(h.Revision, changed), nil
+		return f.Snapshot().WithShards(h.Revision, changed), nil
 	}
 	var all settings.Declaration
 	for _, r := range h.Chunks {
--- a/revision/store.go
+++ b/revision/store.go
@@ -134,7 +134,7 @@
 // isTemporary reports whether an operation that failed with this error may succeed when it is retried.
 func isTemporary(err error) bool {
 	return errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnavailable) ||
-		errors.Is(err, keyval.ErrLimited) || errors.Is(err, keyval.ErrNotFound)
+		errors.Is(err, keyval.ErrRateLimited) || errors.Is(err, keyval.ErrNotFound)
 }
 
 // attempt makes one attempt. If the answer to the write of a head is lost, the next attempt reads the
--- a/sched/claim_test.go
+++ b/sched/claim_test.go
@@ -122,7 +122,7 @@
 // request returns a request that may wait for 0.2 s.
 func (f *hostFleet) request(service time.Duration) *Request {
 	return &Request{
-		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
+		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
 		MaxTokens: 100, ExpectedTokens: 100, Arrived: f.now, Deadline: f.now + 20*service, DispatchBy: f.now + 200*time.Millisecond,
 		Objective: Objective{FirstToken: time.Second},
 	}
--- a/sched/order.go
+++ b/sched/order.go
@@ -255,7 +255,7 @@
 // makeQueueRoom applies the queue limits, first the workspace's, then the host's. If the host's
 // queue is full, it sheds the newest request of the lowest tier below r's, or else refuses r.
 func (s *Scheduler) makeQueueRoom(now time.Duration, r *Request) (Decision, bool) {
-	if s.waitingByWorkspace[r.Settings.Workspace] >= r.Settings.Queue {
+	if s.waitingByWorkspace[r.Settings.Workspace] >= r.Settings.MaxQueued {
 		return s.refuse(now, r, ReasonQueueFull, s.estimateWait(now, r)), false
 	}
 	if s.waiting < s.cfg.MaxWaiting {
