--- a/edge/host.go
+++ b/edge/host.go
@@ -176,12 +176,12 @@
 		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.gapDetector, Unconfirmed: h.unconfirmed, ListConfirmedAt: h.listConfirmedAt, ListUsable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
 		Retries:    quota.RetryBudget{Ratio: retryBudgetShare * b.RetryRatio, MaxCredit: retryBudgetShare * b.RetrySlack},
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
-		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
+		FirstStart: b.Bootstrap, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
 	h.storeHealth = &feed.StoreHealth{
 		Now: h.now, RunTime: h.gapDetector.RunTime, OutageAfter: time.Duration(outageShare * float64(b.DrainTime)), RetryInterval: endpointsRetryInterval,
 		LapseTimes: feed.LapseTimes{
-			MinOutage: lapseHeartbeats * b.Heartbeat, RenewTime: renewTime, MaxKeep: time.Duration(maxLapseShare * float64(b.ContactTime)),
+			MinOutage: lapseHeartbeats * b.HeartbeatInterval, RenewTime: renewTime, MaxKeep: time.Duration(maxLapseShare * float64(b.ContactTime)),
 		},
 	}
 	h.settings = &feed.Settings{
@@ -402,8 +402,8 @@
 	h.ingress.Stop()
 	h.agent.TriggerHeartbeat()
 	h.Log.Info("stopping", "active", h.ingress.Active())
-	for h.now()-start < h.Boot.Grace-graceReserve {
-		if h.now()-start > min(minLinger, h.Boot.Grace/2) && h.ingress.Active() == 0 {
+	for h.now()-start < h.Boot.GracePeriod-graceReserve {
+		if h.now()-start > min(minLinger, h.Boot.GracePeriod/2) && h.ingress.Active() == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/edge/join.go
+++ b/edge/join.go
@@ -50,11 +50,11 @@
 
 // followStore reads the store until ctx ends, after giving peers time to send what they read.
 func (h *Host) followStore(ctx context.Context) {
-	if !h.isSeed() && h.Boot.First {
+	if !h.isSeed() && h.Boot.Bootstrap {
 		h.awaitPeers(ctx, firstStartWait)
 	}
 	go h.hostRegistry.Run(ctx)
-	if !h.isSeed() && !h.Boot.First && h.awaitHostCount(ctx) >= largeFleet {
+	if !h.isSeed() && !h.Boot.Bootstrap && h.awaitHostCount(ctx) >= largeFleet {
 		h.awaitPeers(ctx, startWait)
 	}
 	go h.settings.Run(ctx)
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -83,8 +83,8 @@
 		found              int64
 		minDelay, maxDelay time.Duration
 	}{
-		{"seed, first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, First: true}, 0, 0, 0},
-		{"first start", platform.Boot{Seeds: others, First: true}, 0, firstStartWait, 2*firstStartWait + startPollInterval},
+		{"seed, first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, Bootstrap: true}, 0, 0, 0},
+		{"first start", platform.Boot{Seeds: others, Bootstrap: true}, 0, firstStartWait, 2*firstStartWait + startPollInterval},
 		{"large fleet", platform.Boot{Seeds: others}, 295, startWait, 2*startWait + startPollInterval},
 		{"small fleet", platform.Boot{Seeds: others}, 6, 0, 0},
 		{"number of hosts unknown", platform.Boot{Seeds: others}, 0, startWait, startWait + startPollInterval},
--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -24,8 +24,8 @@
 
 // largeBoot is the configuration of hosts in a deployment of tens of hosts.
 var largeBoot = platform.Boot{
-	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, Grace: 8 * time.Second,
-	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
+	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, GracePeriod: 8 * time.Second,
+	HeartbeatInterval: 1200 * time.Millisecond, AnswerTTL: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
 }
 
 // lastReader returns the host with the last rank in the order of reading the store, which is
@@ -101,8 +101,8 @@
 
 // smallBoot is the configuration of hosts in a deployment of a few hosts.
 var smallBoot = platform.Boot{
-	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, Grace: 8 * time.Second,
-	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
+	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, GracePeriod: 8 * time.Second,
+	HeartbeatInterval: 1200 * time.Millisecond, AnswerTTL: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
 }
 
 // TestServeDuringStoreOutage checks that hosts continue to serve with the endpoints that they know
