--- a/edge/fetch_test.go
+++ b/edge/fetch_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		network := &simnet.Net{Delay: time.Millisecond}
+		network := &simnet.Net{Latency: time.Millisecond}
 		const control = "10.0.0.2:8229"
 		l, err := network.Host("10.0.0.2").Listen(ctx, "tcp", control)
 		must.NoError(t, err)
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -30,12 +30,12 @@
 // 5 s. Evidence: in this test all calls but the given ones are answered, and the time for which the
 // removed route was served followed the pause.
 func TestRemovedRouteNotServed(t *testing.T) {
-	calls := func(m simsite.Mood, n int) []simsite.Mood { return slices.Repeat([]simsite.Mood{m}, n) }
+	calls := func(m simsite.Behavior, n int) []simsite.Behavior { return slices.Repeat([]simsite.Behavior{m}, n) }
 	cases := []struct {
 		name  string
 		boot  platform.Boot
 		hosts int
-		next  []simsite.Mood // results of the host's next reads of the settings
+		next  []simsite.Behavior // results of the host's next reads of the settings
 	}{
 		{"few hosts, all calls are answered", smallBoot, 6, nil},
 		{"few hosts, three calls are refused", smallBoot, 6, calls(simsite.Refuse, 3)},
@@ -49,13 +49,13 @@
 	for i, tc := range cases {
 		t.Run(fmt.Sprint(tc.name, ", ", tc.hosts, " hosts"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &simsite.Site{Boot: tc.boot, Zones: 3, Strong: 2, Delay: time.Millisecond, Log: logr.Discard()}
+				s := &simsite.Site{Boot: tc.boot, Zones: 3, StrongPerZone: 2, Latency: time.Millisecond, Log: logr.Discard()}
 				defer s.Stop()
 				must.NoError(t, s.Start(site.Example(), 6, tc.hosts))
 				time.Sleep(6*time.Second + time.Duration(i)*170*time.Millisecond)
 				h := lastReader(s.Hosts)
 				s.KillOthers(h)
-				s.Store.Next(h.Boot.IP, platform.PrefixConfig, tc.next...)
+				s.Store.SetNextBehaviors(h.Boot.IP, platform.PrefixConfig, tc.next...)
 				next := site.Example()
 				next.Version++
 				next.Routes = slices.DeleteFunc(next.Routes, func(r site.Route) bool { return r.Name == "open" })
@@ -66,7 +66,7 @@
 				for time.Since(changed) < 10*time.Second {
 					time.Sleep(20 * time.Millisecond)
 					sent := time.Since(changed)
-					status := s.Ask(h)
+					status := s.SendRequest(h)
 					statuses[status]++
 					if status == http.StatusOK {
 						served = sent
