--- a/client/call.go
+++ b/client/call.go
@@ -59,7 +59,7 @@
 			return ans, nil
 		}
 		last = err
-		p := problem.Of(err)
+		p := problem.FromError(err)
 		if !resubmit(p, q.NoRepeat) || ctx.Err() != nil {
 			return CallAnswer{ID: id}, err
 		}
--- a/client/complete.go
+++ b/client/complete.go
@@ -78,7 +78,7 @@
 			return a.ans, nil
 		}
 		last = err
-		p := problem.Of(err)
+		p := problem.FromError(err)
 		if !resubmit(p, q.NoRepeat) || ctx.Err() != nil {
 			return a.ans, err
 		}
@@ -100,7 +100,7 @@
 	}
 	switch p.Kind {
 	case problem.BadRequest, problem.BadID, problem.BodyTooLarge, problem.UnknownModel,
-		problem.UnknownWorkspace, problem.MissingID, problem.Cancelled:
+		problem.UnknownWorkspace, problem.MissingID, problem.Canceled:
 		return false
 	}
 	return p.Outcome == problem.NotRun
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -266,7 +266,7 @@
 func (c *Cluster) placer(r *router.Router, pc *keyval.Client) *placer.Manager {
 	return &placer.Manager{
 		Name: r.Self.Name + "/" + r.Self.Incarnation.String(), KV: pc, Weights: pc,
-		Settings: r.Snapshot, Candidate: r.PlacerCandidate, Log: r.Log,
+		Settings: r.Snapshot, Candidate: r.IsPlacerCandidate, Log: r.Log,
 		Engine: func(e settings.Endpoint) endpoint.Engine {
 			return &endpoint.Client{Base: "http://" + e.Address}
 		},
@@ -290,12 +290,12 @@
 					live++
 				}
 			}
-			if st.Ready && live >= len(c.Nodes) && n.Router.SeesEndpoints() {
+			if st.Ready && live >= len(c.Nodes) && n.Router.AllEndpointsReported() {
 				break
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.WhyNot, live, len(c.Nodes))
+				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.NotReadyReason, live, len(c.Nodes))
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -83,8 +83,8 @@
 	f := &fleet{t: t, Cluster: &dev.Cluster{
 		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, Place: place,
 		Tune: func(r *router.Router) {
-			r.ReportEvery, r.ReportRate = 50*time.Millisecond, 1000
-			r.Heartbeat, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
+			r.MinReportInterval, r.MaxReportRate = 50*time.Millisecond, 1000
+			r.HeartbeatInterval, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			r.MaxAge = 300 * time.Millisecond
 		},
 	}}
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -86,7 +86,7 @@
 				must.Eq(t, tokens, a.Tokens)
 			} else {
 				must.Error(t, err)
-				must.Eq(t, problem.Unknown, problem.Of(err).Outcome)
+				must.Eq(t, problem.Unknown, problem.FromError(err).Outcome)
 			}
 			must.LessEq(t, 1, r.mostRuns())
 		})
