--- a/once/id.go
+++ b/once/id.go
@@ -12,13 +12,14 @@
 	"strings"
 )
 
-// Incarnation identifies one run of a host, drawn at random at each start; 0 is none.
+// Incarnation identifies one run of a host. It is drawn at random at each
+// start; 0 means none.
 type Incarnation uint64
 
-// String gives the incarnation as 16 hexadecimal digits.
+// String formats the incarnation as 16 hexadecimal digits.
 func (i Incarnation) String() string { return string(i.appendTo(make([]byte, 0, 16))) }
 
-// ParseIncarnation reads what String wrote.
+// ParseIncarnation parses the output of Incarnation.String.
 func ParseIncarnation(s string) (Incarnation, error) {
 	n, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != 16 {
@@ -36,28 +37,29 @@
 	return err
 }
 
-// Generation counts the periods after which a host forgets records.
+// Generation numbers the periods by which a host expires records.
 type Generation uint32
 
-// Prefix is the part of an ID that an address answer gives.
+// Prefix is the part of an ID that a host issues in an address answer.
 type Prefix struct {
-	// Owner may dispatch the request, and nobody else.
+	// Owner is the only incarnation that may dispatch the request.
 	Owner Incarnation
 	// OwnerGeneration is the owner's generation at the time of the answer.
 	OwnerGeneration Generation
-	// Witness records a call that may not be repeated; 0 is none.
+	// Witness is the incarnation that records a call that may not be repeated; 0
+	// means none.
 	Witness Incarnation
 	// WitnessGeneration is the witness's generation at the time of the answer.
 	WitnessGeneration Generation
 }
 
-// String gives the prefix as text, ending in a dot.
-func (p Prefix) String() string { return string(p.appendTo(make([]byte, 0, maxPrefix))) }
+// String formats the prefix as text that ends in a dot.
+func (p Prefix) String() string { return string(p.appendTo(make([]byte, 0, maxPrefixLength))) }
 
-// maxPrefix is the longest prefix, in bytes.
-const maxPrefix = 2*(16+1) + 2*(8+1)
+// maxPrefixLength is the maximum length of a prefix, in bytes.
+const maxPrefixLength = 2*(16+1) + 2*(8+1)
 
-// appendTo appends the prefix as text to b.
+// appendTo appends the text form of the prefix to b.
 func (p Prefix) appendTo(b []byte) []byte {
 	b = p.Owner.appendTo(b)
 	b = append(b, '.')
@@ -78,26 +80,28 @@
 	return b
 }
 
-// ID is the whole ID of a request.
+// ID is the complete ID of a request.
 type ID struct {
 	Prefix
-	// Unique is the caller's part: 1 to MaxUnique letters, digits, '-' or '_'.
+	// Unique is the part that the caller chooses: 1 to MaxUniqueLength letters,
+	// digits, '-' or '_'.
 	Unique string
 }
 
-// MaxUniqueLength is the longest caller's part of an ID, in bytes.
+// MaxUniqueLength is the maximum length of ID.Unique, in bytes.
 const MaxUniqueLength = 64
 
-// idParts is the number of parts of an ID between dots.
+// idParts is the number of dot-separated parts of an ID.
 const idParts = 5
 
-// String gives the ID as text.
+// String formats the ID as text.
 func (id ID) String() string {
-	var buf [maxPrefix + MaxUniqueLength]byte
+	var buf [maxPrefixLength + MaxUniqueLength]byte
 	return string(append(id.appendTo(buf[:0]), id.Unique...))
 }
 
-// ParseID reads an ID strictly: each ID has exactly one text.
+// ParseID parses an ID. It accepts only the canonical form, so each ID has
+// exactly one text form.
 func ParseID(s string) (ID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != idParts {
@@ -127,7 +131,7 @@
 	return id, nil
 }
 
-// parseGeneration reads a generation.
+// parseGeneration parses a generation in hexadecimal.
 func parseGeneration(s string) (Generation, error) {
 	n, err := strconv.ParseUint(s, 16, 32)
 	if err != nil {
@@ -136,7 +140,7 @@
 	return Generation(n), nil
 }
 
-// validUnique reports whether s may be the caller's part.
+// validUnique reports whether s is a valid ID.Unique.
 func validUnique(s string) bool {
 	if s == "" || len(s) > MaxUniqueLength {
 		return false
@@ -151,7 +155,7 @@
 }
 
 // NewIncarnation draws an incarnation from the operating system's random
-// source; two are equal with a probability of 2^-64 for each pair.
+// source. Two incarnations collide with a probability of 2^-64 per pair.
 func NewIncarnation() Incarnation {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
--- a/once/id_test.go
+++ b/once/id_test.go
@@ -17,11 +17,11 @@
 		name, text string
 		ok         bool
 	}{
-		{"whole", good.String(), true},
+		{"complete", good.String(), true},
 		{"no witness", ID{Prefix{1, 1, 0, 0}, "u"}.String(), true},
-		{"no caller's part", good.Prefix.String(), false},
-		{"long caller's part", good.Prefix.String() + strings.Repeat("a", MaxUniqueLength+1), false},
-		{"dot in caller's part", good.Prefix.String() + "a.b", false},
+		{"empty unique part", good.Prefix.String(), false},
+		{"unique part too long", good.Prefix.String() + strings.Repeat("a", MaxUniqueLength+1), false},
+		{"dot in unique part", good.Prefix.String() + "a.b", false},
 		{"no owner", ID{Prefix{0, 1, 2, 1}, "u"}.String(), false},
 		{"upper case", strings.ToUpper(good.Prefix.String()) + "u", false},
 		{"leading zero", strings.Replace(good.String(), ".2.", ".02.", 1), false},
@@ -36,6 +36,7 @@
 	}
 }
 
+// FuzzParseID checks that ParseID accepts only the canonical form of an ID.
 func FuzzParseID(f *testing.F) {
 	f.Add(ID{Prefix{0xa1, 2, 0xb2, 0x1f}, "x"}.String())
 	f.Add("....")
--- a/once/machines_test.go
+++ b/once/machines_test.go
@@ -12,8 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
+// testID returns an ID of owner 1 and witness 2.
 func testID(unique string) ID { return ID{Prefix{1, 1, 2, 1}, unique} }
 
+// TestOwnerVerdicts checks the verdict of Accept for an owner with incarnation 1
+// that keeps two generations and two records.
 func TestOwnerVerdicts(t *testing.T) {
 	cases := []struct {
 		name string
@@ -23,12 +26,12 @@
 	}{
 		{"first", testID("a"), func(*Owner) {}, New},
 		{"again", testID("a"), func(o *Owner) { o.Accept(testID("a")) }, Known},
-		{"after a question", testID("a"), func(o *Owner) { o.Query(testID("a")) }, Known},
+		{"after a query", testID("a"), func(o *Owner) { o.Query(testID("a")) }, Known},
 		{"other incarnation", ID{Prefix{9, 1, 2, 1}, "a"}, func(*Owner) {}, NotOwner},
 		{"future generation", ID{Prefix{1, 2, 2, 1}, "a"}, func(*Owner) {}, Forged},
 		{"old generation", testID("a"), func(o *Owner) { o.Advance(); o.Advance() }, Expired},
 		{"full", testID("c"), func(o *Owner) { o.Accept(testID("a")); o.Accept(testID("b")) }, Full},
-		{"sealed since it was full", testID("c"), func(o *Owner) {
+		{"sealed after it was full", testID("c"), func(o *Owner) {
 			a, _ := o.Accept(testID("a"))
 			o.Accept(testID("b"))
 			o.Accept(testID("c"))
@@ -44,7 +47,9 @@
 	}
 }
 
-func TestOwnerKeepsLiveRecords(t *testing.T) {
+// TestOwnerKeepsUnfinishedRecords checks that a dispatched request keeps its
+// record after its generation expired, until the request ends.
+func TestOwnerKeepsUnfinishedRecords(t *testing.T) {
 	o := NewOwner(1, 2, 0)
 	long := ID{Prefix{1, 1, 0, 0}, "long"}
 	r, _ := o.Accept(long)
@@ -61,7 +66,9 @@
 	must.Zero(t, o.Size())
 }
 
-func TestAnIDThatNamesAWitnessIsRecorded(t *testing.T) {
+// TestDispatchRequiresWitnessRecord checks that a request whose ID names a
+// witness cannot be dispatched before the witness acknowledged the record.
+func TestDispatchRequiresWitnessRecord(t *testing.T) {
 	o := NewOwner(1, 0, 0)
 	r, _ := o.Accept(testID("a"))
 	must.Error(t, o.Dispatch(r, "e"))
@@ -72,6 +79,8 @@
 	must.NoError(t, o.Dispatch(r, "e"))
 }
 
+// TestWitnessHandover checks that a copy of a witness answers as the witness
+// did, and that neither records a new ID after the handover.
 func TestWitnessHandover(t *testing.T) {
 	w := NewWitness(2, 0, 0)
 	must.Eq(t, AckRecorded, w.Record(RecordRequest{testID("a"), "e"}))
@@ -93,50 +102,51 @@
 	must.Eq(t, AckFull, w.Record(RecordRequest{late, "e"}))
 }
 
-// BenchmarkWitnessMemory gives the bytes that one recorded ID takes.
+// BenchmarkWitnessMemory measures the memory per recorded ID at a witness, in bytes.
 func BenchmarkWitnessMemory(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("ids=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				w := NewWitness(2, 0, n+1)
 				for i := range n {
 					w.Record(RecordRequest{testID(fmt.Sprintf("%026d", i)), "runner-01"})
 				}
-				b.ReportMetric(float64(heap()-before)/float64(n), "B/id")
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "B/id")
 				runtime.KeepAlive(w)
 			}
 		})
 	}
 }
 
-// BenchmarkOwnerMemory gives the bytes that one owned ID takes.
+// BenchmarkOwnerMemory measures the memory per ID at its owner, in bytes.
 func BenchmarkOwnerMemory(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("ids=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				o := NewOwner(1, 0, n+1)
 				for i := range n {
 					r, _ := o.Accept(ID{Prefix{1, 1, 0, 0}, fmt.Sprintf("%026d", i)})
 					_ = o.Dispatch(r, "runner-01")
 					_ = o.Finish(r, true)
 				}
-				b.ReportMetric(float64(heap()-before)/float64(n), "B/id")
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "B/id")
 				runtime.KeepAlive(o)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+// heapBytes returns the heap in use after a garbage collection, in bytes.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkRecord gives the time of one record at a witness that holds n.
+// BenchmarkRecord measures the time of Witness.Record at a witness that holds n records.
 func BenchmarkRecord(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("held=%d", n), func(b *testing.B) {
--- a/once/main_test.go
+++ b/once/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed and size of property tests, so that every run gives
-// the same verdict; flags on the command line go first.
+// TestMain fixes the seed and the size of property tests so that their results
+// are reproducible. Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	for _, f := range []struct{ name, value string }{
 		{"rapid.seed", "1"}, {"rapid.checks", "3000"}, {"rapid.steps", "100"}, {"rapid.nofailfile", "true"},
--- a/once/model_test.go
+++ b/once/model_test.go
@@ -11,39 +11,41 @@
 	"pgregory.net/rapid"
 )
 
-// world drives the real machines with the actions of spec/once.pml: two hosts
-// of which either may own or witness, a network that loses, doubles and
-// reorders, crashes and hand-overs. Small bounds make full tables common.
-type world struct {
+// simulation drives Owner and Witness with the actions of spec/once.pml: two
+// hosts, each of which may be owner or witness, a network that loses,
+// duplicates and reorders messages, crashes, and handovers. The limits are
+// small so that full tables are common.
+type simulation struct {
 	hosts [2]struct {
 		owner   *Owner
 		witness *Witness
 	}
-	copies   map[Incarnation]*Witness
-	next     Incarnation
-	ids      []ID
-	records  []RecordRequest
-	acks     []ackMessage
-	sends    map[string]int
-	told     map[string]bool
-	inflight map[string]*Record
+	copies         map[Incarnation]*Witness
+	next           Incarnation
+	ids            []ID
+	records        []RecordRequest
+	acks           []ackMessage
+	sends          map[string]int
+	reportedNotRun map[string]bool
+	inflight       map[string]*Record
 }
 
+// ackMessage is an acknowledgement in transit from a witness to an owner.
 type ackMessage struct {
 	id  string
 	ack Ack
 }
 
 const (
-	testKeep  = 2
-	testLimit = 2
-	maxNet    = 64
+	testMaxGenerations = 2
+	testMaxRecords     = 2
+	maxPendingAcks     = 64
 )
 
-func newWorld() *world {
-	w := &world{
+func newSimulation() *simulation {
+	w := &simulation{
 		copies: make(map[Incarnation]*Witness), sends: make(map[string]int),
-		told: make(map[string]bool), inflight: make(map[string]*Record),
+		reportedNotRun: make(map[string]bool), inflight: make(map[string]*Record),
 	}
 	for i := range w.hosts {
 		w.restart(i)
@@ -51,11 +53,11 @@
 	return w
 }
 
-// restart gives a host a new incarnation without memory.
-func (w *world) restart(i int) {
+// restart gives host i a new incarnation without any records.
+func (w *simulation) restart(i int) {
 	w.next++
-	w.hosts[i].owner = NewOwner(w.next, testKeep, testLimit)
-	w.hosts[i].witness = NewWitness(w.next, testKeep, testLimit)
+	w.hosts[i].owner = NewOwner(w.next, testMaxGenerations, testMaxRecords)
+	w.hosts[i].witness = NewWitness(w.next, testMaxGenerations, testMaxRecords)
 	for id, r := range w.inflight {
 		if w.ownerOf(r.ID) == nil {
 			delete(w.inflight, id)
@@ -63,7 +65,8 @@
 	}
 }
 
-func (w *world) ownerOf(id ID) *Owner {
+// ownerOf returns the owner of an ID, or nil if its incarnation has ended.
+func (w *simulation) ownerOf(id ID) *Owner {
 	for _, h := range w.hosts {
 		if h.owner.self == id.Owner {
 			return h.owner
@@ -72,38 +75,43 @@
 	return nil
 }
 
-func (w *world) tell(id ID) {
-	w.told[id.String()] = true
+// reportNotRun notes that "not run" was reported to a caller.
+func (w *simulation) reportNotRun(id ID) {
+	w.reportedNotRun[id.String()] = true
 }
 
-// check holds the promises; it runs after every action.
-func (w *world) check(t *rapid.T) {
+// checkInvariants runs after every action. It checks that no ID was dispatched
+// twice and that no ID reported "not run" was dispatched.
+func (w *simulation) checkInvariants(t *rapid.T) {
 	for id, n := range w.sends {
 		if n > 1 {
 			t.Fatalf("%s dispatched %d times", id, n)
 		}
-		if n > 0 && w.told[id] {
-			t.Fatalf("%s dispatched and told not run", id)
+		if n > 0 && w.reportedNotRun[id] {
+			t.Fatalf("%s dispatched and reported not run", id)
 		}
 	}
 }
 
-// note takes what a verdict tells a caller.
-func (w *world) note(id ID, r *Record, v Verdict) {
+// applyVerdict notes a verdict that means "not run" to a caller.
+func (w *simulation) applyVerdict(id ID, r *Record, v Verdict) {
 	if v == Full || (v == Known && r.State == Refused) {
-		w.tell(id)
+		w.reportNotRun(id)
 	}
 }
 
-func (w *world) submit(id ID, o *Owner) {
+// submit presents an ID to an owner.
+func (w *simulation) submit(id ID, o *Owner) {
 	r, v := o.Accept(id)
-	w.note(id, r, v)
+	w.applyVerdict(id, r, v)
 	if v == New {
 		w.inflight[id.String()] = r
 	}
 }
 
-func (w *world) deliverRecord(q RecordRequest) {
+// deliverRecord delivers a RecordRequest to the witness or to its copy and puts
+// the answer into the network.
+func (w *simulation) deliverRecord(q RecordRequest) {
 	ack := AckNotResponsible
 	for _, h := range w.hosts {
 		if h.witness.Self() == q.ID.Witness {
@@ -114,35 +122,39 @@
 		ack = c.Record(q)
 	}
 	w.acks = append(w.acks, ackMessage{q.ID.String(), ack})
-	if len(w.acks) > maxNet {
+	if len(w.acks) > maxPendingAcks {
 		w.acks = w.acks[1:]
 	}
 }
 
-// close asks the witness itself or the copy that a successor holds.
-func (w *world) close(id ID, atCopy bool) {
-	at := w.copies[id.Witness]
+// closeID closes an ID at its witness or, with atCopy, at the copy that a
+// successor holds.
+func (w *simulation) closeID(id ID, atCopy bool) {
+	target := w.copies[id.Witness]
 	for _, h := range w.hosts {
 		if !atCopy && h.witness.Self() == id.Witness {
-			at = h.witness
+			target = h.witness
 		}
 	}
-	if at == nil {
+	if target == nil {
 		return
 	}
-	if f, _ := at.Close(id); f == FindingNotRun {
-		w.tell(id)
+	if f, _ := target.Close(id); f == FindingNotRun {
+		w.reportNotRun(id)
 	}
 }
 
-// recentIDs bounds the IDs that actions draw from, so that the same ones meet often.
-const recentIDs = 4
+// recentIDCount is the number of most recent IDs that actions draw from, so that
+// several actions often use the same ID.
+const recentIDCount = 4
 
-func (w *world) pickID(t *rapid.T) ID {
-	id, _ := pick(t, w.ids[max(0, len(w.ids)-recentIDs):])
+// pickID draws a recent ID.
+func (w *simulation) pickID(t *rapid.T) ID {
+	id, _ := pick(t, w.ids[max(0, len(w.ids)-recentIDCount):])
 	return id
 }
 
+// pick draws an element of list and skips the action if the list is empty.
 func pick[T any](t *rapid.T, list []T) (T, bool) {
 	var zero T
 	if len(list) == 0 {
@@ -152,9 +164,10 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(t, "index")], true
 }
 
-func (w *world) pickInflight(t *rapid.T) *Record {
+// pickInflight draws a recent request that has a record at its owner.
+func (w *simulation) pickInflight(t *rapid.T) *Record {
 	var list []*Record
-	for _, id := range w.ids[max(0, len(w.ids)-recentIDs):] {
+	for _, id := range w.ids[max(0, len(w.ids)-recentIDCount):] {
 		if r := w.inflight[id.String()]; r != nil {
 			list = append(list, r)
 		}
@@ -163,16 +176,16 @@
 	return r
 }
 
-// issue draws an ID that one host owns and the other witnesses.
-func (w *world) issue(t *rapid.T) {
+// issue creates an ID with one host as its owner and the other as its witness.
+func (w *simulation) issue(t *rapid.T) {
 	o := rapid.IntRange(0, 1).Draw(t, "owner")
 	h, x := w.hosts[o], w.hosts[1-o]
 	p := Prefix{h.owner.self, h.owner.Generation(), x.witness.Self(), x.witness.Generation()}
 	w.ids = append(w.ids, ID{p, fmt.Sprintf("u%d", len(w.ids))})
 }
 
-// dispatch sends a request if the owner may, or finds the connection refused.
-func (w *world) dispatch(t *rapid.T, r *Record) {
+// dispatch sends a request if its owner permits it; the connection may be refused.
+func (w *simulation) dispatch(t *rapid.T, r *Record) {
 	o := w.ownerOf(r.ID)
 	if o.Dispatch(r, "e") != nil {
 		return
@@ -185,8 +198,8 @@
 	_ = o.Finish(r, rapid.Bool().Draw(t, "answered"))
 }
 
-// wholeWay brings an ID as far as it gets when no message is lost.
-func (w *world) wholeWay(t *rapid.T) {
+// runWithoutLoss runs a request from submission to dispatch with no message lost.
+func (w *simulation) runWithoutLoss(t *rapid.T) {
 	id := w.pickID(t)
 	o := w.ownerOf(id)
 	if o == nil {
@@ -202,13 +215,15 @@
 		w.deliverRecord(q)
 		o.Acknowledge(r, w.acks[len(w.acks)-1].ack)
 	}
-	w.note(id, r, Known)
+	w.applyVerdict(id, r, Known)
 	w.dispatch(t, r)
 }
 
-func TestMachinesKeepThePromises(t *testing.T) {
+// TestInvariantsUnderFaults checks, over random sequences of actions, that no
+// request is dispatched twice and that none reported "not run" is dispatched.
+func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newSimulation()
 		actions := map[string]func(*rapid.T){
 			"issue": w.issue,
 			"issue and submit": func(t *rapid.T) {
@@ -218,7 +233,7 @@
 					w.submit(id, o)
 				}
 			},
-			"whole way": w.wholeWay,
+			"without loss": w.runWithoutLoss,
 			"submit": func(t *rapid.T) {
 				id := w.pickID(t)
 				if o := w.ownerOf(id); o != nil {
@@ -234,11 +249,11 @@
 				id := w.pickID(t)
 				if o := w.ownerOf(id); o != nil {
 					r, v := o.Query(id)
-					w.note(id, r, v)
+					w.applyVerdict(id, r, v)
 				}
 			},
 			"close": func(t *rapid.T) {
-				w.close(w.pickID(t), rapid.Bool().Draw(t, "at copy"))
+				w.closeID(w.pickID(t), rapid.Bool().Draw(t, "at copy"))
 			},
 			"begin record": func(t *rapid.T) {
 				r := w.pickInflight(t)
@@ -260,7 +275,7 @@
 			"give up": func(t *rapid.T) {
 				r := w.pickInflight(t)
 				if w.ownerOf(r.ID).Refuse(r) == nil {
-					w.tell(r.ID)
+					w.reportNotRun(r.ID)
 				}
 			},
 			"advance": func(t *rapid.T) {
@@ -273,7 +288,7 @@
 			},
 			"leave": func(t *rapid.T) {
 				x := w.hosts[rapid.IntRange(0, 1).Draw(t, "host")].witness
-				c, err := NewWitnessCopy(x.PrepareHandover(), testKeep, testLimit)
+				c, err := NewWitnessCopy(x.PrepareHandover(), testMaxGenerations, testMaxRecords)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -282,7 +297,7 @@
 			"crash": func(t *rapid.T) {
 				w.restart(rapid.IntRange(0, 1).Draw(t, "host"))
 			},
-			"": w.check,
+			"": w.checkInvariants,
 		}
 		t.Repeat(actions)
 	})
--- a/once/window.go
+++ b/once/window.go
@@ -4,66 +4,70 @@
 
 package once
 
-// DefaultGenerations is the number of generations whose records are kept, the current one included.
+// DefaultGenerations is the default number of generations whose records are
+// kept, including the current one.
 const DefaultGenerations = 3
 
-// DefaultMaxRecords bounds the records of one machine; at about 200 bytes each
-// it bounds the memory at 26 MB.
+// DefaultMaxRecords is the default limit on the records of one owner or
+// witness. At about 200 bytes per record it limits the memory to 26 MB.
 const DefaultMaxRecords = 1 << 17
 
-// window holds records by generation. It forgets by its own count only, and
-// seals generations instead of forgetting when it is full: an ID of a sealed
-// generation that has no record never gets one.
+// window holds records by generation. Records expire only by its own count of
+// generations. A full window does not evict records but seals generations: an
+// ID of a sealed generation that has no record never gets one.
 type window[T any] struct {
-	keep    int
-	max     int
-	current Generation
-	sealed  Generation
-	size    int
-	tables  map[Generation]map[string]T
+	maxGenerations int
+	maxRecords     int
+	current        Generation
+	sealed         Generation
+	size           int
+	tables         map[Generation]map[string]T
 }
 
-// newWindow returns a window at generation 1 with nothing sealed.
-func newWindow[T any](keep, limit int) window[T] {
-	if keep == 0 {
-		keep = DefaultGenerations
+// newWindow returns an empty window whose current generation is 1, with no
+// generation sealed.
+func newWindow[T any](maxGenerations, maxRecords int) window[T] {
+	if maxGenerations == 0 {
+		maxGenerations = DefaultGenerations
 	}
-	if limit == 0 {
-		limit = DefaultMaxRecords
+	if maxRecords == 0 {
+		maxRecords = DefaultMaxRecords
 	}
-	return window[T]{keep: keep, max: limit, current: 1, tables: make(map[Generation]map[string]T)}
+	return window[T]{maxGenerations: maxGenerations, maxRecords: maxRecords, current: 1, tables: make(map[Generation]map[string]T)}
 }
 
-// place says where a generation lies in the window.
-type place uint8
+// generationState is the state of a generation in a window.
+type generationState uint8
 
 const (
-	placeFuture  place = iota // never given out
-	placeOpen                 // may get new records
-	placeSealed               // kept, gets no new records
-	placeExpired              // forgotten
+	generationFuture  generationState = iota // not issued yet
+	generationOpen                           // accepts new records
+	generationSealed                         // kept, accepts no new records
+	generationExpired                        // no longer kept
 )
 
-// where returns the place of a generation.
-func (w *window[T]) where(g Generation) place {
+// stateOf returns the state of a generation. All kept generations count as
+// sealed while the window is full.
+func (w *window[T]) stateOf(g Generation) generationState {
 	switch {
 	case g > w.current || g == 0:
-		return placeFuture
-	case int(w.current-g) >= w.keep:
-		return placeExpired
-	case g <= w.sealed || w.size >= w.max:
-		return placeSealed
+		return generationFuture
+	case int(w.current-g) >= w.maxGenerations:
+		return generationExpired
+	case g <= w.sealed || w.size >= w.maxRecords:
+		return generationSealed
 	}
-	return placeOpen
+	return generationOpen
 }
 
-// find returns the record of key, if there is one.
+// find returns the record of key in generation g, if there is one.
 func (w *window[T]) find(g Generation, key string) (T, bool) {
 	r, ok := w.tables[g][key]
 	return r, ok
 }
 
-// put adds or replaces a record; the generation must be open or the key known.
+// put adds or replaces a record. The generation must be open, or the key must
+// already have a record.
 func (w *window[T]) put(g Generation, key string, r T) {
 	t := w.tables[g]
 	if t == nil {
@@ -76,19 +80,20 @@
 	t[key] = r
 }
 
-// seal closes every generation up to the current one for new records.
+// seal closes all generations up to and including the current one for new records.
 func (w *window[T]) seal() { w.sealed = w.current }
 
-// advance starts a generation and forgets what is no longer kept; live tells
-// which records must stay although their generation goes, and may be nil.
-func (w *window[T]) advance(live func(T) bool) {
+// advance starts a new generation and deletes the records of expired
+// generations. mustKeep selects records that are kept although their generation
+// expired; it may be nil.
+func (w *window[T]) advance(mustKeep func(T) bool) {
 	w.current++
 	for g, t := range w.tables {
-		if w.where(g) != placeExpired {
+		if w.stateOf(g) != generationExpired {
 			continue
 		}
 		for k, r := range t {
-			if live != nil && live(r) {
+			if mustKeep != nil && mustKeep(r) {
 				continue
 			}
 			delete(t, k)
--- a/once/witness.go
+++ b/once/witness.go
@@ -8,180 +8,190 @@
 type RecordRequest struct {
 	// ID is the request's ID.
 	ID ID
-	// Endpoint is where it will be dispatched.
+	// Endpoint is the endpoint to which the request will be dispatched.
 	Endpoint string
 }
 
 // Ack is the witness's answer to a RecordRequest.
 type Ack uint8
 
-// The answers to a RecordRequest; all but AckRecorded refuse it for ever or for now.
+// The answers to a RecordRequest. All except AckRecorded refuse it, permanently
+// or temporarily.
 const (
 	// AckRecorded means that the owner may dispatch.
 	AckRecorded Ack = iota
-	// AckClosed means that a caller was told "not run".
+	// AckClosed means that the ID is closed: "not run" was reported to a caller.
 	AckClosed
-	// AckExpired means that the generation is no longer kept.
+	// AckExpired means that the ID's generation is no longer kept.
 	AckExpired
-	// AckFull means that the witness has no room or was handed on.
+	// AckFull means that the witness reached its record limit or is sealed for a
+	// handover.
 	AckFull
-	// AckNotResponsible means that the ID names another witness.
+	// AckNotResponsible means that the ID names another witness or a generation
+	// that this witness has not issued.
 	AckNotResponsible
 )
 
-// Finding is the witness's answer to a caller that lost the owner.
+// Finding is the witness's answer to a caller that cannot reach the owner.
 type Finding uint8
 
-// The answers to Close.
+// The results of Witness.Close.
 const (
-	// FindingRecorded means that a dispatch was recorded: it may have run.
+	// FindingRecorded means that a dispatch was recorded: the request may have run.
 	FindingRecorded Finding = iota
-	// FindingNotRun means that it was never dispatched and, from now on, never will be.
+	// FindingNotRun means that the request was never dispatched and never will be.
 	FindingNotRun
-	// FindingExpired means that the generation is no longer kept.
+	// FindingExpired means that the ID's generation is no longer kept.
 	FindingExpired
-	// FindingNotResponsible means that the ID names another witness or a forged generation.
+	// FindingNotResponsible means that the ID names another witness or a generation
+	// that this witness has not issued.
 	FindingNotResponsible
 )
 
-// note is what a witness holds of one ID.
-type note struct {
+// witnessRecord is a witness's record of one ID.
+type witnessRecord struct {
 	closed   bool
 	endpoint string
 }
 
-// Witness records IDs for owners elsewhere.
+// Witness records IDs for owners on other hosts.
 type Witness struct {
-	self  Incarnation
-	notes window[note]
-	left  bool
+	self    Incarnation
+	records window[witnessRecord]
+	sealed  bool
 }
 
-// NewWitness returns the witness of an incarnation; 0 means DefaultKeep and DefaultMaxRecords.
-func NewWitness(self Incarnation, keep, limit int) *Witness {
-	return &Witness{self: self, notes: newWindow[note](keep, limit)}
+// NewWitness returns the witness of an incarnation. It keeps at most
+// maxGenerations generations and maxRecords records; 0 means
+// DefaultGenerations and DefaultMaxRecords.
+func NewWitness(self Incarnation, maxGenerations, maxRecords int) *Witness {
+	return &Witness{self: self, records: newWindow[witnessRecord](maxGenerations, maxRecords)}
 }
 
-// Self returns the incarnation that the witness answers for.
+// Self returns the incarnation for which the witness answers.
 func (w *Witness) Self() Incarnation { return w.self }
 
-// Generation returns the current generation, which new prefixes carry.
-func (w *Witness) Generation() Generation { return w.notes.current }
+// Generation returns the current generation, which is written into new prefixes.
+func (w *Witness) Generation() Generation { return w.records.current }
 
 // Size returns the number of IDs held.
-func (w *Witness) Size() int { return w.notes.size }
+func (w *Witness) Size() int { return w.records.size }
 
-// Advance starts a new generation and forgets old ones; a witness that left stays sealed.
+// Advance starts a new generation and deletes the records of expired
+// generations. A witness that was handed over stays sealed.
 func (w *Witness) Advance() {
-	w.notes.advance(nil)
-	if w.left {
-		w.notes.seal()
+	w.records.advance(nil)
+	if w.sealed {
+		w.records.seal()
 	}
 }
 
-// Record notes an ID, if no caller was told "not run" of it. Recording twice is harmless.
+// Record records an ID unless the ID is closed. Record is idempotent.
 func (w *Witness) Record(q RecordRequest) Ack {
 	if q.ID.Witness != w.self {
 		return AckNotResponsible
 	}
 	g, key := q.ID.WitnessGeneration, q.ID.String()
-	where := w.notes.where(g)
-	if where == placeExpired {
+	state := w.records.stateOf(g)
+	if state == generationExpired {
 		return AckExpired
 	}
-	if n, ok := w.notes.find(g, key); ok {
-		if n.closed {
+	if r, ok := w.records.find(g, key); ok {
+		if r.closed {
 			return AckClosed
 		}
-		w.notes.put(g, key, note{endpoint: q.Endpoint})
+		w.records.put(g, key, witnessRecord{endpoint: q.Endpoint})
 		return AckRecorded
 	}
-	switch where {
-	case placeFuture:
+	switch state {
+	case generationFuture:
 		return AckNotResponsible
-	case placeSealed:
+	case generationSealed:
 		return AckFull
 	}
-	w.notes.put(g, key, note{endpoint: q.Endpoint})
+	w.records.put(g, key, witnessRecord{endpoint: q.Endpoint})
 	return AckRecorded
 }
 
-// Close tells what is recorded of an ID and where it went; with no record the
-// ID is closed for ever.
+// Close returns what is recorded of an ID and, with FindingRecorded, the
+// endpoint. If nothing is recorded, Close closes the ID permanently and returns
+// FindingNotRun.
 func (w *Witness) Close(id ID) (Finding, string) {
 	if id.Witness != w.self {
 		return FindingNotResponsible, ""
 	}
 	g, key := id.WitnessGeneration, id.String()
-	where := w.notes.where(g)
-	if where == placeExpired {
+	state := w.records.stateOf(g)
+	if state == generationExpired {
 		return FindingExpired, ""
 	}
-	if n, ok := w.notes.find(g, key); ok {
-		if n.closed {
+	if r, ok := w.records.find(g, key); ok {
+		if r.closed {
 			return FindingNotRun, ""
 		}
-		return FindingRecorded, n.endpoint
+		return FindingRecorded, r.endpoint
 	}
-	switch where {
-	case placeFuture:
+	switch state {
+	case generationFuture:
 		return FindingNotResponsible, ""
-	case placeSealed:
-		// With no room for a note the whole generation is closed instead.
-		w.notes.seal()
+	case generationSealed:
+		// No record can be stored, so seal the generation, which closes all its IDs
+		// that have no record.
+		w.records.seal()
 	default:
-		w.notes.put(g, key, note{closed: true})
+		w.records.put(g, key, witnessRecord{closed: true})
 	}
 	return FindingNotRun, ""
 }
 
-// HandoverRecord is one recorded ID in a Handover.
+// HandoverRecord is a recorded ID in a Handover.
 type HandoverRecord struct {
 	// ID is the request's ID.
 	ID string `json:"id"`
-	// Endpoint is where it was to be dispatched.
+	// Endpoint is the endpoint to which the request was to be dispatched.
 	Endpoint string `json:"endpoint"`
 }
 
-// Handover is the state of a witness that leaves.
+// Handover is the state of a witness whose host is leaving.
 type Handover struct {
-	// Self is the incarnation that left.
+	// Self is the incarnation that is leaving.
 	Self Incarnation `json:"self"`
-	// Generation is its generation when it left.
+	// Generation is its generation at the time of the handover.
 	Generation Generation `json:"generation"`
-	// Recorded are the IDs that it had recorded. Closed ones need no mention:
-	// the copy is sealed, so that whatever has no record is closed.
+	// Recorded lists the recorded IDs. Closed IDs are omitted: the copy is sealed,
+	// so every ID without a record is closed.
 	Recorded []HandoverRecord `json:"recorded"`
 }
 
-// PrepareHandover seals the witness and returns its state for a successor. It records
-// nothing any more, so any number of copies may answer for it.
+// PrepareHandover seals the witness and returns its state for successors. A
+// sealed witness records nothing new, so any number of copies may answer for it.
 func (w *Witness) PrepareHandover() Handover {
-	w.left = true
-	w.notes.seal()
-	h := Handover{Self: w.self, Generation: w.notes.current}
-	for _, t := range w.notes.tables {
-		for key, n := range t {
-			if !n.closed {
-				h.Recorded = append(h.Recorded, HandoverRecord{ID: key, Endpoint: n.endpoint})
+	w.sealed = true
+	w.records.seal()
+	h := Handover{Self: w.self, Generation: w.records.current}
+	for _, t := range w.records.tables {
+		for key, r := range t {
+			if !r.closed {
+				h.Recorded = append(h.Recorded, HandoverRecord{ID: key, Endpoint: r.endpoint})
 			}
 		}
 	}
 	return h
 }
 
-// NewWitnessCopy returns a sealed copy of a witness that left.
-func NewWitnessCopy(h Handover, keep, limit int) (*Witness, error) {
-	w := NewWitness(h.Self, keep, limit)
-	w.left = true
-	w.notes.current = h.Generation
-	for _, n := range h.Recorded {
-		id, err := ParseID(n.ID)
+// NewWitnessCopy returns a sealed copy of the witness whose state is h. It fails
+// if h contains an invalid ID.
+func NewWitnessCopy(h Handover, maxGenerations, maxRecords int) (*Witness, error) {
+	w := NewWitness(h.Self, maxGenerations, maxRecords)
+	w.sealed = true
+	w.records.current = h.Generation
+	for _, r := range h.Recorded {
+		id, err := ParseID(r.ID)
 		if err != nil {
 			return nil, err
 		}
-		w.notes.put(id.WitnessGeneration, n.ID, note{endpoint: n.Endpoint})
+		w.records.put(id.WitnessGeneration, r.ID, witnessRecord{endpoint: r.Endpoint})
 	}
-	w.notes.seal()
+	w.records.seal()
 	return w, nil
 }
