--- a/once/model_test.go
+++ b/once/model_test.go
@@ -43,31 +43,31 @@
 )
 
 func newSimulation() *simulation {
-	w := &simulation{
+	s := &simulation{
 		copies: make(map[Incarnation]*Witness), sends: make(map[string]int),
 		reportedNotRun: make(map[string]bool), inflight: make(map[string]*Record),
 	}
-	for i := range w.hosts {
-		w.restart(i)
+	for i := range s.hosts {
+		s.restart(i)
 	}
-	return w
+	return s
 }
 
 // restart gives host i a new incarnation without any records.
-func (w *simulation) restart(i int) {
-	w.next++
-	w.hosts[i].owner = NewOwner(w.next, testMaxGenerations, testMaxRecords)
-	w.hosts[i].witness = NewWitness(w.next, testMaxGenerations, testMaxRecords)
-	for id, r := range w.inflight {
-		if w.ownerOf(r.ID) == nil {
-			delete(w.inflight, id)
+func (s *simulation) restart(i int) {
+	s.next++
+	s.hosts[i].owner = NewOwner(s.next, testMaxGenerations, testMaxRecords)
+	s.hosts[i].witness = NewWitness(s.next, testMaxGenerations, testMaxRecords)
+	for id, r := range s.inflight {
+		if s.ownerOf(r.ID) == nil {
+			delete(s.inflight, id)
 		}
 	}
 }
 
 // ownerOf returns the owner of an ID, or nil if its incarnation has ended.
-func (w *simulation) ownerOf(id ID) *Owner {
-	for _, h := range w.hosts {
+func (s *simulation) ownerOf(id ID) *Owner {
+	for _, h := range s.hosts {
 		if h.owner.self == id.Owner {
 			return h.owner
 		}
@@ -76,62 +76,62 @@
 }
 
 // reportNotRun notes that "not run" was reported to a caller.
-func (w *simulation) reportNotRun(id ID) {
-	w.reportedNotRun[id.String()] = true
+func (s *simulation) reportNotRun(id ID) {
+	s.reportedNotRun[id.String()] = true
 }
 
 // checkInvariants runs after every action. It checks that no ID was dispatched
 // twice and that no ID reported "not run" was dispatched.
-func (w *simulation) checkInvariants(t *rapid.T) {
-	for id, n := range w.sends {
+func (s *simulation) checkInvariants(t *rapid.T) {
+	for id, n := range s.sends {
 		if n > 1 {
 			t.Fatalf("%s dispatched %d times", id, n)
 		}
-		if n > 0 && w.reportedNotRun[id] {
+		if n > 0 && s.reportedNotRun[id] {
 			t.Fatalf("%s dispatched and reported not run", id)
 		}
 	}
 }
 
 // applyVerdict notes a verdict that means "not run" to a caller.
-func (w *simulation) applyVerdict(id ID, r *Record, v Verdict) {
+func (s *simulation) applyVerdict(id ID, r *Record, v Verdict) {
 	if v == Full || (v == Known && r.State == Refused) {
-		w.reportNotRun(id)
+		s.reportNotRun(id)
 	}
 }
 
 // submit presents an ID to an owner.
-func (w *simulation) submit(id ID, o *Owner) {
+func (s *simulation) submit(id ID, o *Owner) {
 	r, v := o.Accept(id)
-	w.applyVerdict(id, r, v)
+	s.applyVerdict(id, r, v)
 	if v == New {
-		w.inflight[id.String()] = r
+		s.inflight[id.String()] = r
 	}
 }
 
 // deliverRecord delivers a RecordRequest to the witness or to its copy and puts
 // the answer into the network.
-func (w *simulation) deliverRecord(q RecordRequest) {
+func (s *simulation) deliverRecord(q RecordRequest) {
 	ack := AckNotResponsible
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		if h.witness.Self() == q.ID.Witness {
 			ack = h.witness.Record(q)
 		}
 	}
-	if c := w.copies[q.ID.Witness]; c != nil && ack == AckNotResponsible {
+	if c := s.copies[q.ID.Witness]; c != nil && ack == AckNotResponsible {
 		ack = c.Record(q)
 	}
-	w.acks = append(w.acks, ackMessage{q.ID.String(), ack})
-	if len(w.acks) > maxPendingAcks {
-		w.acks = w.acks[1:]
+	s.acks = append(s.acks, ackMessage{q.ID.String(), ack})
+	if len(s.acks) > maxPendingAcks {
+		s.acks = s.acks[1:]
 	}
 }
 
 // closeID closes an ID at its witness or, with atCopy, at the copy that a
 // successor holds.
-func (w *simulation) closeID(id ID, atCopy bool) {
-	target := w.copies[id.Witness]
-	for _, h := range w.hosts {
+func (s *simulation) closeID(id ID, atCopy bool) {
+	target := s.copies[id.Witness]
+	for _, h := range s.hosts {
 		if !atCopy && h.witness.Self() == id.Witness {
 			target = h.witness
 		}
@@ -140,7 +140,7 @@
 		return
 	}
 	if f, _ := target.Close(id); f == FindingNotRun {
-		w.reportNotRun(id)
+		s.reportNotRun(id)
 	}
 }
 
@@ -149,8 +149,8 @@
 const recentIDCount = 4
 
 // pickID draws a recent ID.
-func (w *simulation) pickID(t *rapid.T) ID {
-	id, _ := pick(t, w.ids[max(0, len(w.ids)-recentIDCount):])
+func (s *simulation) pickID(t *rapid.T) ID {
+	id, _ := pick(t, s.ids[max(0, len(s.ids)-recentIDCount):])
 	return id
 }
 
@@ -165,10 +165,10 @@
 }
 
 // pickInflight draws a recent request that has a record at its owner.
-func (w *simulation) pickInflight(t *rapid.T) *Record {
+func (s *simulation) pickInflight(t *rapid.T) *Record {
 	var list []*Record
-	for _, id := range w.ids[max(0, len(w.ids)-recentIDCount):] {
-		if r := w.inflight[id.String()]; r != nil {
+	for _, id := range s.ids[max(0, len(s.ids)-recentIDCount):] {
+		if r := s.inflight[id.String()]; r != nil {
 			list = append(list, r)
 		}
 	}
@@ -177,16 +177,16 @@
 }
 
 // issue creates an ID with one host as its owner and the other as its witness.
-func (w *simulation) issue(t *rapid.T) {
+func (s *simulation) issue(t *rapid.T) {
 	o := rapid.IntRange(0, 1).Draw(t, "owner")
-	h, x := w.hosts[o], w.hosts[1-o]
+	h, x := s.hosts[o], s.hosts[1-o]
 	p := Prefix{h.owner.self, h.owner.Generation(), x.witness.Self(), x.witness.Generation()}
-	w.ids = append(w.ids, ID{p, fmt.Sprintf("u%d", len(w.ids))})
+	s.ids = append(s.ids, ID{p, fmt.Sprintf("u%d", len(s.ids))})
 }
 
 // dispatch sends a request if its owner permits it; the connection may be refused.
-func (w *simulation) dispatch(t *rapid.T, r *Record) {
-	o := w.ownerOf(r.ID)
+func (s *simulation) dispatch(t *rapid.T, r *Record) {
+	o := s.ownerOf(r.ID)
 	if o.Dispatch(r, "e") != nil {
 		return
 	}
@@ -194,110 +194,110 @@
 		_ = o.Retract(r)
 		return
 	}
-	w.sends[r.ID.String()]++
+	s.sends[r.ID.String()]++
 	_ = o.Finish(r, rapid.Bool().Draw(t, "answered"))
 }
 
 // runWithoutLoss runs a request from submission to dispatch with no message lost.
-func (w *simulation) runWithoutLoss(t *rapid.T) {
-	id := w.pickID(t)
-	o := w.ownerOf(id)
+func (s *simulation) runWithoutLoss(t *rapid.T) {
+	id := s.pickID(t)
+	o := s.ownerOf(id)
 	if o == nil {
 		return
 	}
-	w.submit(id, o)
-	r := w.inflight[id.String()]
+	s.submit(id, o)
+	r := s.inflight[id.String()]
 	if r == nil {
 		return
 	}
 	if q, err := o.BeginRecord(r, "e"); err == nil {
-		w.records = append(w.records, q)
-		w.deliverRecord(q)
-		o.Acknowledge(r, w.acks[len(w.acks)-1].ack)
+		s.records = append(s.records, q)
+		s.deliverRecord(q)
+		o.Acknowledge(r, s.acks[len(s.acks)-1].ack)
 	}
-	w.applyVerdict(id, r, Known)
-	w.dispatch(t, r)
+	s.applyVerdict(id, r, Known)
+	s.dispatch(t, r)
 }
 
 // TestInvariantsUnderFaults checks, over random sequences of actions, that no
 // request is dispatched twice and that none reported "not run" is dispatched.
 func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation()
+		s := newSimulation()
 		actions := map[string]func(*rapid.T){
-			"issue": w.issue,
+			"issue": s.issue,
 			"issue and submit": func(t *rapid.T) {
-				w.issue(t)
-				id := w.ids[len(w.ids)-1]
-				if o := w.ownerOf(id); o != nil {
-					w.submit(id, o)
+				s.issue(t)
+				id := s.ids[len(s.ids)-1]
+				if o := s.ownerOf(id); o != nil {
+					s.submit(id, o)
 				}
 			},
-			"without loss": w.runWithoutLoss,
+			"without loss": s.runWithoutLoss,
 			"submit": func(t *rapid.T) {
-				id := w.pickID(t)
-				if o := w.ownerOf(id); o != nil {
-					w.submit(id, o)
+				id := s.pickID(t)
+				if o := s.ownerOf(id); o != nil {
+					s.submit(id, o)
 				}
 			},
 			"submit to another": func(t *rapid.T) {
-				id := w.pickID(t)
-				o := w.hosts[rapid.IntRange(0, 1).Draw(t, "host")].owner
-				w.submit(id, o)
+				id := s.pickID(t)
+				o := s.hosts[rapid.IntRange(0, 1).Draw(t, "host")].owner
+				s.submit(id, o)
 			},
 			"query": func(t *rapid.T) {
-				id := w.pickID(t)
-				if o := w.ownerOf(id); o != nil {
+				id := s.pickID(t)
+				if o := s.ownerOf(id); o != nil {
 					r, v := o.Query(id)
-					w.applyVerdict(id, r, v)
+					s.applyVerdict(id, r, v)
 				}
 			},
 			"close": func(t *rapid.T) {
-				w.closeID(w.pickID(t), rapid.Bool().Draw(t, "at copy"))
+				s.closeID(s.pickID(t), rapid.Bool().Draw(t, "at copy"))
 			},
 			"begin record": func(t *rapid.T) {
-				r := w.pickInflight(t)
-				if q, err := w.ownerOf(r.ID).BeginRecord(r, "e"); err == nil {
-					w.records = append(w.records, q)
+				r := s.pickInflight(t)
+				if q, err := s.ownerOf(r.ID).BeginRecord(r, "e"); err == nil {
+					s.records = append(s.records, q)
 				}
 			},
 			"deliver record": func(t *rapid.T) {
-				q, _ := pick(t, w.records)
-				w.deliverRecord(q)
+				q, _ := pick(t, s.records)
+				s.deliverRecord(q)
 			},
 			"deliver ack": func(t *rapid.T) {
-				a, _ := pick(t, w.acks)
-				if r := w.inflight[a.id]; r != nil {
-					w.ownerOf(r.ID).Acknowledge(r, a.ack)
+				a, _ := pick(t, s.acks)
+				if r := s.inflight[a.id]; r != nil {
+					s.ownerOf(r.ID).Acknowledge(r, a.ack)
 				}
 			},
-			"dispatch": func(t *rapid.T) { w.dispatch(t, w.pickInflight(t)) },
+			"dispatch": func(t *rapid.T) { s.dispatch(t, s.pickInflight(t)) },
 			"give up": func(t *rapid.T) {
-				r := w.pickInflight(t)
-				if w.ownerOf(r.ID).Refuse(r) == nil {
-					w.reportNotRun(r.ID)
+				r := s.pickInflight(t)
+				if s.ownerOf(r.ID).Refuse(r) == nil {
+					s.reportNotRun(r.ID)
 				}
 			},
 			"advance": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "host")
-				w.hosts[i].owner.Advance()
-				w.hosts[i].witness.Advance()
-				for _, c := range w.copies {
+				s.hosts[i].owner.Advance()
+				s.hosts[i].witness.Advance()
+				for _, c := range s.copies {
 					c.Advance()
 				}
 			},
 			"leave": func(t *rapid.T) {
-				x := w.hosts[rapid.IntRange(0, 1).Draw(t, "host")].witness
+				x := s.hosts[rapid.IntRange(0, 1).Draw(t, "host")].witness
 				c, err := NewWitnessCopy(x.PrepareHandover(), testMaxGenerations, testMaxRecords)
 				if err != nil {
 					t.Fatal(err)
 				}
-				w.copies[x.Self()] = c
+				s.copies[x.Self()] = c
 			},
 			"crash": func(t *rapid.T) {
-				w.restart(rapid.IntRange(0, 1).Draw(t, "host"))
+				s.restart(rapid.IntRange(0, 1).Draw(t, "host"))
 			},
-			"": w.checkInvariants,
+			"": s.checkInvariants,
 		}
 		t.Repeat(actions)
 	})
--- a/problem/doc.go
+++ b/problem/doc.go
@@ -2,6 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package problem holds the typed errors that heathkeel shows to callers and
-// operators: a kind, what became of the request, and the remedy.
+// Package problem defines the typed errors that heathkeel returns to callers and
+// operators. Each has a kind, the outcome of the request, and a remedy.
 package problem
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// Outcome says what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
-// The outcomes that a caller can be told.
+// The outcomes that are reported to callers.
 const (
-	// Answered means the whole answer was delivered.
+	// Answered means that the whole answer was delivered.
 	Answered Outcome = "answered"
-	// NotRun means the request was never dispatched and never will be.
+	// NotRun means that the request was never dispatched and never will be.
 	NotRun Outcome = "not run"
-	// Unknown means the request may have been dispatched and its answer was lost.
+	// Unknown means that the request may have been dispatched and its answer was lost.
 	Unknown Outcome = "unknown"
-	// Pending means the request waits or runs; ask again.
+	// Pending means that the request is waiting or running; the caller may ask again.
 	Pending Outcome = "pending"
 )
 
 // Kind is the machine-readable name of an error.
 type Kind string
 
-// The kinds of error that heathkeel reports.
+// The kinds of errors that heathkeel reports.
 const (
 	BadRequest       Kind = "bad-request"
 	BadID            Kind = "bad-id"
@@ -57,8 +57,9 @@
 	EndpointRefused  Kind = "endpoint-refused"
 )
 
-// statusOf gives the HTTP status of each kind; a kind not listed is 502.
-var statusOf = map[Kind]int{
+// httpStatus maps kinds to HTTP status codes; a kind that is not listed maps to
+// 502.
+var httpStatus = map[Kind]int{
 	BadRequest: http.StatusBadRequest, BadID: http.StatusBadRequest, MissingID: http.StatusBadRequest,
 	BodyTooLarge: http.StatusRequestEntityTooLarge, UnknownWorkspace: http.StatusNotFound,
 	UnknownModel: http.StatusNotFound, NoEndpoint: http.StatusServiceUnavailable,
@@ -69,32 +70,35 @@
 	Canceled: 499, InProgress: http.StatusConflict, AlreadyRun: http.StatusConflict,
 }
 
-// Problem is an error with its outcome and remedy; it is also the JSON body of a refusal.
+// Problem is an error with the outcome of the request and a remedy. It is also
+// the JSON body of a refusal.
 type Problem struct {
 	// Kind is the machine-readable name of the error.
 	Kind Kind `json:"kind"`
-	// Outcome says what became of the request.
+	// Outcome is the outcome of the request.
 	Outcome Outcome `json:"outcome"`
-	// Message says what is wrong.
+	// Message describes the error.
 	Message string `json:"message"`
-	// Remedy says what the reader can do about it.
+	// Remedy says what the caller or operator can do about the error.
 	Remedy string `json:"remedy"`
-	// RequestID is the ID of the request, if it had one.
+	// RequestID is the ID of the request, if it has one.
 	RequestID string `json:"request_id,omitempty"`
 	// Endpoint is the endpoint that may have run the request, if any.
 	Endpoint string `json:"endpoint,omitempty"`
-	// RetryAfterMS is the time after which a new try makes sense, in milliseconds; 0 means at once.
+	// RetryAfterMS is the time to wait before a retry, in milliseconds; 0 means
+	// that the caller may retry immediately.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Prefix is a fresh ID prefix to resubmit under, if there is one.
+	// Prefix is a new ID prefix for a resubmission, if there is one.
 	Prefix string `json:"prefix,omitempty"`
 }
 
-// New returns a problem with the outcome "not run".
+// New returns a problem with the outcome NotRun.
 func New(k Kind, remedy, format string, args ...any) *Problem {
 	return &Problem{Kind: k, Outcome: NotRun, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 }
 
-// Lost returns a problem with the outcome "unknown" for a request that may have run at endpoint.
+// Lost returns a problem with the outcome Unknown for a request that may have
+// run at an endpoint; endpoint is empty if it is not known which.
 func Lost(k Kind, endpoint, remedy, format string, args ...any) *Problem {
 	p := New(k, remedy, format, args...)
 	p.Outcome = Unknown
@@ -102,26 +106,27 @@
 	return p
 }
 
-// WithRetryAfter sets the time after which to try again and returns p.
+// WithRetryAfter sets the time to wait before a retry and returns p.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfterMS = d.Milliseconds()
 	return p
 }
 
-// Error gives kind, message, outcome and remedy in one line.
+// Error formats kind, message, outcome and remedy in one line.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%s: %s (%s); %s", p.Kind, p.Message, p.Outcome, p.Remedy)
 }
 
-// Status gives the HTTP status code of the problem.
+// Status returns the HTTP status code of the problem.
 func (p *Problem) Status() int {
-	if s, ok := statusOf[p.Kind]; ok {
+	if s, ok := httpStatus[p.Kind]; ok {
 		return s
 	}
 	return http.StatusBadGateway
 }
 
-// FromError returns err as a Problem, wrapping an error of another type as BadRequest.
+// FromError returns the Problem in err's chain. It converts any other error to a
+// Problem of kind BadRequest.
 func FromError(err error) *Problem {
 	var p *Problem
 	if errors.As(err, &p) {
@@ -130,10 +135,10 @@
 	return New(BadRequest, "correct the request", "%v", err)
 }
 
-// OutcomeHeader names the response header that repeats the outcome.
+// OutcomeHeader is the response header that repeats the outcome.
 const OutcomeHeader = "Heathkeel-Outcome"
 
-// Write sends p as the whole response.
+// Write writes p as the complete response.
 func Write(w http.ResponseWriter, p *Problem) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
