--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -24,8 +24,8 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// instant is an engine that answers at once.
-func instant(n int) http.Handler {
+// newInstantEngine is an engine that answers at once.
+func newInstantEngine(n int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == endpoint.PathLoad {
 			_, _ = io.WriteString(w, `{"slots":100000,"step_us":10,"prefill_per_step":100000,"role":"both","holding":{"model":"m","version":"1"}}`)
@@ -51,12 +51,12 @@
 	})
 }
 
-// load does b.N requests over some connections and reports the median time and
+// runLoad does b.N requests over some connections and reports the median time and
 // the processor time of the whole process.
-func load(b *testing.B, callers int, one func(c *http.Client)) {
+func runLoad(b *testing.B, callers int, sendOne func(c *http.Client)) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for range callers {
-		one(c)
+		sendOne(c)
 	}
 	times := make([]time.Duration, b.N)
 	var next atomic.Int64
@@ -70,7 +70,7 @@
 			defer wg.Done()
 			for i := next.Add(1) - 1; i < int64(b.N); i = next.Add(1) - 1 {
 				start := time.Now()
-				one(c)
+				sendOne(c)
 				times[i] = time.Since(start)
 			}
 		}()
@@ -93,10 +93,10 @@
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
 	r.Tune = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
-	s, err := dev.Serve("127.0.0.1:0", instant(tokens))
+	s, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(s.Kill)
-	other, err := dev.Serve("127.0.0.1:0", instant(tokens))
+	other, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(other.Kill)
 	r.Override = map[string]string{"e1": s.Address, "e2": other.Address}
@@ -106,8 +106,8 @@
 	return r.Nodes[0].Address, s.Address
 }
 
-// post sends one streaming request and reads the answer.
-func post(c *http.Client, host string) {
+// postCompletion sends one streaming request and reads the answer.
+func postCompletion(c *http.Client, host string) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+endpoint.PathCompletions, strings.NewReader(`{"model":"m","prompt":"hello","max_tokens":100,"stream":true}`))
 	req.Header.Set(router.HeaderWorkspace, "w")
 	req.Header.Set(router.HeaderService, "write")
@@ -132,7 +132,7 @@
 					if direct {
 						host = engine
 					}
-					load(b, callers, func(c *http.Client) { post(c, host) })
+					runLoad(b, callers, func(c *http.Client) { postCompletion(c, host) })
 				})
 			}
 		}
@@ -148,7 +148,7 @@
 				r := &dev.Cluster{Declaration: parse(b), Hosts: 3}
 				must.NoError(b, r.Start())
 				b.Cleanup(r.Stop)
-				rg := &rig{Cluster: r}
+				rg := &testCluster{Cluster: r}
 				eventually(b, "ready", func() bool {
 					for _, n := range r.Nodes {
 						live := 0
@@ -165,7 +165,7 @@
 				})
 				a := rg.address(b, r.Nodes[0]).Addresses[0]
 				var n atomic.Int64
-				load(b, callers, func(c *http.Client) {
+				runLoad(b, callers, func(c *http.Client) {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+service, strings.NewReader("x"))
 					req.Header.Set(router.HeaderWorkspace, "w")
 					prefix := a.Prefix
--- a/router/calls.go
+++ b/router/calls.go
@@ -16,12 +16,12 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// ownHeaders are the headers of heathkeel that a service does not see.
-var ownHeaders = []string{HeaderWorkspace, HeaderService, HeaderTier, HeaderResubmits, headerForwarded}
+// internalHeaders are the headers of heathkeel that a service does not see.
+var internalHeaders = []string{HeaderWorkspace, HeaderService, HeaderTier, HeaderResubmits, headerForwarded}
 
 // serveCall passes a call to a plain service on.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request) {
-	j, p := r.begin(w, req, mux.Vars(req)["service"])
+	j, p := r.receive(w, req, mux.Vars(req)["service"])
 	if p != nil {
 		problem.Write(w, p)
 		return
@@ -43,20 +43,20 @@
 			return endpoint.ErrNotSent
 		}
 		var err error
-		resp, err = t.service.Send(req.Context(), plainCall(req, j.body))
+		resp, err = t.service.Send(req.Context(), newPlainCall(req, j.body))
 		return err
 	})
 	if p != nil {
 		problem.Write(w, p)
 		return
 	}
-	r.passAnswer(w, j, t, resp)
+	r.writeServiceAnswer(w, j, t, resp)
 }
 
-// plainCall makes the call as the service sees it.
-func plainCall(req *http.Request, body []byte) endpoint.PlainCall {
+// newPlainCall makes the call as the service sees it.
+func newPlainCall(req *http.Request, body []byte) endpoint.PlainCall {
 	h := req.Header.Clone()
-	for _, name := range ownHeaders {
+	for _, name := range internalHeaders {
 		h.Del(name)
 	}
 	path := strings.TrimPrefix(req.URL.EscapedPath(), PathCall)
@@ -70,8 +70,8 @@
 	}
 }
 
-// passAnswer passes a service's answer on.
-func (r *Router) passAnswer(w http.ResponseWriter, j *job, t *target, resp *http.Response) {
+// writeServiceAnswer passes a service's answer on.
+func (r *Router) writeServiceAnswer(w http.ResponseWriter, j *job, t *target, resp *http.Response) {
 	defer resp.Body.Close()
 	r.mu.Lock()
 	r.sched.FirstToken(r.now(), j.req)
@@ -82,10 +82,10 @@
 	w.Header().Set(HeaderID, j.id())
 	w.Header().Set(HeaderEndpoint, t.Name)
 	w.WriteHeader(resp.StatusCode)
-	if err := copyFlush(w, resp.Body); err != nil {
-		r.end(j, sched.Broken, 0)
+	if err := copyAndFlush(w, resp.Body); err != nil {
+		r.finish(j, sched.Broken, 0)
 		// The head is gone out already: breaking the connection tells the caller.
 		panic(http.ErrAbortHandler)
 	}
-	r.end(j, sched.Completed, 1)
+	r.finish(j, sched.Completed, 1)
 }
--- a/router/completions.go
+++ b/router/completions.go
@@ -20,18 +20,18 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// activity is a dispatched request to an engine.
-type activity struct {
-	j        *job
-	engine   endpoint.Engine
-	endpoint string
-	model    string
-	cancel   *time.Timer // set while the caller is away
+// engineRequest is a dispatched request to an engine.
+type engineRequest struct {
+	job         *job
+	engine      endpoint.Engine
+	endpoint    string
+	model       string
+	cancelTimer *time.Timer // set while the caller is away
 }
 
 // serveCompletion takes a request to an engine.
 func (r *Router) serveCompletion(w http.ResponseWriter, req *http.Request) {
-	j, p := r.begin(w, req, req.Header.Get(HeaderService))
+	j, p := r.receive(w, req, req.Header.Get(HeaderService))
 	if p != nil {
 		problem.Write(w, p)
 		return
@@ -53,15 +53,15 @@
 	t, p := r.dispatch(req.Context(), j, d, func(t *target) error {
 		// The engine's stream must outlive the caller's connection for a while.
 		var err error
-		stream, err = t.engine.Generate(context.WithoutCancel(req.Context()), r.engineCall(j, body))
+		stream, err = t.engine.Generate(context.WithoutCancel(req.Context()), r.newEngineCall(j, body))
 		return err
 	})
 	if p != nil {
 		problem.Write(w, p)
 		return
 	}
-	r.release(j)
-	a := &activity{j: j, engine: t.engine, endpoint: t.Name, model: body.Model}
+	r.releaseBody(j)
+	a := &engineRequest{job: j, engine: t.engine, endpoint: t.Name, model: body.Model}
 	r.onceMu.Lock()
 	r.active[j.id()] = a
 	r.onceMu.Unlock()
@@ -70,7 +70,7 @@
 		r.streamAnswer(w, req, a, checked)
 		return
 	}
-	r.wholeAnswer(w, req, a, checked)
+	r.writeWholeAnswer(w, req, a, checked)
 }
 
 // parseCompletion reads the body of a request and fills in the scheduler's view of it.
@@ -82,17 +82,17 @@
 	if body.Prompt == "" || body.MaxTokens < 0 {
 		return nil, problem.New(problem.BadRequest, "send prompt as text and max_tokens above 0", "prompt is empty or max_tokens is negative")
 	}
-	known := slices.Contains(j.snap.Fleet.Models, body.Model)
-	allowed := len(j.eff.Models) == 0 || slices.Contains(j.eff.Models, body.Model)
+	known := slices.Contains(j.snapshot.Fleet.Models, body.Model)
+	allowed := len(j.settings.Models) == 0 || slices.Contains(j.settings.Models, body.Model)
 	if !known || !allowed {
-		models := j.eff.Models
+		models := j.settings.Models
 		if len(models) == 0 {
-			models = j.snap.Fleet.Models
+			models = j.snapshot.Fleet.Models
 		}
 		return nil, problem.New(problem.UnknownModel, "use one of: "+strings.Join(models, ", "), "model %q is not declared or not allowed", body.Model)
 	}
-	if body.MaxTokens == 0 || body.MaxTokens > j.eff.MaxTokens {
-		body.MaxTokens = j.eff.MaxTokens
+	if body.MaxTokens == 0 || body.MaxTokens > j.settings.MaxTokens {
+		body.MaxTokens = j.settings.MaxTokens
 	}
 	j.req = &sched.Request{
 		Model: body.Model, Blocks: sched.Blocks(body.Prompt), PromptTokens: sched.Tokens(len(body.Prompt)),
@@ -101,38 +101,38 @@
 	return &body, nil
 }
 
-// engineCall makes the call to an engine.
-func (r *Router) engineCall(j *job, body *endpoint.CompletionBody) endpoint.Call {
+// newEngineCall makes the call to an engine.
+func (r *Router) newEngineCall(j *job, body *endpoint.CompletionBody) endpoint.Call {
 	return endpoint.Call{
 		ID: j.id(), Model: body.Model, Adapter: body.Adapter, Prompt: body.Prompt,
-		MaxTokens: body.MaxTokens, Priority: j.eff.Rank,
+		MaxTokens: body.MaxTokens, Priority: j.settings.Rank,
 	}
 }
 
-// answerHead sets the headers that let a caller resume at any host.
-func answerHead(w http.ResponseWriter, a *activity) {
-	w.Header().Set(HeaderID, a.j.id())
+// setAnswerHeaders sets the headers that let a caller resume at any host.
+func setAnswerHeaders(w http.ResponseWriter, a *engineRequest) {
+	w.Header().Set(HeaderID, a.job.id())
 	w.Header().Set(HeaderEndpoint, a.endpoint)
 }
 
 // sink takes the pieces of an answer; an error means that the caller is gone.
 type sink func(endpoint.Piece) error
 
-// errCaller means that the caller went away.
-var errCaller = errors.New("router: the caller went away")
+// errCallerGone means that the caller went away.
+var errCallerGone = errors.New("router: the caller went away")
 
-// relay passes the pieces of an answer on, resuming a broken stream at the same
+// copyStream passes the pieces of an answer on, resuming a broken stream at the same
 // engine, and keeps the figures. It returns the number of pieces passed on.
-func (r *Router) relay(ctx context.Context, a *activity, s *endpoint.Checked, out sink) (int, error) {
+func (r *Router) copyStream(ctx context.Context, a *engineRequest, s *endpoint.Checked, write sink) (int, error) {
 	defer func() { _ = s.Close() }()
-	last := a.j.arrived
+	lastToken := a.job.arrived
 	for {
 		p, err := s.Next()
 		switch {
 		case err == io.EOF:
 			return s.Want, nil
 		case errors.Is(err, endpoint.ErrLost):
-			if err = r.resumeAt(ctx, a, s); err != nil {
+			if err = r.resumeStream(ctx, a, s); err != nil {
 				return s.Want, err
 			}
 			continue
@@ -140,64 +140,64 @@
 			return s.Want, err
 		}
 		now := r.now()
-		r.noteToken(a, p.Seq, now-last)
-		last = now
-		if out(p) != nil || ctx.Err() != nil {
-			return s.Want, errCaller
+		r.recordToken(a, p.Seq, now-lastToken)
+		lastToken = now
+		if write(p) != nil || ctx.Err() != nil {
+			return s.Want, errCallerGone
 		}
 	}
 }
 
-// noteToken keeps the figures of one token.
-func (r *Router) noteToken(a *activity, seq int, since time.Duration) {
+// recordToken keeps the figures of one token.
+func (r *Router) recordToken(a *engineRequest, seq int, since time.Duration) {
 	r.mu.Lock()
 	if seq == 0 {
-		r.sched.FirstToken(r.now(), a.j.req)
+		r.sched.FirstToken(r.now(), a.job.req)
 	}
-	r.sched.Progress(r.now(), a.j.req, seq+1)
+	r.sched.Progress(r.now(), a.job.req, seq+1)
 	r.mu.Unlock()
 	if seq == 0 {
-		r.metrics.Record(a.j.key(), metrics.FirstToken, since)
+		r.metrics.Record(a.job.key(), metrics.FirstToken, since)
 		return
 	}
-	r.metrics.Record(a.j.key(), metrics.BetweenTokens, since)
+	r.metrics.Record(a.job.key(), metrics.BetweenTokens, since)
 }
 
 // Figures of resuming.
 const (
-	// resumeTries bounds the tries to resume a broken stream at its engine.
-	resumeTries = 3
-	// resumePause is the time between them.
-	resumePause = 50 * time.Millisecond
+	// maxResumeAttempts bounds the tries to resume a broken stream at its engine.
+	maxResumeAttempts = 3
+	// resumeRetryInterval is the time between them.
+	resumeRetryInterval = 50 * time.Millisecond
 )
 
-// resumeAt replaces a broken stream by its continuation.
-func (r *Router) resumeAt(ctx context.Context, a *activity, s *endpoint.Checked) error {
+// resumeStream replaces a broken stream by its continuation.
+func (r *Router) resumeStream(ctx context.Context, a *engineRequest, s *endpoint.Checked) error {
 	_ = s.Close()
-	for range resumeTries {
-		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.j.id(), s.Want)
+	for range maxResumeAttempts {
+		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.job.id(), s.Want)
 		if err == nil {
 			s.Stream = next
-			r.metrics.Count(a.j.key(), "stream resumed")
+			r.metrics.Count(a.job.key(), "stream resumed")
 			return nil
 		}
 		if errors.Is(err, endpoint.ErrNoStream) {
 			return err
 		}
-		time.Sleep(resumePause)
+		time.Sleep(resumeRetryInterval)
 	}
 	return endpoint.ErrLost
 }
 
 // streamAnswer sends the answer as server-sent events.
-func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.Checked) {
-	answerHead(w, a)
+func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.Checked) {
+	setAnswerHeaders(w, a)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
 	var buf []byte
-	n, err := r.relay(req.Context(), a, s, func(p endpoint.Piece) error {
+	n, err := r.copyStream(req.Context(), a, s, func(p endpoint.Piece) error {
 		buf = endpoint.AppendEvent(buf[:0], p, a.model)
 		if _, err := w.Write(buf); err != nil || s.More() {
 			return err
@@ -210,76 +210,76 @@
 			err = rc.Flush()
 		}
 		if err != nil {
-			err = errCaller
+			err = errCallerGone
 		}
 	}
-	if p := r.conclude(a, n, err); p != nil {
+	if p := r.finishStream(a, n, err); p != nil {
 		b, _ := json.Marshal(p)
 		_, _ = w.Write(append(append([]byte("event: error\ndata: "), b...), "\n\n"...))
 		_ = rc.Flush()
 	}
 }
 
-// wholeAnswer collects the answer and sends it in one piece.
-func (r *Router) wholeAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.Checked) {
+// writeWholeAnswer collects the answer and sends it in one piece.
+func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.Checked) {
 	var text strings.Builder
 	var finish string
-	n, err := r.relay(req.Context(), a, s, func(p endpoint.Piece) error {
+	n, err := r.copyStream(req.Context(), a, s, func(p endpoint.Piece) error {
 		text.WriteString(p.Content())
 		finish = p.Finish
 		return nil
 	})
 	if err == nil {
-		answerHead(w, a)
+		setAnswerHeaders(w, a)
 		w.Header().Set(problem.OutcomeHeader, string(problem.Answered))
 		writeJSON(w, endpoint.Chunk{
-			ID: a.j.id(), Object: "text_completion", Model: a.model,
+			ID: a.job.id(), Object: "text_completion", Model: a.model,
 			Choices: []endpoint.Choice{{Text: text.String(), FinishReason: &finish}},
 		})
 	}
-	if p := r.conclude(a, n, err); p != nil {
+	if p := r.finishStream(a, n, err); p != nil {
 		problem.Write(w, p)
 	}
 }
 
-// conclude ends a request after its stream ended; a problem is what the caller
+// finishStream ends a request after its stream ended; a problem is what the caller
 // must be told. A caller that has an ID and went away gets time to resume.
-func (r *Router) conclude(a *activity, n int, err error) *problem.Problem {
+func (r *Router) finishStream(a *engineRequest, tokens int, err error) *problem.Problem {
 	switch {
 	case err == nil:
-		r.end(a.j, sched.Completed, n)
+		r.finish(a.job, sched.Completed, tokens)
 		return nil
-	case errors.Is(err, errCaller) && a.j.ownID && n > 0:
+	case errors.Is(err, errCallerGone) && a.job.callerID && tokens > 0:
 		r.onceMu.Lock()
-		a.cancel = time.AfterFunc(r.CancelGrace, func() { r.abandon(a) })
+		a.cancelTimer = time.AfterFunc(r.CancelGrace, func() { r.abandon(a) })
 		r.onceMu.Unlock()
 		return nil
-	case errors.Is(err, errCaller):
+	case errors.Is(err, errCallerGone):
 		r.abandon(a)
 		return nil
 	}
-	r.cancelAt(a)
-	return r.lost(a.j, a.endpoint, err)
+	r.cancelStream(a)
+	return r.endLost(a.job, a.endpoint, err)
 }
 
 // cancelTimeout bounds the cancelling of a stream.
 const cancelTimeout = time.Second
 
-// cancelAt cancels a stream at its engine.
-func (r *Router) cancelAt(a *activity) {
+// cancelStream cancels a stream at its engine.
+func (r *Router) cancelStream(a *engineRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	_ = a.engine.Cancel(ctx, a.j.id())
+	_ = a.engine.Cancel(ctx, a.job.id())
 }
 
 // abandon cancels the stream of a caller that did not come back.
-func (r *Router) abandon(a *activity) {
+func (r *Router) abandon(a *engineRequest) {
 	r.onceMu.Lock()
-	still := r.active[a.j.id()] == a
+	active := r.active[a.job.id()] == a
 	r.onceMu.Unlock()
-	if !still {
+	if !active {
 		return
 	}
-	r.cancelAt(a)
-	r.end(a.j, sched.Canceled, 0)
+	r.cancelStream(a)
+	r.finish(a.job, sched.Canceled, 0)
 }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -25,7 +25,7 @@
 		if t == nil {
 			err = endpoint.ErrNotSent
 		} else {
-			if p := r.allow(ctx, j, d); p != nil {
+			if p := r.authorizeDispatch(ctx, j, d); p != nil {
 				return nil, p
 			}
 			r.importCache(ctx, j, d, t)
@@ -39,32 +39,32 @@
 			return t, nil
 		}
 		if !errors.Is(err, endpoint.ErrNotSent) {
-			return nil, r.lost(j, d.Endpoint, err)
+			return nil, r.endLost(j, d.Endpoint, err)
 		}
 		var p *problem.Problem
-		if d, p = r.again(ctx, j); p != nil {
+		if d, p = r.redispatch(ctx, j); p != nil {
 			return nil, p
 		}
 	}
 }
 
-// allow obtains the right to dispatch, from the witness where one is named.
-func (r *Router) allow(ctx context.Context, j *job, d sched.Decision) *problem.Problem {
-	if j.rec.NeedsWitness {
-		if st := r.record(ctx, j.rec, d.Endpoint); st != once.Recorded {
-			r.finishSched(j, sched.Canceled, 0)
+// authorizeDispatch obtains the right to dispatch, from the witness where one is named.
+func (r *Router) authorizeDispatch(ctx context.Context, j *job, d sched.Decision) *problem.Problem {
+	if j.record.NeedsWitness {
+		if state := r.record(ctx, j.record, d.Endpoint); state != once.Recorded {
+			r.notifyScheduler(j, sched.Canceled, 0)
 			return r.refuse(j, problem.New(problem.WitnessLost, "resubmit under the prefix given", "the witness did not record the request"))
 		}
 		r.trace(StageRecorded, j.id())
 	}
 	r.onceMu.Lock()
-	err := r.owner.Dispatch(j.rec, d.Endpoint)
-	known := outcomeOf(j.rec, once.Known)
+	err := r.owner.Dispatch(j.record, d.Endpoint)
+	known := recordProblem(j.record, once.Known)
 	r.onceMu.Unlock()
 	if err != nil {
 		r.Log.Error(err, "dispatch refused")
-		r.finishSched(j, sched.Canceled, 0)
-		r.leave(j)
+		r.notifyScheduler(j, sched.Canceled, 0)
+		r.closeJob(j)
 		known.RequestID = j.id()
 		return known
 	}
@@ -72,18 +72,18 @@
 	return nil
 }
 
-// again decides anew after a dispatch of which no byte was sent.
-func (r *Router) again(ctx context.Context, j *job) (sched.Decision, *problem.Problem) {
+// redispatch decides anew after a dispatch of which no byte was sent.
+func (r *Router) redispatch(ctx context.Context, j *job) (sched.Decision, *problem.Problem) {
 	r.onceMu.Lock()
-	if j.rec.State == once.Dispatched {
-		_ = r.owner.Retract(j.rec)
+	if j.record.State == once.Dispatched {
+		_ = r.owner.Retract(j.record)
 	}
 	r.onceMu.Unlock()
 	r.mu.Lock()
 	d := r.sched.RedispatchUnsent(r.now(), j.req)
-	r.pump()
+	r.deliverDecisions()
 	r.mu.Unlock()
-	return r.await(ctx, j, d)
+	return r.awaitDecision(ctx, j, d)
 }
 
 // importTimeout bounds the moving of KV cache; without it the prompt is computed.
@@ -111,17 +111,17 @@
 	r.metrics.Count(j.key(), "cache imported")
 }
 
-// finishSched tells the scheduler of the end of a dispatched request.
-func (r *Router) finishSched(j *job, res sched.Result, tokens int) {
+// notifyScheduler tells the scheduler of the end of a dispatched request.
+func (r *Router) notifyScheduler(j *job, res sched.Result, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sched.Done(r.now(), j.req, res, tokens)
-	r.pump()
+	r.deliverDecisions()
 }
 
-// lost ends a dispatched request whose answer will not come.
-func (r *Router) lost(j *job, name string, err error) *problem.Problem {
-	r.end(j, sched.Broken, 0)
+// endLost ends a dispatched request whose answer will not come.
+func (r *Router) endLost(j *job, endpointName string, err error) *problem.Problem {
+	r.finish(j, sched.Broken, 0)
 	kind, remedy := problem.EndpointLost, "ask "+PathOutcome+"{id}; resubmit under a new ID if running twice does no harm"
 	switch {
 	case errors.Is(err, endpoint.ErrRejected):
@@ -129,29 +129,29 @@
 	case errors.Is(err, endpoint.ErrCrossed), errors.Is(err, endpoint.ErrOrder):
 		kind = problem.BadAnswer
 	}
-	p := problem.Lost(kind, name, remedy, "%v", err)
+	p := problem.Lost(kind, endpointName, remedy, "%v", err)
 	p.RequestID = j.id()
 	return p
 }
 
-// end finishes a dispatched request with the scheduler, the owner and the metrics.
-func (r *Router) end(j *job, res sched.Result, tokens int) {
-	r.finishSched(j, res, tokens)
+// finish finishes a dispatched request with the scheduler, the owner and the metrics.
+func (r *Router) finish(j *job, res sched.Result, tokens int) {
+	r.notifyScheduler(j, res, tokens)
 	r.onceMu.Lock()
-	_ = r.owner.Finish(j.rec, res == sched.Completed)
+	_ = r.owner.Finish(j.record, res == sched.Completed)
 	delete(r.active, j.id())
 	r.onceMu.Unlock()
-	r.leave(j)
-	took := r.now() - j.arrived
+	r.closeJob(j)
+	duration := r.now() - j.arrived
 	switch {
 	case res != sched.Completed:
 		r.metrics.Count(j.key(), string(problem.Unknown))
-	case took <= j.eff.Deadline:
+	case duration <= j.settings.Deadline:
 		r.metrics.Count(j.key(), string(problem.Answered))
 	default:
 		r.metrics.Count(j.key(), "answered late")
 	}
 	if res == sched.Completed {
-		r.metrics.Record(j.key(), metrics.WholeTime, took)
+		r.metrics.Record(j.key(), metrics.WholeTime, duration)
 	}
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -16,13 +16,13 @@
 
 // Figures of leaving.
 const (
-	// drainSlack is added to the answers' maximum age, for the time until all
+	// drainMargin is added to the answers' maximum age, for the time until all
 	// hosts have heard that this one leaves.
-	drainSlack = 3 * time.Second
-	// drainCheck is the time between looks at what still runs.
-	drainCheck = 50 * time.Millisecond
-	// goneWait is the time that the last heartbeats get.
-	goneWait = 200 * time.Millisecond
+	drainMargin = 3 * time.Second
+	// drainCheckInterval is the time between looks at what still runs.
+	drainCheckInterval = 50 * time.Millisecond
+	// finalHeartbeatTime is the time that the last heartbeats get.
+	finalHeartbeatTime = 200 * time.Millisecond
 )
 
 // Drain makes the host leave without cutting a request: it is no longer named
@@ -36,22 +36,22 @@
 	}
 	r.Log.Info("draining")
 	r.agent.Update(func(h *fleet.Host) { h.Leaving = true })
-	if err := pause(ctx, r.MaxAge+drainSlack); err != nil {
+	if err := sleep(ctx, r.MaxAge+drainMargin); err != nil {
 		return err
 	}
-	for r.busy() {
-		if err := pause(ctx, drainCheck); err != nil {
+	for r.hasRequests() {
+		if err := sleep(ctx, drainCheckInterval); err != nil {
 			return err
 		}
 	}
-	r.handOn(ctx)
+	r.handOver(ctx)
 	r.agent.Update(func(h *fleet.Host) { h.Gone = true })
 	r.Log.Info("drained")
-	return pause(ctx, goneWait)
+	return sleep(ctx, finalHeartbeatTime)
 }
 
-// pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or the end of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -60,9 +60,9 @@
 	}
 }
 
-// busy reports whether requests wait or run.
-func (r *Router) busy() bool {
-	return r.running.Load() > 0
+// hasRequests reports whether requests wait or run.
+func (r *Router) hasRequests() bool {
+	return r.openRequests.Load() > 0
 }
 
 // serveDrain makes the host leave.
@@ -75,28 +75,28 @@
 	writeJSON(w, struct{}{})
 }
 
-// handOn gives the witness records to other hosts. The copies are sealed, so that
+// handOver gives the witness records to other hosts. The copies are sealed, so that
 // several may answer, and the loss of one loses nothing.
-func (r *Router) handOn(ctx context.Context) {
+func (r *Router) handOver(ctx context.Context) {
 	r.onceMu.Lock()
 	h := r.witness.PrepareHandover()
 	r.onceMu.Unlock()
 	if len(h.Recorded) == 0 {
 		return
 	}
-	done := 0
-	for _, to := range fleet.Set("handover", r.Self.Region, r.hosts(), handCopies) {
-		if r.handTo(ctx, to, h) {
-			done++
+	copies := 0
+	for _, to := range fleet.Set("handover", r.Self.Region, r.liveHosts(), handoverCopies) {
+		if r.handOverTo(ctx, to, h) {
+			copies++
 		}
 	}
-	r.Log.Info("witness records handed on", "records", len(h.Recorded), "copies", done)
+	r.Log.Info("witness records handed on", "records", len(h.Recorded), "copies", copies)
 }
 
-// handTo gives the witness records to one host.
-func (r *Router) handTo(ctx context.Context, to fleet.Host, h once.Handover) bool {
-	for range handTries {
-		tctx, cancel := context.WithTimeout(ctx, askTimeout)
+// handOverTo gives the witness records to one host.
+func (r *Router) handOverTo(ctx context.Context, to fleet.Host, h once.Handover) bool {
+	for range maxHandoverAttempts {
+		tctx, cancel := context.WithTimeout(ctx, queryTimeout)
 		err := r.peers.handover(tctx, to.Address, h)
 		cancel()
 		if err == nil {
@@ -108,8 +108,8 @@
 
 // Bounds of handing the witness records on.
 const (
-	// handCopies is the number of hosts that get them.
-	handCopies = 2
-	// handTries bounds the tries at one host.
-	handTries = 3
+	// handoverCopies is the number of hosts that get them.
+	handoverCopies = 2
+	// maxHandoverAttempts bounds the tries at one host.
+	maxHandoverAttempts = 3
 )
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -26,19 +26,19 @@
 )
 
 // newClient makes a client of workspace w.
-func newClient(r *rig) *client.Client {
+func newClient(r *testCluster) *client.Client {
 	return &client.Client{Seeds: r.Addresses(), Workspace: "w"}
 }
 
 // setEngines gives all engines the same faults.
-func (r *rig) setEngines(f fake.EngineFaults) {
+func (r *testCluster) setEngines(f fake.EngineFaults) {
 	for _, e := range r.Engines {
 		e.SetFaults(f)
 	}
 }
 
-// mostRuns returns the largest number of runs of one ID at any engine.
-func (r *rig) mostRuns() int {
+// maxRuns returns the largest number of runs of one ID at any engine.
+func (r *testCluster) maxRuns() int {
 	most := 0
 	for _, e := range r.Engines {
 		_, n := e.TotalRuns()
@@ -47,18 +47,18 @@
 	return most
 }
 
-const tokens = 20
+const tokenCount = 20
 
-// wholeText is the answer that the stand-in engines give.
-func wholeText() string {
+// expectedText is the answer that the stand-in engines give.
+func expectedText() string {
 	var b strings.Builder
-	for i := range tokens {
+	for i := range tokenCount {
 		fmt.Fprintf(&b, "t%d ", i)
 	}
 	return b.String()
 }
 
-func TestAnswersAreWhole(t *testing.T) {
+func TestAnswersAreComplete(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults fake.EngineFaults
@@ -75,26 +75,26 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, nil)
+			r := newTestCluster(t, nil)
 			r.setEngines(c.faults)
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
-			a, err := newClient(r).Complete(ctx, client.Completion{Service: "write", Model: "m", Prompt: "p", MaxTokens: tokens, NoRepeat: true})
+			a, err := newClient(r).Complete(ctx, client.Completion{Service: "write", Model: "m", Prompt: "p", MaxTokens: tokenCount, NoRepeat: true})
 			if c.ok {
 				must.NoError(t, err)
-				must.Eq(t, wholeText(), a.Text)
-				must.Eq(t, tokens, a.Tokens)
+				must.Eq(t, expectedText(), a.Text)
+				must.Eq(t, tokenCount, a.Tokens)
 			} else {
 				must.Error(t, err)
 				must.Eq(t, problem.Unknown, problem.FromError(err).Outcome)
 			}
-			must.LessEq(t, 1, r.mostRuns())
+			must.LessEq(t, 1, r.maxRuns())
 		})
 	}
 }
 
-func TestStreamOutlivesItsOwner(t *testing.T) {
-	r := newRig(t, nil)
+func TestStreamSurvivesOwnerCrash(t *testing.T) {
+	r := newTestCluster(t, nil)
 	for _, e := range r.Engines {
 		e.SetStep(20 * time.Millisecond)
 	}
@@ -102,7 +102,7 @@
 	list, err := cl.Addresses(context.Background())
 	must.NoError(t, err)
 	owner := r.node(list[0].Address)
-	reached, release := r.gateOf(owner).at(router.StageSent)
+	reached, release := r.gateOf(owner).holdAt(router.StageSent)
 	go func() {
 		<-reached
 		release()
@@ -112,15 +112,15 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	a, err := cl.Complete(ctx, client.Completion{Service: "write", Model: "m", Prompt: "p", MaxTokens: tokens, NoRepeat: true})
+	a, err := cl.Complete(ctx, client.Completion{Service: "write", Model: "m", Prompt: "p", MaxTokens: tokenCount, NoRepeat: true})
 	must.NoError(t, err)
-	must.Eq(t, wholeText(), a.Text)
+	must.Eq(t, expectedText(), a.Text)
 	must.Positive(t, a.Resumed)
-	must.Eq(t, 1, r.mostRuns())
+	must.Eq(t, 1, r.maxRuns())
 }
 
 // busyEngines counts the engines with requests.
-func (r *rig) busyEngines() int {
+func (r *testCluster) busyEngines() int {
 	n := 0
 	for _, e := range r.Engines {
 		if e.Active() > 0 {
@@ -130,15 +130,15 @@
 	return n
 }
 
-func TestCallerThatLeavesCancelsItsStream(t *testing.T) {
-	r := newRig(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
+func TestDisconnectCancelsStream(t *testing.T) {
+	r := newTestCluster(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
 	for _, e := range r.Engines {
 		e.SetStep(10 * time.Millisecond)
 	}
 	a := r.address(t, r.Nodes[0]).Addresses[0]
 	for _, id := range []string{"", a.Prefix + "leaves"} {
 		ctx, cancel := context.WithCancel(context.Background())
-		resp, err := http.DefaultClient.Do(completion(ctx, a.Address, id, 100000))
+		resp, err := http.DefaultClient.Do(newCompletionRequest(ctx, a.Address, id, 100000))
 		must.NoError(t, err)
 		_, err = resp.Body.Read(make([]byte, 10))
 		must.NoError(t, err)
@@ -149,8 +149,8 @@
 	}
 }
 
-// completion makes a streaming request.
-func completion(ctx context.Context, host, id string, n int) *http.Request {
+// newCompletionRequest makes a streaming request.
+func newCompletionRequest(ctx context.Context, host, id string, n int) *http.Request {
 	b, _ := json.Marshal(endpoint.CompletionBody{Model: "m", Prompt: "p", MaxTokens: n, Stream: true})
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+router.PathCompletions, bytes.NewReader(b))
 	req.Header.Set(router.HeaderWorkspace, "w")
@@ -161,14 +161,14 @@
 	return req
 }
 
-func TestSlowCallerHoldsBackOnlyItself(t *testing.T) {
-	r := newRig(t, nil)
+func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
+	r := newTestCluster(t, nil)
 	host := r.Nodes[0].Address
-	slow, err := http.DefaultClient.Do(completion(context.Background(), host, "", 4096))
+	slow, err := http.DefaultClient.Do(newCompletionRequest(context.Background(), host, "", 4096))
 	must.NoError(t, err)
 	defer slow.Body.Close()
 	for range 5 {
-		resp, err := http.DefaultClient.Do(completion(context.Background(), host, "", tokens))
+		resp, err := http.DefaultClient.Do(newCompletionRequest(context.Background(), host, "", tokenCount))
 		must.NoError(t, err)
 		b, err := io.ReadAll(resp.Body)
 		must.NoError(t, err)
@@ -181,7 +181,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestCluster(t, nil)
 	host := r.Nodes[0].Address
 	good := r.address(t, r.Nodes[0]).Addresses[0]
 	cases := []struct {
@@ -208,42 +208,42 @@
 		if c.id != "" {
 			req.Header.Set(router.HeaderID, c.id)
 		}
-		got := send(req)
+		got := sendRequest(req)
 		must.Eq(t, c.kind, got.problem.Kind, must.Sprintf("%s: %+v", c.name, got))
 		must.Eq(t, c.outcome, got.outcome, must.Sprint(c.name))
 		must.NotEq(t, "", got.problem.Remedy, must.Sprint(c.name))
 	}
 }
 
-func TestRefusedForTheBodyStaysRefused(t *testing.T) {
-	r := newRig(t, nil)
+func TestRefusalForBodyIsFinal(t *testing.T) {
+	r := newTestCluster(t, nil)
 	a := r.address(t, r.Nodes[0]).Addresses[0]
 	for i, body := range []string{strings.Repeat("x", 101), "small"} {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+"look", strings.NewReader(body))
 		req.Header.Set(router.HeaderWorkspace, "w")
 		req.Header.Set(router.HeaderID, a.Prefix+"same")
 		req.Header.Set(fake.HeaderCall, "same")
-		got := send(req)
+		got := sendRequest(req)
 		must.Eq(t, problem.NotRun, got.outcome, must.Sprint(i, got))
 	}
 	must.Zero(t, r.runs("same"))
 }
 
-// leavingRig is a cluster whose services leave and come back.
-type leavingRig struct {
-	*rig
+// leavingCluster is a cluster whose services leave and come back.
+type leavingCluster struct {
+	*testCluster
 	t  *testing.T
 	cl *client.Client
 }
 
-// leave lets one service leave and the other stay, and waits until nothing goes to the first.
-func (r *leavingRig) leave(leaves, stays string) {
+// moveWork lets one service leave and the other stay, and waits until nothing goes to the first.
+func (r *leavingCluster) moveWork(leaves, stays string) {
 	for name, leaving := range map[string]bool{leaves: true, stays: false} {
 		r.Platform.Hosts.Put(keyval.ListEntry{Name: name, Zone: "z1", Endpoint: true, Leaving: leaving})
 	}
 	eventually(r.t, leaves+" is left alone", func() bool {
 		for range 20 {
-			if r.look() == leaves {
+			if r.servingEndpoint() == leaves {
 				return false
 			}
 		}
@@ -251,33 +251,33 @@
 	})
 }
 
-// look sends a request and names the endpoint that answered it.
-func (r *leavingRig) look() string {
+// servingEndpoint sends a request and names the endpoint that answered it.
+func (r *leavingCluster) servingEndpoint() string {
 	a, err := r.cl.Do(context.Background(), client.Call{Service: "look", Method: http.MethodGet, Path: "/"})
 	must.NoError(r.t, err)
 	return a.Endpoint
 }
 
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	r := newRig(t, nil)
-	l := &leavingRig{r, t, newClient(r)}
-	l.leave("s1", "s2")
+	r := newTestCluster(t, nil)
+	l := &leavingCluster{r, t, newClient(r)}
+	l.moveWork("s1", "s2")
 }
 
-// TestDispatchLooksAgain lets the endpoint of a request leave, and all hosts know of it, after the request's owner has chosen it and got the right
+// TestDispatchAvoidsEndpointThatLeaves lets the endpoint of a request leave, and all hosts know of it, after the request's owner has chosen it and got the right
 // to send: the request goes to another endpoint. What lies between may take the time of a witness's answer and of a cache's move.
-func TestDispatchLooksAgain(t *testing.T) {
-	r := newRig(t, nil)
-	l := &leavingRig{r, t, newClient(r)}
-	l.leave("s2", "s1")
+func TestDispatchAvoidsEndpointThatLeaves(t *testing.T) {
+	r := newTestCluster(t, nil)
+	l := &leavingCluster{r, t, newClient(r)}
+	l.moveWork("s2", "s1")
 	var reached []<-chan struct{}
 	var release []func()
 	for _, g := range r.gates {
-		hit, free := g.at(router.StageDispatched)
+		hit, free := g.holdAt(router.StageDispatched)
 		reached, release = append(reached, hit), append(release, free)
 	}
 	got := make(chan string, 1)
-	go func() { got <- l.look() }()
+	go func() { got <- l.servingEndpoint() }()
 	owner := 0
 	select {
 	case <-reached[0]:
@@ -291,7 +291,7 @@
 			free() // other requests go on there
 		}
 	}
-	l.leave("s1", "s2")
+	l.moveWork("s1", "s2")
 	release[owner]()
 	must.EqOp(t, "s2", <-got)
 }
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -18,21 +18,21 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// scene is one call with its owner, its witness and a third host.
-type scene struct {
-	*rig
-	t                     *testing.T
-	id                    string
-	owner, witness, third *dev.Node
-	ownerGate, witGate    *gate
+// faultScenario is one call with its owner, its witness and a third host.
+type faultScenario struct {
+	*testCluster
+	t                      *testing.T
+	id                     string
+	owner, witness, third  *dev.Node
+	ownerGate, witnessGate *gate
 }
 
-// newScene picks an owner whose witness is another host than the one asked later.
-func newScene(t *testing.T, r *rig, unique string) *scene {
-	s := &scene{rig: r, t: t}
-	asked := r.Nodes[0]
-	for _, a := range r.address(t, asked).Addresses {
-		if a.Address == asked.Address || a.Witness == "" {
+// newFaultScenario picks an owner whose witness is another host than the one asked later.
+func newFaultScenario(t *testing.T, r *testCluster, unique string) *faultScenario {
+	s := &faultScenario{testCluster: r, t: t}
+	queriedHost := r.Nodes[0]
+	for _, a := range r.address(t, queriedHost).Addresses {
+		if a.Address == queriedHost.Address || a.Witness == "" {
 			continue
 		}
 		s.id = a.OncePrefix + unique
@@ -44,31 +44,31 @@
 			s.third = n
 		}
 	}
-	s.ownerGate, s.witGate = r.gateOf(s.owner), r.gateOf(s.witness)
+	s.ownerGate, s.witnessGate = r.gateOf(s.owner), r.gateOf(s.witness)
 	return s
 }
 
 // start makes the call at the owner and returns a function that waits for its end.
-func (s *scene) start() func() reply {
+func (s *faultScenario) start() func() reply {
 	done := make(chan reply, 1)
-	go func() { done <- push(s.owner.Address, s.id) }()
+	go func() { done <- callPush(s.owner.Address, s.id) }()
 	return func() reply { return <-done }
 }
 
 // killOwnerAt calls a service at the owner, kills the owner at a stage of the
 // call, and asks the third host what became of it.
-func (s *scene) killOwnerAt(stage router.Stage, service string) reply {
-	reached, _ := s.ownerGate.at(stage)
+func (s *faultScenario) killOwnerAt(stage router.Stage, service string) reply {
+	reached, _ := s.ownerGate.holdAt(stage)
 	done := make(chan reply, 1)
-	go func() { done <- call(s.owner.Address, service, s.id) }()
+	go func() { done <- callService(s.owner.Address, service, s.id) }()
 	<-reached
 	s.owner.Kill()
 	<-done
-	return outcome(s.third.Address, s.id)
+	return queryOutcome(s.third.Address, s.id)
 }
 
-// want is what a case expects.
-type want struct {
+// expectation is what a case expects.
+type expectation struct {
 	outcome problem.Outcome
 	runs    int
 }
@@ -77,23 +77,23 @@
 // word that the caller got.
 var faultCases = []struct {
 	name string
-	want want
-	run  func(*scene) reply
+	want expectation
+	run  func(*faultScenario) reply
 }{
-	{"no fault", want{problem.Answered, 1}, func(s *scene) reply {
-		return push(s.owner.Address, s.id)
+	{"no fault", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
+		return callPush(s.owner.Address, s.id)
 	}},
-	{"owner killed while it waits", want{problem.NotRun, 0}, func(s *scene) reply {
+	{"owner killed while it waits", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		return s.killOwnerAt(router.StageAccepted, "push")
 	}},
-	{"owner killed between record and dispatch", want{problem.Unknown, 0}, func(s *scene) reply {
+	{"owner killed between record and dispatch", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
 		return s.killOwnerAt(router.StageRecorded, "push")
 	}},
-	{"owner killed after dispatch", want{problem.Unknown, 1}, func(s *scene) reply {
+	{"owner killed after dispatch", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		return s.killOwnerAt(router.StageSent, "push")
 	}},
-	{"owner paused before the record, goes on after the caller was told", want{problem.NotRun, 0}, func(s *scene) reply {
-		reached, release := s.ownerGate.at(router.StageAccepted)
+	{"owner paused before the record, goes on after the caller was told", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+		reached, release := s.ownerGate.holdAt(router.StageAccepted)
 		wait := s.start()
 		<-reached
 		told := s.closeAtWitness()
@@ -101,8 +101,8 @@
 		must.Eq(s.t, problem.NotRun, wait().outcome)
 		return told
 	}},
-	{"owner paused after the record, goes on after the caller was told", want{problem.Unknown, 1}, func(s *scene) reply {
-		reached, release := s.ownerGate.at(router.StageRecorded)
+	{"owner paused after the record, goes on after the caller was told", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
+		reached, release := s.ownerGate.holdAt(router.StageRecorded)
 		wait := s.start()
 		<-reached
 		told := s.closeAtWitness()
@@ -110,31 +110,31 @@
 		must.Eq(s.t, problem.Answered, wait().outcome)
 		return told
 	}},
-	{"witness dead", want{problem.NotRun, 0}, func(s *scene) reply {
+	{"witness dead", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		s.witness.Kill()
-		return push(s.owner.Address, s.id)
+		return callPush(s.owner.Address, s.id)
 	}},
-	{"witness slower than the owner waits", want{problem.NotRun, 0}, func(s *scene) reply {
-		_, release := s.witGate.at(router.StageWitnessed)
-		r := push(s.owner.Address, s.id)
+	{"witness slower than the owner waits", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+		_, release := s.witnessGate.holdAt(router.StageWitnessed)
+		r := callPush(s.owner.Address, s.id)
 		release()
 		return r
 	}},
-	{"acknowledgement lost with the witness", want{problem.NotRun, 0}, func(s *scene) reply {
-		reached, _ := s.witGate.at(router.StageWitnessed)
+	{"acknowledgement lost with the witness", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+		reached, _ := s.witnessGate.holdAt(router.StageWitnessed)
 		wait := s.start()
 		<-reached
 		s.witness.Kill()
 		return wait()
 	}},
-	{"caller retries at all hosts at once", want{problem.Answered, 1}, func(s *scene) reply {
+	{"caller retries at all hosts at once", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
 		var wg sync.WaitGroup
 		answers := make([]reply, 9)
 		for i := range answers {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				answers[i] = push(s.Nodes[i%3].Address, s.id)
+				answers[i] = callPush(s.Nodes[i%3].Address, s.id)
 			}()
 		}
 		wg.Wait()
@@ -147,81 +147,81 @@
 		}
 		return last
 	}},
-	{"a call that may be repeated, with an ID of a witness, loses its owner", want{problem.Unknown, 1}, func(s *scene) reply {
+	{"a call that may be repeated, with an ID of a witness, loses its owner", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		// The witness must have a record of it, or it would say "not run".
 		return s.killOwnerAt(router.StageSent, "look")
 	}},
-	{"a call without witness loses its owner", want{problem.Unknown, 1}, func(s *scene) reply {
+	{"a call without witness loses its owner", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		id, err := once.ParseID(s.id)
 		must.NoError(s.t, err)
 		id.Witness, id.WitnessGeneration = 0, 0
 		s.id = id.String()
 		return s.killOwnerAt(router.StageSent, "look")
 	}},
-	{"retry after the answer", want{problem.Answered, 1}, func(s *scene) reply {
-		must.Eq(s.t, problem.Answered, push(s.owner.Address, s.id).outcome)
-		again := push(s.third.Address, s.id)
+	{"retry after the answer", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
+		must.Eq(s.t, problem.Answered, callPush(s.owner.Address, s.id).outcome)
+		again := callPush(s.third.Address, s.id)
 		// The answer itself is not repeated; that it was sent is told.
 		must.Eq(s.t, problem.AlreadyRun, again.problem.Kind)
 		return again
 	}},
-	{"asked before the call arrives", want{problem.NotRun, 0}, func(s *scene) reply {
-		must.Eq(s.t, problem.NotRun, outcome(s.third.Address, s.id).outcome)
-		return push(s.owner.Address, s.id)
+	{"asked before the call arrives", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+		must.Eq(s.t, problem.NotRun, queryOutcome(s.third.Address, s.id).outcome)
+		return callPush(s.owner.Address, s.id)
 	}},
-	{"host restarted at the same address", want{problem.Unknown, 1}, func(s *scene) reply {
-		must.Eq(s.t, problem.Answered, push(s.owner.Address, s.id).outcome)
+	{"host restarted at the same address", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
+		must.Eq(s.t, problem.Answered, callPush(s.owner.Address, s.id).outcome)
 		s.owner.Kill()
 		n, err := s.AddHost(s.owner.Address)
 		must.NoError(s.t, err)
 		eventually(s.t, "restarted host ready", func() bool { return n.Router.Status().Ready })
-		return push(n.Address, s.id)
+		return callPush(n.Address, s.id)
 	}},
-	{"endpoint runs the call and loses the answer", want{problem.Unknown, 1}, func(s *scene) reply {
+	{"endpoint runs the call and loses the answer", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		for _, svc := range s.Services {
 			svc.SetFaults(fake.ServiceFaults{LoseAnswer: 1})
 		}
-		must.Eq(s.t, problem.Unknown, push(s.owner.Address, s.id).outcome)
-		return push(s.third.Address, s.id)
+		must.Eq(s.t, problem.Unknown, callPush(s.owner.Address, s.id).outcome)
+		return callPush(s.third.Address, s.id)
 	}},
-	{"witness leaves and hands its records on, then the owner dies", want{problem.Unknown, 0}, func(s *scene) reply {
-		reached, _ := s.ownerGate.at(router.StageRecorded)
+	{"witness leaves and hands its records on, then the owner dies", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
+		reached, _ := s.ownerGate.holdAt(router.StageRecorded)
 		wait := s.start()
 		<-reached
 		must.NoError(s.t, s.witness.Router.Drain(s.t.Context()))
 		s.witness.Kill()
 		s.owner.Kill()
 		wait()
-		got := outcome(s.third.Address, s.id)
+		got := queryOutcome(s.third.Address, s.id)
 		// The copy knows where the call was to go; without it nobody would.
 		must.NotEq(s.t, "", got.problem.Endpoint)
 		return got
 	}},
-	{"witness leaves with nothing recorded, then the owner dies", want{problem.NotRun, 0}, func(s *scene) reply {
+	{"witness leaves with nothing recorded, then the owner dies", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		other := s.id + "-recorded"
-		must.Eq(s.t, problem.Answered, push(s.owner.Address, other).outcome)
-		reached, _ := s.ownerGate.at(router.StageAccepted)
+		must.Eq(s.t, problem.Answered, callPush(s.owner.Address, other).outcome)
+		reached, _ := s.ownerGate.holdAt(router.StageAccepted)
 		wait := s.start()
 		<-reached
 		must.NoError(s.t, s.witness.Router.Drain(s.t.Context()))
 		s.witness.Kill()
 		s.owner.Kill()
 		wait()
-		return outcome(s.third.Address, s.id)
+		return queryOutcome(s.third.Address, s.id)
 	}},
-	{"owner and witness killed", want{problem.Unknown, 0}, func(s *scene) reply {
-		reached, _ := s.ownerGate.at(router.StageAccepted)
+	{"owner and witness killed", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
+		reached, _ := s.ownerGate.holdAt(router.StageAccepted)
 		wait := s.start()
 		<-reached
 		s.owner.Kill()
 		s.witness.Kill()
 		wait()
-		return outcome(s.third.Address, s.id)
+		return queryOutcome(s.third.Address, s.id)
 	}},
 }
 
 // closeAtWitness asks the witness directly, as a host does that cannot reach the owner.
-func (s *scene) closeAtWitness() reply {
+func (s *faultScenario) closeAtWitness() reply {
 	f, name := s.witness.Router.CloseID(s.id)
 	r := reply{outcome: problem.Unknown, body: name}
 	if f {
@@ -230,11 +230,11 @@
 	return r
 }
 
-func TestFaultTable(t *testing.T) {
+func TestFaults(t *testing.T) {
 	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t, newRig(t, nil), "u1")
+			s := newFaultScenario(t, newTestCluster(t, nil), "u1")
 			got := c.run(s)
 			must.Eq(t, c.want.outcome, got.outcome, must.Sprintf("%+v", got))
 			must.Eq(t, c.want.runs, s.runs(s.id))
@@ -242,10 +242,10 @@
 	}
 }
 
-func TestCallIsPassedWhole(t *testing.T) {
-	r := newRig(t, nil)
-	s := newScene(t, r, "u1")
-	got := push(s.owner.Address, s.id)
+func TestCallIsForwardedUnchanged(t *testing.T) {
+	r := newTestCluster(t, nil)
+	s := newFaultScenario(t, r, "u1")
+	got := callPush(s.owner.Address, s.id)
 	must.Eq(t, http.StatusCreated, got.status)
 	must.Eq(t, "body", got.body)
 }
--- a/router/forward.go
+++ b/router/forward.go
@@ -21,33 +21,33 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// forward passes a request on to the host that owns its ID. If the owner cannot
+// forwardToOwner passes a request on to the host that owns its ID. If the owner cannot
 // be reached, the problem tells what is known of the ID.
-func (r *Router) forward(w http.ResponseWriter, req *http.Request, id once.ID) *problem.Problem {
+func (r *Router) forwardToOwner(w http.ResponseWriter, req *http.Request, id once.ID) *problem.Problem {
 	if req.Header.Get(headerForwarded) != "" {
 		return problem.Lost(problem.OwnerLost, "", "ask "+PathOutcome+"{id}", "the ID's owner is another incarnation of this host")
 	}
-	if h, ok := r.owningHost(id); ok && r.passOn(w, req, h.Address) {
+	if h, ok := r.reachableOwner(id); ok && r.proxy(w, req, h.Address) {
 		return nil
 	}
-	return r.settle(req.Context(), id)
+	return r.outcomeFromWitness(req.Context(), id)
 }
 
-// owningHost finds the host that owns an ID, if it is not known to be gone.
-func (r *Router) owningHost(id once.ID) (h fleet.Host, ok bool) {
-	h, ok = r.knownHost(id.Owner)
+// reachableOwner finds the host that owns an ID, if it is not known to be gone.
+func (r *Router) reachableOwner(id once.ID) (h fleet.Host, ok bool) {
+	h, ok = r.findHost(id.Owner)
 	return h, ok && !h.Suspect
 }
 
-// passOn sends a request to another host and its answer back; false means that
+// proxy sends a request to another host and its answer back; false means that
 // no answer came and nothing was written.
-func (r *Router) passOn(w http.ResponseWriter, req *http.Request, address string) bool {
+func (r *Router) proxy(w http.ResponseWriter, req *http.Request, address string) bool {
 	out := req.Clone(req.Context())
 	out.RequestURI = ""
 	out.URL.Scheme, out.URL.Host = "http", address
 	out.Header.Set(headerForwarded, r.Self.Name)
 	endpoint.DropHopHeaders(out.Header)
-	resp, err := r.engines.Transport.RoundTrip(out)
+	resp, err := r.engineClient.Transport.RoundTrip(out)
 	if err != nil {
 		return false
 	}
@@ -57,14 +57,14 @@
 		w.Header()[k] = v
 	}
 	w.WriteHeader(resp.StatusCode)
-	if copyFlush(w, resp.Body) != nil {
+	if copyAndFlush(w, resp.Body) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	return true
 }
 
-// copyFlush copies a body and flushes each part as it comes.
-func copyFlush(w http.ResponseWriter, body io.Reader) error {
+// copyAndFlush copies a body and flushes each part as it comes.
+func copyAndFlush(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 32<<10)
 	for {
@@ -84,26 +84,26 @@
 	}
 }
 
-// forwardStream passes a resumption on to the owner; false means that it cannot be reached.
-func (r *Router) forwardStream(w http.ResponseWriter, req *http.Request, id once.ID) bool {
-	h, ok := r.owningHost(id)
+// forwardResume passes a resumption on to the owner; false means that it cannot be reached.
+func (r *Router) forwardResume(w http.ResponseWriter, req *http.Request, id once.ID) bool {
+	h, ok := r.reachableOwner(id)
 	if !ok {
 		return false
 	}
 	// A quick look spares the caller a long wait for an owner that is cut off.
-	c, err := net.DialTimeout("tcp", h.Address, dialLook)
+	c, err := net.DialTimeout("tcp", h.Address, ownerDialTimeout)
 	if err != nil {
 		return false
 	}
 	_ = c.Close()
-	return r.passOn(w, req, h.Address)
+	return r.proxy(w, req, h.Address)
 }
 
-// dialLook bounds the look whether an owner can be reached.
-const dialLook = 300 * time.Millisecond
+// ownerDialTimeout bounds the look whether an owner can be reached.
+const ownerDialTimeout = 300 * time.Millisecond
 
-// askTimeout bounds a question to an owner or a witness.
-const askTimeout = time.Second
+// queryTimeout bounds a question to an owner or a witness.
+const queryTimeout = time.Second
 
 // serveOutcome tells what became of a request.
 func (r *Router) serveOutcome(w http.ResponseWriter, req *http.Request) {
@@ -112,32 +112,32 @@
 		problem.Write(w, problem.New(problem.BadID, "use the ID that the request was sent with", "%v", err))
 		return
 	}
-	p := r.outcome(req.Context(), id)
+	p := r.findOutcome(req.Context(), id)
 	p.RequestID = id.String()
 	w.Header().Set(problem.OutcomeHeader, string(p.Outcome))
 	writeJSON(w, p)
 }
 
-// outcome asks the owner and, if it cannot be reached, the witness.
-func (r *Router) outcome(ctx context.Context, id once.ID) *problem.Problem {
+// findOutcome asks the owner and, if it cannot be reached, the witness.
+func (r *Router) findOutcome(ctx context.Context, id once.ID) *problem.Problem {
 	if id.Owner == r.Self.Incarnation {
-		return r.outcomeHere(id)
+		return r.localOutcome(id)
 	}
-	if h, ok := r.owningHost(id); ok {
-		qctx, cancel := context.WithTimeout(ctx, askTimeout)
+	if h, ok := r.reachableOwner(id); ok {
+		qctx, cancel := context.WithTimeout(ctx, queryTimeout)
 		defer cancel()
 		if p, err := r.peers.query(qctx, h.Address, id); err == nil && p.Kind != "" {
 			return p
 		}
 	}
-	return r.settle(ctx, id)
+	return r.outcomeFromWitness(ctx, id)
 }
 
-// outcomeHere tells what this owner knows of an ID.
-func (r *Router) outcomeHere(id once.ID) *problem.Problem {
+// localOutcome tells what this owner knows of an ID.
+func (r *Router) localOutcome(id once.ID) *problem.Problem {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
-	return outcomeOf(r.owner.Query(id))
+	return recordProblem(r.owner.Query(id))
 }
 
 // serveQuery tells another host what this owner knows of an ID.
@@ -147,15 +147,15 @@
 		http.Error(w, "not the owner", http.StatusNotFound)
 		return
 	}
-	writeJSON(w, r.outcomeHere(id))
+	writeJSON(w, r.localOutcome(id))
 }
 
-// settle finds what became of an ID whose owner cannot be reached, from its witness.
-func (r *Router) settle(ctx context.Context, id once.ID) *problem.Problem {
+// outcomeFromWitness finds what became of an ID whose owner cannot be reached, from its witness.
+func (r *Router) outcomeFromWitness(ctx context.Context, id once.ID) *problem.Problem {
 	if id.Witness == 0 {
 		return problem.Lost(problem.OwnerLost, "", "resubmit under a new ID if running twice does no harm", "the ID's owner cannot be reached and it names no witness")
 	}
-	f, name, err := r.askFinding(ctx, id)
+	f, endpointName, err := r.closeAtWitness(ctx, id)
 	switch {
 	case err != nil:
 		p := problem.Lost(problem.WitnessLost, "", "ask again after the time given", "owner and witness cannot be reached: %v", err)
@@ -163,34 +163,34 @@
 	case f == once.FindingNotRun:
 		return problem.New(problem.ClosedID, "resubmit under a new ID", "the owner cannot be reached and the witness closed the ID")
 	case f == once.FindingRecorded:
-		return problem.Lost(problem.OwnerLost, name, "read its effect at the endpoint", "a dispatch was recorded and the owner cannot be reached")
+		return problem.Lost(problem.OwnerLost, endpointName, "read its effect at the endpoint", "a dispatch was recorded and the owner cannot be reached")
 	case f == once.FindingExpired:
 		return problem.Lost(problem.ExpiredID, "", "read its effect at the endpoints", "the ID is too old to be known")
 	}
 	return problem.Lost(problem.WitnessLost, "", "read its effect at the endpoints", "the ID's witness is gone")
 }
 
-// askFinding asks whoever answers for the witness of an ID, this host first.
-func (r *Router) askFinding(ctx context.Context, id once.ID) (f once.Finding, name string, err error) {
-	if f, name = r.closeHere(id); f != once.FindingNotResponsible {
-		return f, name, nil
+// closeAtWitness asks whoever answers for the witness of an ID, this host first.
+func (r *Router) closeAtWitness(ctx context.Context, id once.ID) (f once.Finding, endpointName string, err error) {
+	if f, endpointName = r.closeLocal(id); f != once.FindingNotResponsible {
+		return f, endpointName, nil
 	}
 	for _, h := range r.witnessHosts(id.Witness) {
 		if h.Incarnation == r.Self.Incarnation {
 			continue
 		}
-		actx, cancel := context.WithTimeout(ctx, askTimeout)
-		f, name, err = r.peers.closeID(actx, h.Address, id)
+		actx, cancel := context.WithTimeout(ctx, queryTimeout)
+		f, endpointName, err = r.peers.closeID(actx, h.Address, id)
 		cancel()
 		if err == nil && f != once.FindingNotResponsible {
-			return f, name, nil
+			return f, endpointName, nil
 		}
 	}
 	return once.FindingNotResponsible, "", err
 }
 
-// endForeign ends a stream of an owner that is gone.
-func (r *Router) endForeign(w io.Writer, err error) {
+// endOrphanStream ends a stream of an owner that is gone.
+func (r *Router) endOrphanStream(w io.Writer, err error) {
 	if errors.Is(err, io.EOF) {
 		_, _ = io.WriteString(w, "data: "+endpoint.DoneData+"\n\n")
 		return
--- a/router/fuzz_test.go
+++ b/router/fuzz_test.go
@@ -22,7 +22,7 @@
 	snap := settings.NewSnapshot(1, settings.Declaration{{Node: "models/m"}})
 	f.Fuzz(func(t *testing.T, body string) {
 		r := &Router{}
-		j := &job{snap: snap, eff: &settings.Effective{MaxTokens: 10}, body: []byte(body)}
+		j := &job{snapshot: snap, settings: &settings.Effective{MaxTokens: 10}, body: []byte(body)}
 		got, p := r.parseCompletion(j, httptest.NewRequest("POST", "/", nil))
 		if p != nil {
 			must.NotEq(t, "", p.Remedy)
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -56,30 +56,30 @@
 
 // gate lets a test hold a host at a stage of one request.
 type gate struct {
-	mu    sync.Mutex
-	hold  map[router.Stage]chan struct{}
-	hit   map[router.Stage]chan struct{}
-	onHit map[router.Stage]func()
+	mu        sync.Mutex
+	hold      map[router.Stage]chan struct{}
+	reached   map[router.Stage]chan struct{}
+	onReached map[router.Stage]func()
 }
 
 func newGate() *gate {
-	return &gate{hold: map[router.Stage]chan struct{}{}, hit: map[router.Stage]chan struct{}{}, onHit: map[router.Stage]func(){}}
+	return &gate{hold: map[router.Stage]chan struct{}{}, reached: map[router.Stage]chan struct{}{}, onReached: map[router.Stage]func(){}}
 }
 
-// at makes the next request stop at a stage until release is called; reached
+// holdAt makes the next request stop at a stage until release is called; reached
 // is closed when it is there.
-func (g *gate) at(s router.Stage) (reached <-chan struct{}, release func()) {
+func (g *gate) holdAt(s router.Stage) (reached <-chan struct{}, release func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	hold, hit := make(chan struct{}), make(chan struct{})
-	g.hold[s], g.hit[s] = hold, hit
+	g.hold[s], g.reached[s] = hold, hit
 	var once sync.Once
 	return hit, func() { once.Do(func() { close(hold) }) }
 }
 
 func (g *gate) trace(s router.Stage, _ string) {
 	g.mu.Lock()
-	hold, hit := g.hold[s], g.hit[s]
+	hold, hit := g.hold[s], g.reached[s]
 	delete(g.hold, s)
 	g.mu.Unlock()
 	if hold != nil {
@@ -88,15 +88,15 @@
 	}
 }
 
-// rig is a cluster with a gate at each host.
-type rig struct {
+// testCluster is a cluster with a gate at each host.
+type testCluster struct {
 	*dev.Cluster
 	gates map[string]*gate // by host name
 }
 
-// newRig starts a cluster of three hosts in three zones.
-func newRig(t testing.TB, tune func(*router.Router)) *rig {
-	r := &rig{gates: make(map[string]*gate)}
+// newTestCluster starts a cluster of three hosts in three zones.
+func newTestCluster(t testing.TB, tune func(*router.Router)) *testCluster {
+	r := &testCluster{gates: make(map[string]*gate)}
 	r.Cluster = &dev.Cluster{
 		Declaration: parse(t), Hosts: 3, StepTime: time.Millisecond,
 		Tune: func(x *router.Router) {
@@ -121,7 +121,7 @@
 }
 
 // address asks a node for the addresses of workspace w.
-func (r *rig) address(t testing.TB, n *dev.Node) fleet.Answer {
+func (r *testCluster) address(t testing.TB, n *dev.Node) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -131,7 +131,7 @@
 }
 
 // node returns the running host at an address.
-func (r *rig) node(address string) *dev.Node {
+func (r *testCluster) node(address string) *dev.Node {
 	for i := len(r.Nodes) - 1; i >= 0; i-- {
 		if r.Nodes[i].Address == address {
 			return r.Nodes[i]
@@ -141,7 +141,7 @@
 }
 
 // gateOf returns the gate of a node.
-func (r *rig) gateOf(n *dev.Node) *gate { return r.gates[n.Router.Self.Name] }
+func (r *testCluster) gateOf(n *dev.Node) *gate { return r.gates[n.Router.Self.Name] }
 
 // reply is an answer to a plain call.
 type reply struct {
@@ -152,27 +152,27 @@
 	err     error
 }
 
-// push makes a call that may not be repeated under an ID at a host. The call's
+// callPush makes a call that may not be repeated under an ID at a host. The call's
 // name for counting its runs is the ID.
-func push(host, id string) reply { return call(host, "push", id) }
+func callPush(host, id string) reply { return callService(host, "push", id) }
 
-// call makes a call to a service.
-func call(host, service, id string) reply {
+// callService makes a call to a service.
+func callService(host, service, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathCall+service+"/x?y=1", strings.NewReader("body"))
 	req.Header.Set(router.HeaderWorkspace, "w")
 	req.Header.Set(router.HeaderID, id)
 	req.Header.Set(fake.HeaderCall, id)
-	return send(req)
+	return sendRequest(req)
 }
 
-// outcome asks a host what became of an ID.
-func outcome(host, id string) reply {
+// queryOutcome asks a host what became of an ID.
+func queryOutcome(host, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathOutcome+url.PathEscape(id), nil)
-	return send(req)
+	return sendRequest(req)
 }
 
-// send does a request on a connection of its own.
-func send(req *http.Request) reply {
+// sendRequest does a request on a connection of its own.
+func sendRequest(req *http.Request) reply {
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
@@ -189,7 +189,7 @@
 }
 
 // runs returns how often a call was run at any service.
-func (r *rig) runs(id string) int {
+func (r *testCluster) runs(id string) int {
 	n := 0
 	for _, s := range r.Services {
 		n += s.Runs(id)
--- a/router/resume.go
+++ b/router/resume.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if id.Owner != r.Self.Incarnation && req.Header.Get(headerForwarded) == "" {
-		if r.forwardStream(w, req, id) {
+		if r.forwardResume(w, req, id) {
 			return
 		}
 	}
@@ -37,16 +37,16 @@
 }
 
 // resume continues a stream from this host.
-func (r *Router) resume(w http.ResponseWriter, req *http.Request, id once.ID, name string, from int) {
-	engine := r.anyEngine(name)
+func (r *Router) resume(w http.ResponseWriter, req *http.Request, id once.ID, endpointName string, from int) {
+	engine := r.engineByName(endpointName)
 	if engine == nil {
-		problem.Write(w, problem.Lost(problem.NoEndpoint, name, "ask "+PathOutcome+"{id}", "endpoint %q is not declared", name))
+		problem.Write(w, problem.Lost(problem.NoEndpoint, endpointName, "ask "+PathOutcome+"{id}", "endpoint %q is not declared", endpointName))
 		return
 	}
-	a := r.takeBack(id)
+	a := r.reclaimStream(id)
 	s, err := engine.Resume(req.Context(), id.String(), from)
 	if err != nil {
-		problem.Write(w, problem.Lost(problem.EndpointLost, name, "resubmit under a new ID if running twice does no harm", "%v", err))
+		problem.Write(w, problem.Lost(problem.EndpointLost, endpointName, "resubmit under a new ID if running twice does no harm", "%v", err))
 		return
 	}
 	checked := &endpoint.Checked{Stream: s, ID: id.String(), Want: from}
@@ -54,26 +54,26 @@
 		r.streamAnswer(w, req, a, checked)
 		return
 	}
-	r.streamForeign(w, name, checked)
+	r.streamOrphan(w, endpointName, checked)
 }
 
-// takeBack stops the cancelling of a stream of this owner and returns it.
-func (r *Router) takeBack(id once.ID) *activity {
+// reclaimStream stops the cancelling of a stream of this owner and returns it.
+func (r *Router) reclaimStream(id once.ID) *engineRequest {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
 	a := r.active[id.String()]
-	if a == nil || a.cancel == nil || !a.cancel.Stop() {
+	if a == nil || a.cancelTimer == nil || !a.cancelTimer.Stop() {
 		return nil
 	}
-	a.cancel = nil
+	a.cancelTimer = nil
 	return a
 }
 
-// streamForeign passes on the stream of a request whose owner is gone.
-func (r *Router) streamForeign(w http.ResponseWriter, name string, s *endpoint.Checked) {
+// streamOrphan passes on the stream of a request whose owner is gone.
+func (r *Router) streamOrphan(w http.ResponseWriter, endpointName string, s *endpoint.Checked) {
 	defer func() { _ = s.Close() }()
 	w.Header().Set(HeaderID, s.ID)
-	w.Header().Set(HeaderEndpoint, name)
+	w.Header().Set(HeaderEndpoint, endpointName)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
@@ -81,7 +81,7 @@
 	for {
 		p, err := s.Next()
 		if err != nil {
-			r.endForeign(w, err)
+			r.endOrphanStream(w, err)
 			_ = rc.Flush()
 			return
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -44,8 +44,8 @@
 	// DefaultMaxWatched is the number of endpoints of a model and region above
 	// which a host watches only a part of them.
 	DefaultMaxWatched = 24
-	// tickEvery is the time between looks at what time alone changes.
-	tickEvery = 50 * time.Millisecond
+	// tickInterval is the time between looks at what time alone changes.
+	tickInterval = 50 * time.Millisecond
 )
 
 // Router is one host. Set the exported fields, then call Run.
@@ -80,31 +80,31 @@
 	// Clock is the host's clock; nil means one that counts suspensions.
 	Clock *clock.Clock
 
-	once     sync.Once
-	agent    *fleet.Agent
-	follower *revision.Follower
-	metrics  metrics.Set
-	peers    *peerClient
-	engines  *http.Client
-	plain    *http.Transport
-	memory   atomic.Int64
-	running  atomic.Int64 // requests accepted and not yet ended
-	live     atomic.Pointer[[]fleet.Host]
-	liveAt   atomic.Uint64
+	once               sync.Once
+	agent              *fleet.Agent
+	follower           *revision.Follower
+	metrics            metrics.Set
+	peers              *peerClient
+	engineClient       *http.Client
+	serviceTransport   *http.Transport
+	bodyMemory         atomic.Int64
+	openRequests       atomic.Int64 // requests accepted and not yet ended
+	cachedHosts        atomic.Pointer[[]fleet.Host]
+	cachedHostsVersion atomic.Uint64
 
-	mu        sync.Mutex
-	sched     sched.Scheduler
-	rnd       *rand.Rand
-	endpoints map[string]*target
-	leaving   map[string]bool
+	mu               sync.Mutex
+	sched            sched.Scheduler
+	rnd              *rand.Rand
+	targets          map[string]*target
+	leavingEndpoints map[string]bool
 
-	onceMu    sync.Mutex
-	owner     *once.Owner
-	witness   *once.Witness
-	adopted   map[once.Incarnation]*once.Witness
-	recorders map[once.Incarnation]*recorder
-	active    map[string]*activity
-	draining  atomic.Bool
+	onceMu        sync.Mutex
+	owner         *once.Owner
+	witness       *once.Witness
+	witnessCopies map[once.Incarnation]*once.Witness
+	recorders     map[once.Incarnation]*recorder
+	active        map[string]*engineRequest
+	draining      atomic.Bool
 }
 
 // target is an endpoint and the means to reach it.
@@ -118,15 +118,15 @@
 // init makes what the handlers and loops share.
 func (r *Router) init() {
 	r.once.Do(func() {
-		def(&r.MaxAge, fleet.DefaultMaxAge)
-		def(&r.HeartbeatInterval, fleet.DefaultInterval)
-		def(&r.MinReportInterval, DefaultMinReportInterval)
-		def(&r.MaxReportRate, DefaultMaxReportRate)
-		def(&r.GenerationInterval, DefaultGenerationInterval)
-		def(&r.WitnessTimeout, DefaultWitnessTimeout)
-		def(&r.CancelGrace, DefaultCancelGrace)
-		def(&r.MaxBodyMemory, DefaultMaxBodyMemory)
-		def(&r.MaxWatched, DefaultMaxWatched)
+		setDefault(&r.MaxAge, fleet.DefaultMaxAge)
+		setDefault(&r.HeartbeatInterval, fleet.DefaultInterval)
+		setDefault(&r.MinReportInterval, DefaultMinReportInterval)
+		setDefault(&r.MaxReportRate, DefaultMaxReportRate)
+		setDefault(&r.GenerationInterval, DefaultGenerationInterval)
+		setDefault(&r.WitnessTimeout, DefaultWitnessTimeout)
+		setDefault(&r.CancelGrace, DefaultCancelGrace)
+		setDefault(&r.MaxBodyMemory, DefaultMaxBodyMemory)
+		setDefault(&r.MaxWatched, DefaultMaxWatched)
 		if r.Clock == nil {
 			r.Clock = clock.New()
 		}
@@ -134,30 +134,30 @@
 		r.rnd = rand.New(rand.NewPCG(seed, seed>>1))
 		r.owner = once.NewOwner(r.Self.Incarnation, 0, 0)
 		r.witness = once.NewWitness(r.Self.Incarnation, 0, 0)
-		r.adopted = make(map[once.Incarnation]*once.Witness)
+		r.witnessCopies = make(map[once.Incarnation]*once.Witness)
 		r.recorders = make(map[once.Incarnation]*recorder)
-		r.active = make(map[string]*activity)
-		r.endpoints = make(map[string]*target)
-		r.leaving = make(map[string]bool)
+		r.active = make(map[string]*engineRequest)
+		r.targets = make(map[string]*target)
+		r.leavingEndpoints = make(map[string]bool)
 		r.Self.Generation = r.owner.Generation()
 		r.peers = newPeerClient()
-		r.engines = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
-		r.plain = endpoint.NewServiceTransport()
+		r.engineClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
+		r.serviceTransport = endpoint.NewServiceTransport()
 		r.follower = &revision.Follower{
-			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.fleetSize, OnSnapshot: r.taken, Log: r.Log,
+			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.liveHostCount, OnSnapshot: r.applySettings, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
 			Self: r.Self, Peers: r.peers, List: r.List, Clock: r.Clock, Interval: r.HeartbeatInterval, Seed: seed, Log: r.Log,
-			Revision: r.follower.Revision, Behind: r.behind, Floors: r.floors, SetFloors: r.setFloors,
-			Listed: r.listed,
+			Revision: r.follower.Revision, Behind: r.pullSettings, Floors: r.sheddingFloors, SetFloors: r.applyPeerFloors,
+			Listed: r.applyHostList,
 		}
-		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharing}
+		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharingHosts}
 		r.sched.Init()
 	})
 }
 
-// def sets a zero value to its default.
-func def[T comparable](p *T, v T) {
+// setDefault sets a zero value to its default.
+func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
 		*p = v
@@ -171,7 +171,7 @@
 func (r *Router) Run(ctx context.Context) {
 	r.init()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){r.agent.Run, r.follower.Run, r.tick, r.advance} {
+	for _, loop := range []func(context.Context){r.agent.Run, r.follower.Run, r.tick, r.advanceGenerations} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -179,13 +179,13 @@
 		}()
 	}
 	wg.Wait()
-	r.engines.CloseIdleConnections()
+	r.engineClient.CloseIdleConnections()
 	r.peers.http.CloseIdleConnections()
 }
 
 // tick looks at what time alone changes.
 func (r *Router) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -193,17 +193,17 @@
 			return
 		case <-t.C:
 		}
-		peers := len(r.hosts())
+		peers := len(r.liveHosts())
 		r.mu.Lock()
 		r.sched.SharingHosts = max(1, peers)
 		r.sched.Tick(r.now())
-		r.pump()
+		r.deliverDecisions()
 		r.mu.Unlock()
 	}
 }
 
-// advance begins a new generation of IDs now and then.
-func (r *Router) advance(ctx context.Context) {
+// advanceGenerations begins a new generation of IDs now and then.
+func (r *Router) advanceGenerations(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -213,71 +213,71 @@
 		r.onceMu.Lock()
 		r.owner.Advance()
 		r.witness.Advance()
-		for id, w := range r.adopted {
+		for id, w := range r.witnessCopies {
 			w.Advance()
 			if w.Size() == 0 {
-				delete(r.adopted, id)
+				delete(r.witnessCopies, id)
 			}
 		}
 		g := r.owner.Generation()
-		answers := r.answers()
+		answers := r.copiedWitnesses()
 		r.onceMu.Unlock()
 		r.agent.Update(func(h *fleet.Host) { h.Generation, h.Answers = g, answers })
 	}
 }
 
-// answers lists the witnesses taken over; onceMu must be held.
-func (r *Router) answers() []once.Incarnation {
-	out := make([]once.Incarnation, 0, len(r.adopted))
-	for id := range r.adopted {
+// copiedWitnesses lists the witnesses taken over; onceMu must be held.
+func (r *Router) copiedWitnesses() []once.Incarnation {
+	out := make([]once.Incarnation, 0, len(r.witnessCopies))
+	for id := range r.witnessCopies {
 		out = append(out, id)
 	}
 	return out
 }
 
-// hosts returns the hosts that may be named, from a copy that is made anew when
+// liveHosts returns the hosts that may be named, from a copy that is made anew when
 // the table changed.
-func (r *Router) hosts() []fleet.Host {
+func (r *Router) liveHosts() []fleet.Host {
 	var out []fleet.Host
 	r.agent.View(func(t *fleet.Table) {
-		if p := r.live.Load(); p != nil && r.liveAt.Load() == t.Version() {
+		if p := r.cachedHosts.Load(); p != nil && r.cachedHostsVersion.Load() == t.Version() {
 			out = *p
 			return
 		}
 		out = t.Live()
-		r.live.Store(&out)
-		r.liveAt.Store(t.Version())
+		r.cachedHosts.Store(&out)
+		r.cachedHostsVersion.Store(t.Version())
 	})
 	return out
 }
 
-// fleetSize is the number of live hosts.
-func (r *Router) fleetSize() int { return max(1, len(r.hosts())) }
+// liveHostCount is the number of live hosts.
+func (r *Router) liveHostCount() int { return max(1, len(r.liveHosts())) }
 
-// rolesPerZone is the number of hosts of a zone that watch the settings' head,
+// hostsPerRole is the number of hosts of a zone that watch the settings' head,
 // and of those that try to hold its placement.
-const rolesPerZone = 2
+const hostsPerRole = 2
 
 // hasRole reports whether this host is one of those that do a zone's work of a
 // kind: the first by rendezvous hashing among the zone's hosts, or among all if
 // it has none.
 func (r *Router) hasRole(role, zone string) bool {
-	all := r.hosts()
-	var in []fleet.Host
+	all := r.liveHosts()
+	var inZone []fleet.Host
 	for _, h := range all {
 		if h.Zone == zone {
-			in = append(in, h)
+			inZone = append(inZone, h)
 		}
 	}
-	if len(in) == 0 {
-		in = all
+	if len(inZone) == 0 {
+		inZone = all
 	}
-	for _, h := range fleet.Set(role+zone, r.Self.Region, in, rolesPerZone) {
+	for _, h := range fleet.Set(role+zone, r.Self.Region, inZone, hostsPerRole) {
 		if h.Incarnation == r.Self.Incarnation {
 			return true
 		}
 	}
-	return len(in) == 0
+	return len(inZone) == 0
 }
 
 // isRelay reports whether this host watches the settings' head for its zone.
@@ -292,17 +292,17 @@
 	return r.follower.Snapshot()
 }
 
-// sharing is the number of hosts that serve a workspace.
-func (r *Router) sharing(workspace string) int {
+// sharingHosts is the number of hosts that serve a workspace.
+func (r *Router) sharingHosts(workspace string) int {
 	s := r.follower.Snapshot()
 	if s == nil {
 		return 1
 	}
-	return min(max(1, s.Hosts(workspace)), r.fleetSize())
+	return min(max(1, s.Hosts(workspace)), r.liveHostCount())
 }
 
-// behind pulls settings from a peer that has a higher revision.
-func (r *Router) behind(rev uint64, address string) {
+// pullSettings pulls settings from a peer that has a higher revision.
+func (r *Router) pullSettings(rev uint64, address string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
@@ -315,14 +315,14 @@
 // pullTimeout bounds the reading of settings from a peer.
 const pullTimeout = 5 * time.Second
 
-// taken puts new settings to use.
-func (r *Router) taken(s *settings.Snapshot) {
-	r.setEndpoints(s.Fleet.Endpoints)
+// applySettings puts new settings to use.
+func (r *Router) applySettings(s *settings.Snapshot) {
+	r.applyEndpoints(s.Fleet.Endpoints)
 	r.agent.Kick()
 }
 
-// floors gives the shedding floors for heartbeats.
-func (r *Router) floors() []fleet.Floor {
+// sheddingFloors gives the shedding floors for heartbeats.
+func (r *Router) sheddingFloors() []fleet.Floor {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []fleet.Floor
@@ -332,8 +332,8 @@
 	return out
 }
 
-// setFloors takes the floors of a peer.
-func (r *Router) setFloors(fs []fleet.Floor) {
+// applyPeerFloors takes the floors of a peer.
+func (r *Router) applyPeerFloors(fs []fleet.Floor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range fs {
--- a/router/serve.go
+++ b/router/serve.go
@@ -48,33 +48,33 @@
 
 // serveAddress answers which hosts a workspace's callers should use.
 func (r *Router) serveAddress(w http.ResponseWriter, req *http.Request) {
-	ws := req.URL.Query().Get("workspace")
+	workspace := req.URL.Query().Get("workspace")
 	s := r.follower.Snapshot()
 	if s == nil {
 		problem.Write(w, problem.New(problem.NotReady, "ask another host", "no settings yet"))
 		return
 	}
-	if !s.HasWorkspace(ws) {
-		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", ws))
+	if !s.HasWorkspace(workspace) {
+		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", workspace))
 		return
 	}
-	writeJSON(w, r.address(ws, s.Hosts(ws), s.Revision))
+	writeJSON(w, r.addressAnswer(workspace, s.Hosts(workspace), s.Revision))
 }
 
-// address makes the answer for a workspace.
-func (r *Router) address(ws string, k int, rev uint64) fleet.Answer {
-	live := r.hosts()
-	set := fleet.Set(ws, r.Self.Region, live, k)
+// addressAnswer makes the answer for a workspace.
+func (r *Router) addressAnswer(workspace string, k int, rev uint64) fleet.Answer {
+	live := r.liveHosts()
+	set := fleet.Set(workspace, r.Self.Region, live, k)
 	var self fleet.Host
 	r.agent.View(func(t *fleet.Table) { self = t.Self })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fleet.Order(set, r.Self.Zone, r.rnd)
-	ans := fleet.Answer{Workspace: ws, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
+	ans := fleet.Answer{Workspace: workspace, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
 	for _, h := range set {
 		a := fleet.Address{Host: h.Name, Zone: h.Zone, Address: h.Address, Prefix: fleet.Prefix(h, fleet.Host{}).String()}
-		if wit, ok := fleet.PickWitness(self, h, live, r.rnd); ok {
-			a.OncePrefix, a.Witness = fleet.Prefix(h, wit).String(), wit.Address
+		if witness, ok := fleet.PickWitness(self, h, live, r.rnd); ok {
+			a.OncePrefix, a.Witness = fleet.Prefix(h, witness).String(), witness.Address
 		}
 		ans.Addresses = append(ans.Addresses, a)
 	}
--- a/router/status.go
+++ b/router/status.go
@@ -45,8 +45,8 @@
 	HeapBytes uint64 `json:"heap_bytes"`
 }
 
-// whyNotReady says what the host lacks to take requests, or nothing.
-func (r *Router) whyNotReady() string {
+// notReadyReason says what the host lacks to take requests, or nothing.
+func (r *Router) notReadyReason() string {
 	switch {
 	case r.draining.Load():
 		return "draining"
@@ -61,7 +61,7 @@
 	var st Status
 	r.agent.View(func(t *fleet.Table) { st.Host, st.Hosts = t.Self, t.Hosts() })
 	st.Revision, st.SeenRevision = r.follower.Revision(), r.follower.HighestSeen()
-	st.NotReadyReason = r.whyNotReady()
+	st.NotReadyReason = r.notReadyReason()
 	st.Ready = st.NotReadyReason == ""
 	st.Relay = r.isRelay()
 	r.mu.Lock()
@@ -71,7 +71,7 @@
 	st.Active = len(r.active)
 	st.OwnedIDs, st.WitnessedIDs = r.owner.Size(), r.witness.Size()
 	r.onceMu.Unlock()
-	st.BodyBytes, st.PeerBytes = r.memory.Load(), r.peers.bytes.Load()
+	st.BodyBytes, st.PeerBytes = r.bodyMemory.Load(), r.peers.bytes.Load()
 	st.Heartbeats = r.agent.Traffic()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -84,8 +84,8 @@
 
 // serveReady tells whether the host takes requests.
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if why := r.whyNotReady(); why != "" {
-		problem.Write(w, problem.New(problem.NotReady, "wait or use another host", "%s", why))
+	if reason := r.notReadyReason(); reason != "" {
+		problem.Write(w, problem.New(problem.NotReady, "wait or use another host", "%s", reason))
 	}
 }
 
--- a/router/targets.go
+++ b/router/targets.go
@@ -18,33 +18,33 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// setEndpoints takes the declared endpoints and watches this host's part of them.
-func (r *Router) setEndpoints(list []settings.Endpoint) {
+// applyEndpoints takes the declared endpoints and watches this host's part of them.
+func (r *Router) applyEndpoints(list []settings.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	watched := watchedPart(list, r.Self.Name, r.MaxWatched)
+	watched := selectWatched(list, r.Self.Name, r.MaxWatched)
 	specs := make([]sched.Endpoint, 0, len(watched))
-	keep := make(map[string]bool, len(watched))
+	isWatched := make(map[string]bool, len(watched))
 	for _, e := range watched {
-		keep[e.Name] = true
+		isWatched[e.Name] = true
 		specs = append(specs, sched.Endpoint{
-			Name: e.Name, Engine: e.Engine, Slots: e.Slots, Leaving: e.Leaving || r.leaving[e.Name],
+			Name: e.Name, Engine: e.Engine, Slots: e.Slots, Leaving: e.Leaving || r.leavingEndpoints[e.Name],
 		})
 		r.setTarget(e)
 	}
-	for name, t := range r.endpoints {
-		if !keep[name] {
+	for name, t := range r.targets {
+		if !isWatched[name] {
 			t.stop()
-			delete(r.endpoints, name)
+			delete(r.targets, name)
 		}
 	}
 	r.sched.SetEndpoints(specs)
-	r.pump()
+	r.deliverDecisions()
 }
 
-// watchedPart returns all plain services and, of the engines, at most n, chosen
+// selectWatched returns all plain services and, of the engines, at most n, chosen
 // by rendezvous hashing of host and endpoint.
-func watchedPart(list []settings.Endpoint, host string, n int) []settings.Endpoint {
+func selectWatched(list []settings.Endpoint, host string, n int) []settings.Endpoint {
 	var engines, out []settings.Endpoint
 	for _, e := range list {
 		if e.Engine {
@@ -63,7 +63,7 @@
 
 // setTarget makes or replaces the means to reach an endpoint; mu must be held.
 func (r *Router) setTarget(e settings.Endpoint) {
-	old := r.endpoints[e.Name]
+	old := r.targets[e.Name]
 	if old != nil && old.Address == e.Address && old.Engine == e.Engine {
 		old.Endpoint = e
 		return
@@ -75,46 +75,46 @@
 	t := &target{Endpoint: e, stop: cancel}
 	base := "http://" + e.Address
 	if e.Engine {
-		t.engine = &endpoint.Client{Base: base, HTTP: r.engines}
+		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	} else {
-		t.service = &endpoint.Service{Base: base, Transport: r.plain}
+		t.service = &endpoint.Service{Base: base, Transport: r.serviceTransport}
 		// Reports of services may reuse connections; calls may not.
-		t.engine = &endpoint.Client{Base: base, HTTP: r.engines}
+		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	}
-	r.endpoints[e.Name] = t
-	go r.watch(ctx, t.Name, t.engine)
+	r.targets[e.Name] = t
+	go r.pollReports(ctx, t.Name, t.engine)
 }
 
-// watch reads an endpoint's reports until ctx ends.
-func (r *Router) watch(ctx context.Context, name string, e endpoint.Engine) {
+// pollReports reads an endpoint's reports until ctx ends.
+func (r *Router) pollReports(ctx context.Context, name string, e endpoint.Engine) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		every := r.reportPause()
-		rctx, cancel := context.WithTimeout(ctx, 2*every)
+		interval := r.reportInterval()
+		rctx, cancel := context.WithTimeout(ctx, 2*interval)
 		rep, err := e.Report(rctx, after)
 		cancel()
 		if err == nil {
 			after = rep.NextEvent
-			r.takeReport(name, rep)
+			r.applyReport(name, rep)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// reportPause is the time between reads of one endpoint's report, so that all
+// reportInterval is the time between reads of one endpoint's report, so that all
 // together keep to the rate.
-func (r *Router) reportPause() time.Duration {
+func (r *Router) reportInterval() time.Duration {
 	r.mu.Lock()
-	n := len(r.endpoints)
+	n := len(r.targets)
 	r.mu.Unlock()
 	return max(r.MinReportInterval, time.Duration(float64(n)/r.MaxReportRate*float64(time.Second)))
 }
 
-// takeReport hands a report to the scheduler.
-func (r *Router) takeReport(name string, rep endpoint.Report) {
+// applyReport hands a report to the scheduler.
+func (r *Router) applyReport(name string, rep endpoint.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -131,11 +131,11 @@
 	for _, ev := range rep.Events {
 		r.sched.ApplyCacheEvent(name, ev.Block, ev.Gone)
 	}
-	r.pump()
+	r.deliverDecisions()
 }
 
-// listed takes a reading of the platform's list: endpoints that leave get no new work.
-func (r *Router) listed(entries []keyval.ListEntry) {
+// applyHostList takes a reading of the platform's list: endpoints that leave get no new work.
+func (r *Router) applyHostList(entries []keyval.ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	leaving := make(map[string]bool)
@@ -144,33 +144,33 @@
 			leaving[e.Name] = true
 		}
 	}
-	for name, t := range r.endpoints {
-		if leaving[name] != r.leaving[name] {
+	for name, t := range r.targets {
+		if leaving[name] != r.leavingEndpoints[name] {
 			r.Log.Info("endpoint leaving", "endpoint", name, "leaving", leaving[name])
 		}
 		r.sched.SetLeaving(name, t.Leaving || leaving[name])
 	}
-	r.leaving = leaving
-	r.pump()
+	r.leavingEndpoints = leaving
+	r.deliverDecisions()
 }
 
 // isLeaving reports whether an endpoint gets no new work.
 func (r *Router) isLeaving(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.endpoints[name]
-	return t == nil || t.Leaving || r.leaving[name]
+	t := r.targets[name]
+	return t == nil || t.Leaving || r.leavingEndpoints[name]
 }
 
 // target returns the means to reach an endpoint, or nil.
 func (r *Router) target(name string) *target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.endpoints[name]
+	return r.targets[name]
 }
 
-// anyEngine returns a client for any declared engine, watched or not, or nil.
-func (r *Router) anyEngine(name string) endpoint.Engine {
+// engineByName returns a client for any declared engine, watched or not, or nil.
+func (r *Router) engineByName(name string) endpoint.Engine {
 	if t := r.target(name); t != nil {
 		return t.engine
 	}
@@ -180,7 +180,7 @@
 	}
 	for _, e := range s.Fleet.Endpoints {
 		if e.Name == name && e.Engine {
-			return &endpoint.Client{Base: "http://" + e.Address, HTTP: r.engines}
+			return &endpoint.Client{Base: "http://" + e.Address, HTTP: r.engineClient}
 		}
 	}
 	return nil
@@ -190,10 +190,10 @@
 func (r *Router) AllEndpointsReported() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name := range r.endpoints {
+	for name := range r.targets {
 		if !r.sched.HasReport(name) {
 			return false
 		}
 	}
-	return len(r.endpoints) > 0
+	return len(r.targets) > 0
 }
--- a/router/witness.go
+++ b/router/witness.go
@@ -42,30 +42,30 @@
 		return once.Recorded
 	}
 	req, err := r.owner.BeginRecord(rec, endpoint)
-	st := rec.State
+	state := rec.State
 	r.onceMu.Unlock()
 	if err != nil {
-		return st
+		return state
 	}
-	ack := r.askWitness(ctx, req)
+	ack := r.requestRecord(ctx, req)
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
 	r.owner.Acknowledge(rec, ack)
 	return rec.State
 }
 
-// askWitness sends one ID and waits; no answer in time counts as a refusal.
-func (r *Router) askWitness(ctx context.Context, req once.RecordRequest) once.Ack {
+// requestRecord sends one ID and waits; no answer in time counts as a refusal.
+func (r *Router) requestRecord(ctx context.Context, req once.RecordRequest) once.Ack {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.WitnessTimeout)
 	defer cancel()
 	ack := make(chan once.Ack, 1)
 	rec := r.recorder(req.ID.Witness)
 	rec.mu.Lock()
 	rec.queue = append(rec.queue, pendingRecord{req, ack})
-	start := !rec.sending
+	startSender := !rec.sending
 	rec.sending = true
 	rec.mu.Unlock()
-	if start {
+	if startSender {
 		go r.sendRecords(rec, req.ID.Witness)
 	}
 	select {
@@ -116,7 +116,7 @@
 	}
 	var acks []uint8
 	// Only the witness itself records; copies that others hold are sealed.
-	if h, ok := r.knownHost(id); ok {
+	if h, ok := r.findHost(id); ok {
 		// An error leaves acks empty: the IDs are refused below.
 		acks, _ = r.peers.record(ctx, h.Address, body)
 	}
@@ -135,18 +135,18 @@
 	return out
 }
 
-// knownHost finds an incarnation that has not ended.
-func (r *Router) knownHost(id once.Incarnation) (h fleet.Host, ok bool) {
+// findHost finds an incarnation that has not ended.
+func (r *Router) findHost(id once.Incarnation) (h fleet.Host, ok bool) {
 	r.agent.View(func(t *fleet.Table) { h, ok = t.Find(id) })
 	return h, ok && !h.Gone
 }
 
-// witnessFor returns the own witness machine of an incarnation, or nil; onceMu must be held.
-func (r *Router) witnessFor(id once.Incarnation) *once.Witness {
+// localWitness returns the own witness machine of an incarnation, or nil; onceMu must be held.
+func (r *Router) localWitness(id once.Incarnation) *once.Witness {
 	if id == r.witness.Self() {
 		return r.witness
 	}
-	return r.adopted[id]
+	return r.witnessCopies[id]
 }
 
 // serveRecord records a batch for an owner elsewhere.
@@ -159,7 +159,7 @@
 	ans := recordAnswer{Acks: make([]uint8, len(body.IDs))}
 	r.onceMu.Lock()
 	for i, text := range body.IDs {
-		ans.Acks[i] = uint8(r.recordOne(text, body.Endpoints[i]))
+		ans.Acks[i] = uint8(r.recordLocal(text, body.Endpoints[i]))
 	}
 	r.onceMu.Unlock()
 	for _, text := range body.IDs {
@@ -168,13 +168,13 @@
 	writeJSON(w, ans)
 }
 
-// recordOne records one ID; onceMu must be held.
-func (r *Router) recordOne(text, endpoint string) once.Ack {
+// recordLocal records one ID; onceMu must be held.
+func (r *Router) recordLocal(text, endpoint string) once.Ack {
 	id, err := once.ParseID(text)
 	if err != nil {
 		return once.AckNotResponsible
 	}
-	w := r.witnessFor(id.Witness)
+	w := r.localWitness(id.Witness)
 	if w == nil {
 		return once.AckNotResponsible
 	}
@@ -188,15 +188,15 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f, endpoint := r.closeHere(id)
+	f, endpoint := r.closeLocal(id)
 	writeJSON(w, closeAnswer{uint8(f), endpoint})
 }
 
-// closeHere asks the own witness machines about an ID.
-func (r *Router) closeHere(id once.ID) (once.Finding, string) {
+// closeLocal asks the own witness machines about an ID.
+func (r *Router) closeLocal(id once.ID) (once.Finding, string) {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
-	w := r.witnessFor(id.Witness)
+	w := r.localWitness(id.Witness)
 	if w == nil {
 		return once.FindingNotResponsible, ""
 	}
@@ -214,14 +214,14 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	copied, err := once.NewWitnessCopy(h, 0, 0)
+	witnessCopy, err := once.NewWitnessCopy(h, 0, 0)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	r.onceMu.Lock()
-	r.adopted[h.Self] = copied
-	answers := r.answers()
+	r.witnessCopies[h.Self] = witnessCopy
+	answers := r.copiedWitnesses()
 	r.onceMu.Unlock()
 	r.agent.Update(func(s *fleet.Host) { s.Answers = answers })
 	writeJSON(w, struct{}{})
@@ -241,6 +241,6 @@
 	if err != nil {
 		return false, ""
 	}
-	f, endpoint := r.closeHere(parsed)
+	f, endpoint := r.closeLocal(parsed)
 	return f == once.FindingNotRun, endpoint
 }
