--- a/router/admit.go
+++ b/router/admit.go
@@ -21,13 +21,13 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// job is one request on its way through the host that owns it.
+// job is the state of one request at the host that owns its ID.
 type job struct {
 	snapshot  *settings.Snapshot
 	settings  *settings.Effective
 	record    *once.Record
 	idText    string // the ID
-	callerID  bool   // the caller brought the ID and can resume
+	callerID  bool   // the caller chose the ID and can resume with it
 	req       *sched.Request
 	decisions chan sched.Decision
 	arrived   time.Duration
@@ -35,20 +35,22 @@
 	heldBytes int64
 }
 
-// key names the job's series of metrics.
+// key returns the key of the job's metrics.
 func (j *job) key() metrics.Key {
 	return metrics.Key{Workspace: j.settings.Workspace, Tier: j.settings.Tier}
 }
 
-// id gives the job's ID as text.
+// id returns the request's ID as text.
 func (j *job) id() string { return j.idText }
 
-// generatedIDs numbers the IDs that this process makes for callers without one.
+// generatedIDs counts the IDs that this process generated for requests without
+// one; it makes them unique.
 var generatedIDs atomic.Uint64
 
-// receive brings a request from its arrival to an accepted record with its whole
-// body. On a problem the ID, if the request has one, is refused for good, so
-// that "not run" stays true. A nil job without a problem was answered elsewhere.
+// receive resolves the settings of a request, creates its record at the owner
+// and reads its whole body. On a problem it refuses the ID, if the request has
+// one, permanently, so that "not run" stays true. It returns neither a job nor a
+// problem if the owner's host answered the request.
 func (r *Router) receive(w http.ResponseWriter, req *http.Request, service string) (*job, *problem.Problem) {
 	arrived := r.now()
 	id, fromCaller, p := r.requestID(req)
@@ -71,7 +73,8 @@
 	return j, nil
 }
 
-// requestID reads the caller's ID or makes one.
+// requestID returns the request's ID and whether the caller sent it; without one
+// it generates an ID.
 func (r *Router) requestID(req *http.Request) (once.ID, bool, *problem.Problem) {
 	header := req.Header.Get(HeaderID)
 	if header == "" {
@@ -84,7 +87,7 @@
 	return id, true, nil
 }
 
-// newID makes an ID for a caller without one.
+// newID generates an ID for a request without one.
 func (r *Router) newID() once.ID {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
@@ -92,7 +95,8 @@
 	return once.ID{Prefix: p, Unique: "h" + strconv.FormatUint(generatedIDs.Add(1), 36)}
 }
 
-// newPrefix gives a prefix to resubmit under at this host, with a witness or without.
+// newPrefix returns a prefix of this host for a resubmission. With witnessed it
+// names a witness, if there is one.
 func (r *Router) newPrefix(witnessed bool) string {
 	hosts := r.liveHosts()
 	var witness fleet.Host
@@ -108,7 +112,8 @@
 	return fleet.Prefix(self, witness).String()
 }
 
-// resolveSettings finds the settings in force for a request.
+// resolveSettings sets the job's snapshot and the settings that apply to the
+// request.
 func (r *Router) resolveSettings(j *job, req *http.Request, service string) *problem.Problem {
 	j.snapshot = r.follower.Snapshot()
 	if j.snapshot == nil {
@@ -130,7 +135,8 @@
 	return nil
 }
 
-// unresolvedRemedy tells which part of a reference is wrong.
+// unresolvedRemedy returns the remedy for a reference that does not resolve: it
+// names the part that is wrong and, for a service or tier, the valid values.
 func (r *Router) unresolvedRemedy(s *settings.Snapshot, ref settings.Ref) string {
 	if !s.HasWorkspace(ref.Workspace) {
 		return "set " + HeaderWorkspace + " to a declared workspace"
@@ -146,8 +152,8 @@
 	return "use one of its services and their tiers:" + names
 }
 
-// refuseID refuses an ID that has no record yet; if it has one, or none can be
-// made, the outcome told is what is known of it.
+// refuseID refuses an ID that has no record. If it has a record, or none can be
+// created, it sets the problem's outcome to what is known of the ID.
 func (r *Router) refuseID(id once.ID, fromCaller bool, p *problem.Problem) *problem.Problem {
 	if !fromCaller {
 		return p
@@ -162,7 +168,7 @@
 	return p
 }
 
-// accept makes the owner's record of a request.
+// accept creates the owner's record of a request.
 func (r *Router) accept(j *job, id once.ID) *problem.Problem {
 	if !j.settings.Repeatable && j.settings.Witness && id.Witness == 0 && r.liveHostCount() > 1 {
 		p := problem.New(problem.BadID, "use the once_prefix of an answer of "+PathAddress, "the call may not be repeated and its ID names no witness")
@@ -182,7 +188,8 @@
 	return p
 }
 
-// recordProblem tells what the owner's record of an ID means to a caller.
+// recordProblem returns the problem to report to a caller for the owner's record
+// of an ID, or for the verdict if there is no record.
 func recordProblem(rec *once.Record, v once.Verdict) *problem.Problem {
 	switch v {
 	case once.Expired:
@@ -211,13 +218,14 @@
 	return p
 }
 
-// refuse ends an accepted request without running it.
+// refuse ends an accepted request without running it and completes the problem
+// to report.
 func (r *Router) refuse(j *job, p *problem.Problem) *problem.Problem {
 	r.onceMu.Lock()
 	err := r.owner.Refuse(j.record)
 	r.onceMu.Unlock()
 	if err != nil {
-		r.Log.Error(err, "refusal of a dispatched request")
+		r.Log.Error(err, "cannot refuse a request that was dispatched; its outcome is reported as unknown")
 		p.Outcome = problem.Unknown
 	}
 	r.closeJob(j)
@@ -230,20 +238,21 @@
 	return p
 }
 
-// closeJob ends the request's stay on the host.
+// closeJob releases the request's body and removes it from the open requests.
 func (r *Router) closeJob(j *job) {
 	r.releaseBody(j)
 	r.openRequests.Add(-1)
 }
 
-// releaseBody gives back the memory that a request's body holds.
+// releaseBody releases the memory of a request's body.
 func (r *Router) releaseBody(j *job) {
 	r.bodyMemory.Add(-j.heldBytes)
 	j.heldBytes = 0
 	j.body = nil
 }
 
-// readBody reads the whole body within the service's and the host's bounds.
+// readBody reads the whole body. It enforces the service's limit on a body and
+// the host's limit on the memory of all bodies.
 func (r *Router) readBody(j *job, req *http.Request) *problem.Problem {
 	limit := j.settings.MaxBody
 	if req.ContentLength > limit {
@@ -267,12 +276,12 @@
 	return nil
 }
 
-// bodyTooLarge is the problem of a body over the limit.
+// bodyTooLarge returns the problem of a body that exceeds the limit, in bytes.
 func bodyTooLarge(limit int64) *problem.Problem {
 	return problem.New(problem.BodyTooLarge, fmt.Sprintf("send at most %d bytes or raise %s", limit, settings.KeyMaxBody), "the body is too large")
 }
 
-// submit asks the scheduler and waits for the right to dispatch.
+// submit submits a request to the scheduler and waits for its decision.
 func (r *Router) submit(ctx context.Context, j *job) (sched.Decision, *problem.Problem) {
 	j.req.ID = j.id()
 	j.req.Settings = j.settings
@@ -286,7 +295,8 @@
 	return r.awaitDecision(ctx, j, d)
 }
 
-// awaitDecision waits until a decision to run or refuse comes.
+// awaitDecision waits until the scheduler decides to run or to refuse the
+// request, or until the caller goes away.
 func (r *Router) awaitDecision(ctx context.Context, j *job, d sched.Decision) (sched.Decision, *problem.Problem) {
 	for d.Verdict == sched.Wait {
 		select {
@@ -307,8 +317,8 @@
 	return d, nil
 }
 
-// withdraw takes a waiting request out because its caller went away; nil means
-// that it was decided in the same moment.
+// withdraw removes a waiting request from the queue because its caller went
+// away. It returns nil if the scheduler has decided on the request meanwhile.
 func (r *Router) withdraw(j *job) *problem.Problem {
 	r.mu.Lock()
 	ok := r.sched.Withdraw(j.req)
@@ -319,11 +329,12 @@
 	return r.refuse(j, problem.New(problem.Canceled, "submit again if the answer is still wanted", "the caller went away"))
 }
 
-// witnessCheckInterval is the time between looks at the witness of a waiting request.
+// witnessCheckInterval is the time between checks whether the witness of a
+// waiting request is leaving.
 const witnessCheckInterval = time.Second
 
-// recordEarly records a waiting request at a witness that leaves, so that it
-// can be dispatched after the witness is gone.
+// recordEarly records a waiting request at its witness if the witness is
+// leaving, so that the request can be dispatched after the witness is gone.
 func (r *Router) recordEarly(ctx context.Context, j *job) {
 	r.onceMu.Lock()
 	unrecorded := j.record.NeedsWitness && j.record.State == once.Waiting
@@ -336,7 +347,7 @@
 	}
 }
 
-// refusalProblem tells a caller why the scheduler refused.
+// refusalProblem returns the problem for a refusal by the scheduler.
 func refusalProblem(d sched.Decision) *problem.Problem {
 	kinds := []struct {
 		reason sched.Reason
@@ -356,7 +367,8 @@
 	return problem.New(kind, "resubmit under a new ID after the time given", "%s", d.Reason).WithRetryAfter(d.RetryAfter)
 }
 
-// deliverDecisions hands due decisions to the requests that wait; mu must be held.
+// deliverDecisions polls the scheduler and delivers its decisions to the waiting
+// requests. The caller must hold mu.
 func (r *Router) deliverDecisions() {
 	for _, d := range r.sched.Poll(r.now()) {
 		d.Request.Data.(*job).decisions <- d
--- a/router/api.go
+++ b/router/api.go
@@ -6,41 +6,42 @@
 
 // Paths for callers and operators.
 const (
-	// PathAddress answers which hosts to use.
+	// PathAddress returns the hosts that a workspace's callers should use.
 	PathAddress = "/v1/address"
-	// PathCompletions takes requests to engines in the customary completion format.
+	// PathCompletions accepts requests to engines in the usual completion format.
 	PathCompletions = "/v1/completions"
-	// PathCall is followed by a service's name and the path to pass on.
+	// PathCall is followed by the name of a service and the path to forward to it.
 	PathCall = "/v1/call/"
-	// PathOutcome is followed by an ID: what became of that request.
+	// PathOutcome is followed by an ID; it returns the outcome of that request.
 	PathOutcome = "/v1/outcome/"
-	// PathStreams is followed by endpoint and ID: resumes a lost stream.
+	// PathStreams is followed by an endpoint and an ID; it resumes a lost stream.
 	PathStreams = "/v1/streams/"
-	// PathExplain is followed by an ID: how the request was decided.
+	// PathExplain is followed by an ID; it explains the scheduler's decisions on
+	// that request.
 	PathExplain = "/v1/explain/"
-	// PathStatus tells the host's state and what it knows of others.
+	// PathStatus returns the state of the host and what it knows of other hosts.
 	PathStatus = "/v1/status"
-	// PathDrain makes the host leave.
+	// PathDrain starts a drain of the host.
 	PathDrain = "/v1/drain"
 )
 
-// Headers of requests and answers.
+// Headers of requests and of answers.
 const (
 	// HeaderID carries the request's ID.
 	HeaderID = "Heathkeel-Request-Id"
-	// HeaderWorkspace, HeaderService and HeaderTier say what a request belongs to.
+	// HeaderWorkspace, HeaderService and HeaderTier select the settings of a request.
 	HeaderWorkspace = "Heathkeel-Workspace"
 	HeaderService   = "Heathkeel-Service"
 	HeaderTier      = "Heathkeel-Tier"
-	// HeaderResubmits names the ID of an earlier try whose outcome is settled.
+	// HeaderResubmits carries the ID of an earlier attempt whose outcome is final.
 	HeaderResubmits = "Heathkeel-Resubmits"
-	// HeaderEndpoint names the endpoint that serves the request.
+	// HeaderEndpoint carries the name of the endpoint that serves the request.
 	HeaderEndpoint = "Heathkeel-Endpoint"
-	// headerForwarded marks a request that another host passed on.
+	// headerForwarded carries the name of the host that forwarded the request.
 	headerForwarded = "Heathkeel-Forwarded"
 )
 
-// Paths between hosts.
+// Paths that hosts use among themselves.
 const (
 	pathHeartbeat = "/peer/heartbeat"
 	pathRecord    = "/peer/record"
@@ -58,12 +59,13 @@
 	Endpoints []string `json:"endpoints"`
 }
 
-// recordAnswer holds one acknowledgement for each ID of a batch.
+// recordAnswer is the answer to recordBody, with one once.Ack for each ID.
 type recordAnswer struct {
 	Acks []uint8 `json:"acks"`
 }
 
-// closeAnswer is a witness's finding.
+// closeAnswer is the result of closing an ID at a witness: a once.Finding and the
+// recorded endpoint, if there is one.
 type closeAnswer struct {
 	Finding  uint8  `json:"finding"`
 	Endpoint string `json:"endpoint,omitempty"`
--- a/router/calls.go
+++ b/router/calls.go
@@ -16,10 +16,10 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// internalHeaders are the headers of heathkeel that a service does not see.
+// internalHeaders are the headers that are not forwarded to a service.
 var internalHeaders = []string{HeaderWorkspace, HeaderService, HeaderTier, HeaderResubmits, headerForwarded}
 
-// serveCall passes a call to a plain service on.
+// serveCall serves a call to a plain service.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request) {
 	j, p := r.receive(w, req, mux.Vars(req)["service"])
 	if p != nil {
@@ -53,7 +53,8 @@
 	r.writeServiceAnswer(w, j, t, resp)
 }
 
-// newPlainCall makes the call as the service sees it.
+// newPlainCall returns the call to send to the service: without internal headers
+// and with the path that follows the service's name.
 func newPlainCall(req *http.Request, body []byte) endpoint.PlainCall {
 	h := req.Header.Clone()
 	for _, name := range internalHeaders {
@@ -70,7 +71,7 @@
 	}
 }
 
-// writeServiceAnswer passes a service's answer on.
+// writeServiceAnswer forwards a service's answer to the caller and ends the job.
 func (r *Router) writeServiceAnswer(w http.ResponseWriter, j *job, t *target, resp *http.Response) {
 	defer resp.Body.Close()
 	r.mu.Lock()
@@ -84,7 +85,8 @@
 	w.WriteHeader(resp.StatusCode)
 	if err := copyAndFlush(w, resp.Body); err != nil {
 		r.finish(j, sched.Broken, 0)
-		// The head is gone out already: breaking the connection tells the caller.
+		// The headers are sent already, so abort the connection to signal the error
+		// to the caller.
 		panic(http.ErrAbortHandler)
 	}
 	r.finish(j, sched.Completed, 1)
--- a/router/completions.go
+++ b/router/completions.go
@@ -20,16 +20,16 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// engineRequest is a dispatched request to an engine.
+// engineRequest is a request that was dispatched to an engine.
 type engineRequest struct {
 	job         *job
 	engine      endpoint.Engine
 	endpoint    string
 	model       string
-	cancelTimer *time.Timer // set while the caller is away
+	cancelTimer *time.Timer // set while the caller is disconnected
 }
 
-// serveCompletion takes a request to an engine.
+// serveCompletion serves a request to an engine.
 func (r *Router) serveCompletion(w http.ResponseWriter, req *http.Request) {
 	j, p := r.receive(w, req, req.Header.Get(HeaderService))
 	if p != nil {
@@ -51,7 +51,8 @@
 	}
 	var stream endpoint.Stream
 	t, p := r.dispatch(req.Context(), j, d, func(t *target) error {
-		// The engine's stream must outlive the caller's connection for a while.
+		// The stream must survive a lost connection of the caller until CancelGrace
+		// has passed.
 		var err error
 		stream, err = t.engine.Generate(context.WithoutCancel(req.Context()), r.newEngineCall(j, body))
 		return err
@@ -73,7 +74,8 @@
 	r.writeWholeAnswer(w, req, a, checked)
 }
 
-// parseCompletion reads the body of a request and fills in the scheduler's view of it.
+// parseCompletion parses and validates the body of a request and sets the job's
+// request to the scheduler. It limits the answer to the settings' max-tokens.
 func (r *Router) parseCompletion(j *job, req *http.Request) (*endpoint.CompletionBody, *problem.Problem) {
 	var body endpoint.CompletionBody
 	if err := json.Unmarshal(j.body, &body); err != nil {
@@ -101,7 +103,7 @@
 	return &body, nil
 }
 
-// newEngineCall makes the call to an engine.
+// newEngineCall returns the call to send to an engine.
 func (r *Router) newEngineCall(j *job, body *endpoint.CompletionBody) endpoint.Call {
 	return endpoint.Call{
 		ID: j.id(), Model: body.Model, Adapter: body.Adapter, Prompt: body.Prompt,
@@ -109,20 +111,22 @@
 	}
 }
 
-// setAnswerHeaders sets the headers that let a caller resume at any host.
+// setAnswerHeaders sets the headers with which a caller can resume the stream at
+// any host.
 func setAnswerHeaders(w http.ResponseWriter, a *engineRequest) {
 	w.Header().Set(HeaderID, a.job.id())
 	w.Header().Set(HeaderEndpoint, a.endpoint)
 }
 
-// sink takes the pieces of an answer; an error means that the caller is gone.
+// sink receives the pieces of an answer. An error means that the caller went away.
 type sink func(endpoint.Piece) error
 
 // errCallerGone means that the caller went away.
 var errCallerGone = errors.New("router: the caller went away")
 
-// copyStream passes the pieces of an answer on, resuming a broken stream at the same
-// engine, and keeps the figures. It returns the number of pieces passed on.
+// copyStream passes the pieces of an answer to a sink and records the token
+// metrics. It resumes a broken stream at the same engine. It returns the number
+// of pieces received.
 func (r *Router) copyStream(ctx context.Context, a *engineRequest, s *endpoint.Checked, write sink) (int, error) {
 	defer func() { _ = s.Close() }()
 	lastToken := a.job.arrived
@@ -148,7 +152,8 @@
 	}
 }
 
-// recordToken keeps the figures of one token.
+// recordToken reports one token to the scheduler and records its metrics. since
+// is the time since the previous token, or since the arrival of the request.
 func (r *Router) recordToken(a *engineRequest, seq int, since time.Duration) {
 	r.mu.Lock()
 	if seq == 0 {
@@ -163,15 +168,17 @@
 	r.metrics.Record(a.job.key(), metrics.BetweenTokens, since)
 }
 
-// Figures of resuming.
+// Limits on resuming a stream.
 const (
-	// maxResumeAttempts bounds the tries to resume a broken stream at its engine.
+	// maxResumeAttempts is the maximum number of attempts to resume a broken stream
+	// at its engine.
 	maxResumeAttempts = 3
-	// resumeRetryInterval is the time between them.
+	// resumeRetryInterval is the time between two attempts.
 	resumeRetryInterval = 50 * time.Millisecond
 )
 
-// resumeStream replaces a broken stream by its continuation.
+// resumeStream resumes a broken stream at its engine, after the last piece
+// received.
 func (r *Router) resumeStream(ctx context.Context, a *engineRequest, s *endpoint.Checked) error {
 	_ = s.Close()
 	for range maxResumeAttempts {
@@ -220,7 +227,7 @@
 	}
 }
 
-// writeWholeAnswer collects the answer and sends it in one piece.
+// writeWholeAnswer collects the answer and sends it as one JSON document.
 func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.Checked) {
 	var text strings.Builder
 	var finish string
@@ -242,8 +249,9 @@
 	}
 }
 
-// finishStream ends a request after its stream ended; a problem is what the caller
-// must be told. A caller that has an ID and went away gets time to resume.
+// finishStream ends a request after its stream ended. It returns the problem to
+// report to the caller, or nil. If a caller that sent an ID went away after the
+// first piece, the stream continues for CancelGrace so that the caller can resume it.
 func (r *Router) finishStream(a *engineRequest, tokens int, err error) *problem.Problem {
 	switch {
 	case err == nil:
@@ -262,7 +270,7 @@
 	return r.endLost(a.job, a.endpoint, err)
 }
 
-// cancelTimeout bounds the cancelling of a stream.
+// cancelTimeout is the timeout of a call that cancels a stream at its engine.
 const cancelTimeout = time.Second
 
 // cancelStream cancels a stream at its engine.
@@ -272,7 +280,7 @@
 	_ = a.engine.Cancel(ctx, a.job.id())
 }
 
-// abandon cancels the stream of a caller that did not come back.
+// abandon cancels the stream and ends the request of a caller that went away.
 func (r *Router) abandon(a *engineRequest) {
 	r.onceMu.Lock()
 	active := r.active[a.job.id()] == a
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -16,8 +16,9 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// dispatch records, dispatches and sends a request to the endpoint decided on,
-// and to others as long as no byte went out. send does the sending.
+// dispatch dispatches a request to the endpoint of a decision and calls send,
+// which sends it. As long as no byte was sent it asks the scheduler for another
+// endpoint. If the ID names a witness, the request is recorded there first.
 func (r *Router) dispatch(ctx context.Context, j *job, d sched.Decision, send func(*target) error) (*target, *problem.Problem) {
 	for {
 		t := r.target(d.Endpoint)
@@ -29,7 +30,8 @@
 				return nil, p
 			}
 			r.importCache(ctx, j, d, t)
-			// A witness's answer and a cache's move lie between the choice and here.
+			// The endpoint may have begun to leave since it was chosen: the witness's
+			// answer and the cache import take time.
 			if err = endpoint.ErrNotSent; !r.isLeaving(d.Endpoint) {
 				err = send(t)
 			}
@@ -48,7 +50,8 @@
 	}
 }
 
-// authorizeDispatch obtains the right to dispatch, from the witness where one is named.
+// authorizeDispatch obtains the right to dispatch from the owner, after the
+// witness recorded the request if its ID names one.
 func (r *Router) authorizeDispatch(ctx context.Context, j *job, d sched.Decision) *problem.Problem {
 	if j.record.NeedsWitness {
 		if state := r.record(ctx, j.record, d.Endpoint); state != once.Recorded {
@@ -62,7 +65,7 @@
 	known := recordProblem(j.record, once.Known)
 	r.onceMu.Unlock()
 	if err != nil {
-		r.Log.Error(err, "dispatch refused")
+		r.Log.Error(err, "owner does not permit the dispatch")
 		r.notifyScheduler(j, sched.Canceled, 0)
 		r.closeJob(j)
 		known.RequestID = j.id()
@@ -72,7 +75,8 @@
 	return nil
 }
 
-// redispatch decides anew after a dispatch of which no byte was sent.
+// redispatch retracts a dispatch of which no byte was sent and waits for a new
+// decision of the scheduler.
 func (r *Router) redispatch(ctx context.Context, j *job) (sched.Decision, *problem.Problem) {
 	r.onceMu.Lock()
 	if j.record.State == once.Dispatched {
@@ -86,10 +90,12 @@
 	return r.awaitDecision(ctx, j, d)
 }
 
-// importTimeout bounds the moving of KV cache; without it the prompt is computed.
+// importTimeout is the timeout of a KV cache import. If the import fails, the
+// engine computes the prompt instead.
 const importTimeout = 200 * time.Millisecond
 
-// importCache moves the prompt's KV cache to the chosen engine, if the decision says so.
+// importCache copies the prompt's KV cache from another engine to the chosen one
+// if the decision names a source.
 func (r *Router) importCache(ctx context.Context, j *job, d sched.Decision, t *target) {
 	if d.ImportFrom == "" {
 		return
@@ -111,7 +117,7 @@
 	r.metrics.Count(j.key(), "cache imported")
 }
 
-// notifyScheduler tells the scheduler of the end of a dispatched request.
+// notifyScheduler reports the end of a dispatched request to the scheduler.
 func (r *Router) notifyScheduler(j *job, res sched.Result, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +125,8 @@
 	r.deliverDecisions()
 }
 
-// endLost ends a dispatched request whose answer will not come.
+// endLost ends a dispatched request whose answer is lost and returns the problem
+// to report.
 func (r *Router) endLost(j *job, endpointName string, err error) *problem.Problem {
 	r.finish(j, sched.Broken, 0)
 	kind, remedy := problem.EndpointLost, "ask "+PathOutcome+"{id}; resubmit under a new ID if running twice does no harm"
@@ -134,7 +141,8 @@
 	return p
 }
 
-// finish finishes a dispatched request with the scheduler, the owner and the metrics.
+// finish ends a dispatched request: it reports the result to the scheduler and
+// the owner and records the metrics.
 func (r *Router) finish(j *job, res sched.Result, tokens int) {
 	r.notifyScheduler(j, res, tokens)
 	r.onceMu.Lock()
--- a/router/doc.go
+++ b/router/doc.go
@@ -2,11 +2,12 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package router joins the pure packages to the network: it is one host of
-// heathkeel. It answers callers that ask for an address, takes requests and
-// plain calls, carries the exchange between owner and witness, and tells what
-// it does.
+// Package router implements one host of heathkeel: it connects the packages that
+// do no I/O to the network. A host answers address queries of callers, accepts
+// requests to engines and calls to plain services, exchanges messages between
+// owners and witnesses, and reports its state and its decisions.
 //
-// serve.go has the routes; admit.go brings a request from its arrival to the
-// right to dispatch; completions.go and calls.go do the two kinds of dispatch.
+// serve.go has the HTTP routes. admit.go handles a request from its arrival to
+// the scheduler's decision, dispatch.go dispatches it, and completions.go and
+// calls.go serve the two kinds of requests.
 package router
--- a/router/drain.go
+++ b/router/drain.go
@@ -14,21 +14,22 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// Figures of leaving.
+// Times of a drain.
 const (
-	// drainMargin is added to the answers' maximum age, for the time until all
-	// hosts have heard that this one leaves.
+	// drainMargin is added to the maximum age of address answers. It covers the
+	// time until all hosts know that this host is leaving.
 	drainMargin = 3 * time.Second
-	// drainCheckInterval is the time between looks at what still runs.
+	// drainCheckInterval is the time between checks for open requests.
 	drainCheckInterval = 50 * time.Millisecond
-	// finalHeartbeatTime is the time that the last heartbeats get.
+	// finalHeartbeatTime is the time allowed for the last heartbeats.
 	finalHeartbeatTime = 200 * time.Millisecond
 )
 
-// Drain makes the host leave without cutting a request: it is no longer named
-// in answers, serves on while callers may still use older ones, ends what waits
-// and runs, hands its witness records on, and says that it is gone. It returns
-// early if ctx ends.
+// Drain makes the host leave without interrupting requests. The host is no
+// longer named in address answers, serves requests while callers may still use
+// older answers, waits until no request is waiting or running, hands its witness
+// records over to other hosts and announces that it is gone. Drain returns early
+// if ctx ends.
 func (r *Router) Drain(ctx context.Context) error {
 	r.init()
 	if r.draining.Swap(true) {
@@ -50,7 +51,7 @@
 	return sleep(ctx, finalHeartbeatTime)
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -60,12 +61,12 @@
 	}
 }
 
-// hasRequests reports whether requests wait or run.
+// hasRequests reports whether requests are waiting or running.
 func (r *Router) hasRequests() bool {
 	return r.openRequests.Load() > 0
 }
 
-// serveDrain makes the host leave.
+// serveDrain starts a drain on behalf of an operator.
 func (r *Router) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	if r.OnDrain == nil {
 		problem.Write(w, problem.New(problem.BadRequest, "send SIGTERM to the process", "this host cannot be drained by a call"))
@@ -75,8 +76,9 @@
 	writeJSON(w, struct{}{})
 }
 
-// handOver gives the witness records to other hosts. The copies are sealed, so that
-// several may answer, and the loss of one loses nothing.
+// handOver sends the witness records to several other hosts. The copies are
+// sealed, so each of them may answer, and the records survive the loss of one
+// copy.
 func (r *Router) handOver(ctx context.Context) {
 	r.onceMu.Lock()
 	h := r.witness.PrepareHandover()
@@ -90,10 +92,10 @@
 			copies++
 		}
 	}
-	r.Log.Info("witness records handed on", "records", len(h.Recorded), "copies", copies)
+	r.Log.Info("witness records handed over", "records", len(h.Recorded), "copies", copies)
 }
 
-// handOverTo gives the witness records to one host.
+// handOverTo sends the witness records to one host and reports success.
 func (r *Router) handOverTo(ctx context.Context, to fleet.Host, h once.Handover) bool {
 	for range maxHandoverAttempts {
 		tctx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -106,10 +108,10 @@
 	return false
 }
 
-// Bounds of handing the witness records on.
+// Limits of a handover of witness records.
 const (
-	// handoverCopies is the number of hosts that get them.
+	// handoverCopies is the number of hosts that receive the records.
 	handoverCopies = 2
-	// maxHandoverAttempts bounds the tries at one host.
+	// maxHandoverAttempts is the maximum number of attempts per host.
 	maxHandoverAttempts = 3
 )
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -39,12 +39,12 @@
 
 // maxRuns returns the largest number of runs of one ID at any engine.
 func (r *testCluster) maxRuns() int {
-	most := 0
+	highest := 0
 	for _, e := range r.Engines {
-		_, n := e.TotalRuns()
-		most = max(most, n)
+		_, runs := e.TotalRuns()
+		highest = max(highest, runs)
 	}
-	return most
+	return highest
 }
 
 const tokenCount = 20
@@ -273,8 +273,8 @@
 	var reached []<-chan struct{}
 	var release []func()
 	for _, g := range r.gates {
-		hit, free := g.holdAt(router.StageDispatched)
-		reached, release = append(reached, hit), append(release, free)
+		reachedGate, releaseGate := g.holdAt(router.StageDispatched)
+		reached, release = append(reached, reachedGate), append(release, releaseGate)
 	}
 	got := make(chan string, 1)
 	go func() { got <- l.servingEndpoint() }()
@@ -286,9 +286,9 @@
 	case <-reached[2]:
 		owner = 2
 	}
-	for i, free := range release {
+	for i, releaseGate := range release {
 		if i != owner {
-			free() // other requests go on there
+			releaseGate() // other requests go on there
 		}
 	}
 	l.moveWork("s1", "s2")
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -96,19 +96,19 @@
 		reached, release := s.ownerGate.holdAt(router.StageAccepted)
 		wait := s.start()
 		<-reached
-		told := s.closeAtWitness()
+		closed := s.closeAtWitness()
 		release()
 		must.Eq(s.t, problem.NotRun, wait().outcome)
-		return told
+		return closed
 	}},
 	{"owner paused after the record, goes on after the caller was told", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		reached, release := s.ownerGate.holdAt(router.StageRecorded)
 		wait := s.start()
 		<-reached
-		told := s.closeAtWitness()
+		closed := s.closeAtWitness()
 		release()
 		must.Eq(s.t, problem.Answered, wait().outcome)
-		return told
+		return closed
 	}},
 	{"witness dead", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		s.witness.Kill()
--- a/router/forward.go
+++ b/router/forward.go
@@ -21,8 +21,8 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// forwardToOwner passes a request on to the host that owns its ID. If the owner cannot
-// be reached, the problem tells what is known of the ID.
+// forwardToOwner forwards a request to the host that owns its ID. If the owner
+// cannot be reached, it returns a problem with what is known of the ID.
 func (r *Router) forwardToOwner(w http.ResponseWriter, req *http.Request, id once.ID) *problem.Problem {
 	if req.Header.Get(headerForwarded) != "" {
 		return problem.Lost(problem.OwnerLost, "", "ask "+PathOutcome+"{id}", "the ID's owner is another incarnation of this host")
@@ -33,14 +33,15 @@
 	return r.outcomeFromWitness(req.Context(), id)
 }
 
-// reachableOwner finds the host that owns an ID, if it is not known to be gone.
+// reachableOwner returns the host that owns an ID, unless it is gone or suspected
+// of being unreachable.
 func (r *Router) reachableOwner(id once.ID) (h fleet.Host, ok bool) {
 	h, ok = r.findHost(id.Owner)
 	return h, ok && !h.Suspect
 }
 
-// proxy sends a request to another host and its answer back; false means that
-// no answer came and nothing was written.
+// proxy forwards a request to another host and the answer to the caller. It
+// returns false if no answer was received; in that case nothing was written.
 func (r *Router) proxy(w http.ResponseWriter, req *http.Request, address string) bool {
 	out := req.Clone(req.Context())
 	out.RequestURI = ""
@@ -63,7 +64,7 @@
 	return true
 }
 
-// copyAndFlush copies a body and flushes each part as it comes.
+// copyAndFlush copies a body and flushes after each read.
 func copyAndFlush(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 32<<10)
@@ -84,13 +85,15 @@
 	}
 }
 
-// forwardResume passes a resumption on to the owner; false means that it cannot be reached.
+// forwardResume forwards the resumption of a stream to the owner of its ID. It
+// returns false if the owner cannot be reached.
 func (r *Router) forwardResume(w http.ResponseWriter, req *http.Request, id once.ID) bool {
 	h, ok := r.reachableOwner(id)
 	if !ok {
 		return false
 	}
-	// A quick look spares the caller a long wait for an owner that is cut off.
+	// A connection attempt with a short timeout avoids a long wait for an owner
+	// that cannot be reached.
 	c, err := net.DialTimeout("tcp", h.Address, ownerDialTimeout)
 	if err != nil {
 		return false
@@ -99,13 +102,14 @@
 	return r.proxy(w, req, h.Address)
 }
 
-// ownerDialTimeout bounds the look whether an owner can be reached.
+// ownerDialTimeout is the timeout of the connection attempt that checks whether
+// an owner can be reached.
 const ownerDialTimeout = 300 * time.Millisecond
 
-// queryTimeout bounds a question to an owner or a witness.
+// queryTimeout is the timeout of a query to an owner or a witness.
 const queryTimeout = time.Second
 
-// serveOutcome tells what became of a request.
+// serveOutcome returns the outcome of a request to a caller.
 func (r *Router) serveOutcome(w http.ResponseWriter, req *http.Request) {
 	id, err := once.ParseID(mux.Vars(req)["id"])
 	if err != nil {
@@ -118,7 +122,8 @@
 	writeJSON(w, p)
 }
 
-// findOutcome asks the owner and, if it cannot be reached, the witness.
+// findOutcome queries the owner of an ID for the outcome and, if the owner cannot
+// be reached, the witness.
 func (r *Router) findOutcome(ctx context.Context, id once.ID) *problem.Problem {
 	if id.Owner == r.Self.Incarnation {
 		return r.localOutcome(id)
@@ -133,14 +138,14 @@
 	return r.outcomeFromWitness(ctx, id)
 }
 
-// localOutcome tells what this owner knows of an ID.
+// localOutcome returns the outcome of a request that this host owns.
 func (r *Router) localOutcome(id once.ID) *problem.Problem {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
 	return recordProblem(r.owner.Query(id))
 }
 
-// serveQuery tells another host what this owner knows of an ID.
+// serveQuery returns the outcome of a request that this host owns to another host.
 func (r *Router) serveQuery(w http.ResponseWriter, req *http.Request) {
 	id, err := once.ParseID(mux.Vars(req)["id"])
 	if err != nil || id.Owner != r.Self.Incarnation {
@@ -150,7 +155,8 @@
 	writeJSON(w, r.localOutcome(id))
 }
 
-// outcomeFromWitness finds what became of an ID whose owner cannot be reached, from its witness.
+// outcomeFromWitness determines the outcome of a request whose owner cannot be
+// reached. It closes the ID at its witness if the witness has no record of it.
 func (r *Router) outcomeFromWitness(ctx context.Context, id once.ID) *problem.Problem {
 	if id.Witness == 0 {
 		return problem.Lost(problem.OwnerLost, "", "resubmit under a new ID if running twice does no harm", "the ID's owner cannot be reached and it names no witness")
@@ -170,7 +176,8 @@
 	return problem.Lost(problem.WitnessLost, "", "read its effect at the endpoints", "the ID's witness is gone")
 }
 
-// closeAtWitness asks whoever answers for the witness of an ID, this host first.
+// closeAtWitness closes an ID at a host that answers for its witness: at this
+// host if it does, otherwise at the first other host that gives a finding.
 func (r *Router) closeAtWitness(ctx context.Context, id once.ID) (f once.Finding, endpointName string, err error) {
 	if f, endpointName = r.closeLocal(id); f != once.FindingNotResponsible {
 		return f, endpointName, nil
@@ -189,7 +196,8 @@
 	return once.FindingNotResponsible, "", err
 }
 
-// endOrphanStream ends a stream of an owner that is gone.
+// endOrphanStream writes the end of a stream whose owner cannot be reached: the
+// end marker, or the problem for err.
 func (r *Router) endOrphanStream(w io.Writer, err error) {
 	if errors.Is(err, io.EOF) {
 		_, _ = io.WriteString(w, "data: "+endpoint.DoneData+"\n\n")
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -71,19 +71,19 @@
 func (g *gate) holdAt(s router.Stage) (reached <-chan struct{}, release func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	hold, hit := make(chan struct{}), make(chan struct{})
-	g.hold[s], g.reached[s] = hold, hit
+	hold, atStage := make(chan struct{}), make(chan struct{})
+	g.hold[s], g.reached[s] = hold, atStage
 	var once sync.Once
-	return hit, func() { once.Do(func() { close(hold) }) }
+	return atStage, func() { once.Do(func() { close(hold) }) }
 }
 
 func (g *gate) trace(s router.Stage, _ string) {
 	g.mu.Lock()
-	hold, hit := g.hold[s], g.reached[s]
+	hold, reached := g.hold[s], g.reached[s]
 	delete(g.hold, s)
 	g.mu.Unlock()
 	if hold != nil {
-		close(hit)
+		close(reached)
 		<-hold
 	}
 }
--- a/router/local.go
+++ b/router/local.go
@@ -12,22 +12,23 @@
 	"github.com/heathkeel/heathkeel/revision"
 )
 
-// localAnswer is what a host tells the placer beside it.
+// localAnswer is a router's answer to the placer on the same host.
 type localAnswer struct {
-	// Revision is the settings' revision in force.
+	// Revision is the revision of the settings in force.
 	Revision uint64 `json:"revision"`
-	// Candidate says whether the host should try to hold the zone asked for.
+	// Candidate says whether the host should try to hold the placement of the
+	// queried zone.
 	Candidate bool `json:"candidate"`
 }
 
-// serveLocal answers the placer on the same host.
+// serveLocal answers queries of the placer on the same host.
 func (r *Router) serveLocal(w http.ResponseWriter, req *http.Request) {
 	writeJSON(w, localAnswer{
 		Revision: r.follower.Revision(), Candidate: r.IsPlacerCandidate(req.URL.Query().Get("zone")),
 	})
 }
 
-// LocalClient is the way from a placer to the router on the same host.
+// LocalClient is a placer's client of the router on the same host.
 type LocalClient struct {
 	// Address is the router's IP number and port.
 	Address string
@@ -35,15 +36,16 @@
 	peers *peerClient
 }
 
-// NewLocalClient returns the way to the router at an address.
+// NewLocalClient returns a client of the router at an address.
 func NewLocalClient(address string) *LocalClient {
 	return &LocalClient{Address: address, peers: newPeerClient()}
 }
 
-// Peer reads settings from the router.
+// Peer returns a revision.Peer that reads settings from the router.
 func (l *LocalClient) Peer() revision.Peer { return l.peers }
 
-// QueryZone returns the router's revision and whether this host should try to hold a zone.
+// QueryZone returns the revision of the router's settings and whether this host
+// should try to hold the placement of a zone.
 func (l *LocalClient) QueryZone(ctx context.Context, zone string) (rev uint64, candidate bool, err error) {
 	var a localAnswer
 	err = l.peers.decode(ctx, http.MethodGet, l.Address, pathLocal+"?zone="+url.QueryEscape(zone), nil, &a)
--- a/router/peers.go
+++ b/router/peers.go
@@ -20,22 +20,23 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// peerClient speaks to other hosts.
+// peerClient sends requests to other hosts.
 type peerClient struct {
 	http  *http.Client
 	bytes atomic.Int64
 }
 
-// newPeerClient returns a client with connections that are kept.
+// newPeerClient returns a client that keeps idle connections.
 func newPeerClient() *peerClient {
 	t := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	return &peerClient{http: &http.Client{Transport: t}}
 }
 
-// maxPeerAnswer bounds an answer of a peer, in bytes: a settings chunk at the most.
+// maxPeerAnswer is the maximum size of a peer's answer, in bytes. The largest
+// answers are settings chunks.
 const maxPeerAnswer = 2 * keyval.MaxValue
 
-// call sends one request with a JSON body and returns the answer's content.
+// call sends a request with a JSON body and returns the body of the answer.
 func (c *peerClient) call(ctx context.Context, method, address, path string, in any) ([]byte, error) {
 	req, err := jsoncall.Request(ctx, method, "http://"+address+path, in)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return b, err
 }
 
-// decode calls and decodes a JSON answer.
+// decode sends a request and decodes the JSON answer into out.
 func (c *peerClient) decode(ctx context.Context, method, address, path string, in, out any) error {
 	b, err := c.call(ctx, method, address, path, in)
 	if err != nil {
@@ -80,27 +81,28 @@
 	return c.call(ctx, http.MethodGet, address, pathChunk+digest, nil)
 }
 
-// record asks a witness to record a batch.
+// record asks a witness to record a batch of IDs.
 func (c *peerClient) record(ctx context.Context, address string, b recordBody) ([]uint8, error) {
 	var ans recordAnswer
 	err := c.decode(ctx, http.MethodPost, address, pathRecord, b, &ans)
 	return ans.Acks, err
 }
 
-// closeID asks a witness about an ID, closing it if nothing is recorded.
+// closeID asks a witness what is recorded of an ID. The witness closes the ID if
+// nothing is recorded.
 func (c *peerClient) closeID(ctx context.Context, address string, id once.ID) (once.Finding, string, error) {
 	var ans closeAnswer
 	err := c.decode(ctx, http.MethodPost, address, pathClose+id.String(), nil, &ans)
 	return once.Finding(ans.Finding), ans.Endpoint, err
 }
 
-// query asks an owner what became of an ID.
+// query asks the owner of an ID for the outcome of the request.
 func (c *peerClient) query(ctx context.Context, address string, id once.ID) (*problem.Problem, error) {
 	var p problem.Problem
 	return &p, c.decode(ctx, http.MethodPost, address, pathQuery+id.String(), nil, &p)
 }
 
-// handover gives a witness's state to a successor.
+// handover sends the state of a witness to a successor.
 func (c *peerClient) handover(ctx context.Context, address string, h once.Handover) error {
 	_, err := c.call(ctx, http.MethodPost, address, pathHandover, h)
 	return err
--- a/router/resume.go
+++ b/router/resume.go
@@ -15,9 +15,10 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// serveResume continues a lost stream after the piece that the caller names. The
-// owner does it if it can be reached, so that its figures and its cancelling
-// stay right; otherwise any host does.
+// serveResume resumes a lost stream after the last piece that the caller
+// received. The owner serves the resumption if it can be reached, because it
+// keeps the metrics of the request and cancels abandoned streams; otherwise this
+// host does.
 func (r *Router) serveResume(w http.ResponseWriter, req *http.Request) {
 	id, err := once.ParseID(mux.Vars(req)["id"])
 	if err != nil {
@@ -36,7 +37,7 @@
 	r.resume(w, req, id, mux.Vars(req)["endpoint"], last+1)
 }
 
-// resume continues a stream from this host.
+// resume resumes a stream from this host, starting with piece from.
 func (r *Router) resume(w http.ResponseWriter, req *http.Request, id once.ID, endpointName string, from int) {
 	engine := r.engineByName(endpointName)
 	if engine == nil {
@@ -57,7 +58,8 @@
 	r.streamOrphan(w, endpointName, checked)
 }
 
-// reclaimStream stops the cancelling of a stream of this owner and returns it.
+// reclaimStream stops the pending cancellation of a stream that this host owns
+// and returns its request. It returns nil if there is no such stream.
 func (r *Router) reclaimStream(id once.ID) *engineRequest {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
@@ -69,7 +71,8 @@
 	return a
 }
 
-// streamOrphan passes on the stream of a request whose owner is gone.
+// streamOrphan passes the stream of a request whose owner cannot be reached to
+// the caller.
 func (r *Router) streamOrphan(w http.ResponseWriter, endpointName string, s *endpoint.Checked) {
 	defer func() { _ = s.Close() }()
 	w.Header().Set(HeaderID, s.ID)
--- a/router/router.go
+++ b/router/router.go
@@ -27,42 +27,46 @@
 
 // Defaults of a Router.
 const (
-	// DefaultMinReportInterval is the least time between reads of an endpoint's report.
+	// DefaultMinReportInterval is the minimum time between two reads of an
+	// endpoint's report.
 	DefaultMinReportInterval = 500 * time.Millisecond
-	// DefaultMaxReportRate bounds the reports read from all endpoints together, a
-	// second: about 0.75 KB each, so that they keep to 8 KB/s.
+	// DefaultMaxReportRate is the maximum number of reports per second that are read
+	// from all endpoints together. A report has about 0.75 KB, so the reports take
+	// at most 8 KB/s.
 	DefaultMaxReportRate = 10
-	// DefaultGenerationInterval is the time after which a new generation of IDs begins.
+	// DefaultGenerationInterval is the time between two generations of IDs.
 	DefaultGenerationInterval = 10 * time.Minute
-	// DefaultWitnessTimeout bounds the wait for a witness's acknowledgement.
+	// DefaultWitnessTimeout is the timeout for a witness's acknowledgement.
 	DefaultWitnessTimeout = 500 * time.Millisecond
-	// DefaultCancelGrace is how long a stream goes on for a caller that lost its
-	// connection and has an ID to resume with.
+	// DefaultCancelGrace is how long a stream continues after its caller lost the
+	// connection, if the caller has an ID to resume with.
 	DefaultCancelGrace = time.Second
-	// DefaultMaxBodyMemory bounds the bodies that are held at once, in bytes.
+	// DefaultMaxBodyMemory is the maximum memory of all request bodies held at the
+	// same time, in bytes.
 	DefaultMaxBodyMemory = 64 << 20
-	// DefaultMaxWatched is the number of endpoints of a model and region above
-	// which a host watches only a part of them.
+	// DefaultMaxWatched is the number of engines above which a host watches only a
+	// part of them.
 	DefaultMaxWatched = 24
-	// tickInterval is the time between looks at what time alone changes.
+	// tickInterval is the time between two calls of the scheduler's Tick.
 	tickInterval = 50 * time.Millisecond
 )
 
-// Router is one host. Set the exported fields, then call Run.
+// Router implements one host. Set the exported fields, then call Run.
 type Router struct {
-	// Self is this host's record; Incarnation must be drawn anew at each start.
+	// Self is this host's record. Its Incarnation must be a new one at each start.
 	Self fleet.Host
-	// KV and List are the platform's; List may be nil.
+	// KV and List are the platform's key-value store and list of hosts; List may be
+	// nil.
 	KV   keyval.KV
 	List keyval.HostList
-	// Sched holds the policy's figures.
+	// Sched is the configuration of the scheduler.
 	Sched sched.Config
 	// MaxAge is how long callers keep an address answer; 0 means fleet.DefaultMaxAge.
 	MaxAge time.Duration
 	// HeartbeatInterval is the time between heartbeats; 0 means fleet.DefaultInterval.
 	HeartbeatInterval time.Duration
-	// MinReportInterval, ReportRate, Generation, WitnessTimeout, CancelGrace, Memory and Watched
-	// default to the constants above.
+	// MinReportInterval, MaxReportRate, GenerationInterval, WitnessTimeout,
+	// CancelGrace, MaxBodyMemory and MaxWatched default to the constants above.
 	MinReportInterval  time.Duration
 	MaxReportRate      float64
 	GenerationInterval time.Duration
@@ -70,14 +74,16 @@
 	CancelGrace        time.Duration
 	MaxBodyMemory      int64
 	MaxWatched         int
-	// OnDrain is called when an operator asks the host to leave; nil refuses that.
+	// OnDrain is called when an operator requests a drain of the host. If it is nil,
+	// such requests are refused.
 	OnDrain func()
-	// Trace is told of each stage of each request, on the request's own
-	// goroutine, which it may hold up; nil means nobody.
+	// Trace is called at each stage of each request, on the goroutine of the
+	// request, which it may block; it may be nil.
 	Trace func(s Stage, id string)
-	// Log takes changes of state.
+	// Log logs changes of state.
 	Log logr.Logger
-	// Clock is the host's clock; nil means one that counts suspensions.
+	// Clock is the host's clock; nil means a clock that includes the time for which
+	// the machine was suspended.
 	Clock *clock.Clock
 
 	once               sync.Once
@@ -88,7 +94,7 @@
 	engineClient       *http.Client
 	serviceTransport   *http.Transport
 	bodyMemory         atomic.Int64
-	openRequests       atomic.Int64 // requests accepted and not yet ended
+	openRequests       atomic.Int64 // accepted and not ended
 	cachedHosts        atomic.Pointer[[]fleet.Host]
 	cachedHostsVersion atomic.Uint64
 
@@ -107,7 +113,7 @@
 	draining      atomic.Bool
 }
 
-// target is an endpoint and the means to reach it.
+// target is an endpoint with the clients that reach it.
 type target struct {
 	settings.Endpoint
 	engine  endpoint.Engine
@@ -115,7 +121,7 @@
 	stop    context.CancelFunc
 }
 
-// init makes what the handlers and loops share.
+// init sets the defaults and creates the state that the handlers and loops share.
 func (r *Router) init() {
 	r.once.Do(func() {
 		setDefault(&r.MaxAge, fleet.DefaultMaxAge)
@@ -156,7 +162,7 @@
 	})
 }
 
-// setDefault sets a zero value to its default.
+// setDefault sets *p to v if it is zero.
 func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
@@ -164,10 +170,11 @@
 	}
 }
 
-// now is the time of the host's clock, which is the scheduler's.
+// now returns the time of the host's clock. The scheduler uses the same clock.
 func (r *Router) now() time.Duration { return r.Clock.Now() }
 
-// Run keeps the host going until ctx ends; serve Handler meanwhile.
+// Run runs the host's loops until ctx ends. The caller must serve Handler
+// meanwhile.
 func (r *Router) Run(ctx context.Context) {
 	r.init()
 	var wg sync.WaitGroup
@@ -183,7 +190,8 @@
 	r.peers.http.CloseIdleConnections()
 }
 
-// tick looks at what time alone changes.
+// tick lets the scheduler apply what changes with time only, such as timeouts,
+// and updates its number of hosts.
 func (r *Router) tick(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -202,7 +210,8 @@
 	}
 }
 
-// advanceGenerations begins a new generation of IDs now and then.
+// advanceGenerations starts a new generation of IDs every GenerationInterval and
+// drops witness copies that have become empty.
 func (r *Router) advanceGenerations(ctx context.Context) {
 	for {
 		select {
@@ -226,7 +235,8 @@
 	}
 }
 
-// copiedWitnesses lists the witnesses taken over; onceMu must be held.
+// copiedWitnesses returns the incarnations of the witnesses of which this host
+// holds a copy. The caller must hold onceMu.
 func (r *Router) copiedWitnesses() []once.Incarnation {
 	out := make([]once.Incarnation, 0, len(r.witnessCopies))
 	for id := range r.witnessCopies {
@@ -235,8 +245,8 @@
 	return out
 }
 
-// liveHosts returns the hosts that may be named, from a copy that is made anew when
-// the table changed.
+// liveHosts returns the hosts that may be named in answers. It caches them until
+// the table changes.
 func (r *Router) liveHosts() []fleet.Host {
 	var out []fleet.Host
 	r.agent.View(func(t *fleet.Table) {
@@ -251,16 +261,16 @@
 	return out
 }
 
-// liveHostCount is the number of live hosts.
+// liveHostCount returns the number of live hosts, at least 1.
 func (r *Router) liveHostCount() int { return max(1, len(r.liveHosts())) }
 
-// hostsPerRole is the number of hosts of a zone that watch the settings' head,
-// and of those that try to hold its placement.
+// hostsPerRole is the number of hosts per zone that watch the settings' head, and
+// the number of those that try to hold the zone's placement.
 const hostsPerRole = 2
 
-// hasRole reports whether this host is one of those that do a zone's work of a
-// kind: the first by rendezvous hashing among the zone's hosts, or among all if
-// it has none.
+// hasRole reports whether this host has a role for a zone. The first hostsPerRole
+// hosts by rendezvous hashing have it, among the hosts of the zone or, if it has
+// none, among all hosts.
 func (r *Router) hasRole(role, zone string) bool {
 	all := r.liveHosts()
 	var inZone []fleet.Host
@@ -283,16 +293,17 @@
 // isRelay reports whether this host watches the settings' head for its zone.
 func (r *Router) isRelay() bool { return r.hasRole("relay", r.Self.Zone) }
 
-// IsPlacerCandidate reports whether this host should try to hold a zone's placement.
+// IsPlacerCandidate reports whether this host should try to hold the placement of
+// a zone.
 func (r *Router) IsPlacerCandidate(zone string) bool { return r.hasRole("placer/", zone) }
 
-// Snapshot returns the settings in force, or nil.
+// Snapshot returns the settings in force, or nil if there are none yet.
 func (r *Router) Snapshot() *settings.Snapshot {
 	r.init()
 	return r.follower.Snapshot()
 }
 
-// sharingHosts is the number of hosts that serve a workspace.
+// sharingHosts returns the number of hosts that serve a workspace.
 func (r *Router) sharingHosts(workspace string) int {
 	s := r.follower.Snapshot()
 	if s == nil {
@@ -301,7 +312,8 @@
 	return min(max(1, s.Hosts(workspace)), r.liveHostCount())
 }
 
-// pullSettings pulls settings from a peer that has a higher revision.
+// pullSettings reads settings from a peer that has a higher revision. It does not
+// block.
 func (r *Router) pullSettings(rev uint64, address string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
@@ -312,16 +324,17 @@
 	}()
 }
 
-// pullTimeout bounds the reading of settings from a peer.
+// pullTimeout is the timeout for reading settings from a peer.
 const pullTimeout = 5 * time.Second
 
-// applySettings puts new settings to use.
+// applySettings applies the endpoints of new settings and announces the new
+// revision to peers.
 func (r *Router) applySettings(s *settings.Snapshot) {
 	r.applyEndpoints(s.Fleet.Endpoints)
 	r.agent.Kick()
 }
 
-// sheddingFloors gives the shedding floors for heartbeats.
+// sheddingFloors returns the scheduler's shedding floors for heartbeats.
 func (r *Router) sheddingFloors() []fleet.Floor {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -332,7 +345,7 @@
 	return out
 }
 
-// applyPeerFloors takes the floors of a peer.
+// applyPeerFloors applies the shedding floors of a peer to the scheduler.
 func (r *Router) applyPeerFloors(fs []fleet.Floor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/serve.go
+++ b/router/serve.go
@@ -46,7 +46,7 @@
 	return m
 }
 
-// serveAddress answers which hosts a workspace's callers should use.
+// serveAddress returns the hosts that a workspace's callers should use.
 func (r *Router) serveAddress(w http.ResponseWriter, req *http.Request) {
 	workspace := req.URL.Query().Get("workspace")
 	s := r.follower.Snapshot()
@@ -61,7 +61,7 @@
 	writeJSON(w, r.addressAnswer(workspace, s.Hosts(workspace), s.Revision))
 }
 
-// addressAnswer makes the answer for a workspace.
+// addressAnswer returns the address answer for a workspace that k hosts serve.
 func (r *Router) addressAnswer(workspace string, k int, rev uint64) fleet.Answer {
 	live := r.liveHosts()
 	set := fleet.Set(workspace, r.Self.Region, live, k)
@@ -81,7 +81,7 @@
 	return ans
 }
 
-// serveHeartbeat takes a peer's heartbeat.
+// serveHeartbeat receives a peer's heartbeat and answers with this host's.
 func (r *Router) serveHeartbeat(w http.ResponseWriter, req *http.Request) {
 	var hb fleet.Heartbeat
 	if err := json.NewDecoder(req.Body).Decode(&hb); err != nil {
@@ -91,7 +91,7 @@
 	writeJSON(w, r.agent.Receive(&hb))
 }
 
-// serveHead gives peers the head record of the settings in force.
+// serveHead returns the head record of the settings in force to a peer.
 func (r *Router) serveHead(w http.ResponseWriter, req *http.Request) {
 	b := r.follower.Head()
 	if b == nil {
@@ -101,8 +101,8 @@
 	writeCompressed(w, req, b)
 }
 
-// writeCompressed sends settings compressed: they are read by every host at every
-// change, and entries repeat each other.
+// writeCompressed writes settings, compressed if the client accepts gzip. Every
+// host reads the settings after every change, and their entries are repetitive.
 func writeCompressed(w http.ResponseWriter, req *http.Request, b []byte) {
 	if !strings.Contains(req.Header.Get("Accept-Encoding"), "gzip") {
 		_, _ = w.Write(b)
@@ -114,7 +114,7 @@
 	_ = z.Close()
 }
 
-// serveChunk gives peers a chunk of the settings in force.
+// serveChunk returns a chunk of the settings in force to a peer.
 func (r *Router) serveChunk(w http.ResponseWriter, req *http.Request) {
 	b := r.follower.Chunk(mux.Vars(req)["digest"])
 	if b == nil {
@@ -124,7 +124,7 @@
 	writeCompressed(w, req, b)
 }
 
-// serveExplain tells how a request was decided.
+// serveExplain returns the scheduler's decisions on a request.
 func (r *Router) serveExplain(w http.ResponseWriter, req *http.Request) {
 	id := mux.Vars(req)["id"]
 	r.mu.Lock()
--- a/router/status.go
+++ b/router/status.go
@@ -15,37 +15,41 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// Status is what a host tells operators.
+// Status is the state that a host reports to operators.
 type Status struct {
-	// Host is its own record.
+	// Host is the host's own record.
 	Host fleet.Host `json:"host"`
-	// Hosts are all records that it knows.
+	// Hosts holds all host records that it knows.
 	Hosts []fleet.Host `json:"hosts"`
-	// Revision is the settings' revision in force, SeenRevision the highest heard of.
+	// Revision is the revision of the settings in force. SeenRevision is the highest
+	// revision that the host has learned of.
 	Revision     uint64 `json:"revision"`
 	SeenRevision uint64 `json:"seen_revision"`
-	// Ready says whether it takes requests, and WhyNot what it lacks.
+	// Ready says whether the host accepts requests. NotReadyReason says why it does
+	// not.
 	Ready          bool   `json:"ready"`
 	NotReadyReason string `json:"why_not,omitempty"`
-	// Waiting and Active count requests.
+	// Waiting is the number of requests in the scheduler's queue. Active is the
+	// number of requests dispatched to engines.
 	Waiting int `json:"waiting"`
 	Active  int `json:"active"`
-	// Relay says whether it watches the settings' head.
+	// Relay says whether the host watches the settings' head.
 	Relay bool `json:"relay"`
-	// OwnedIDs and WitnessedIDs count records of requests.
+	// OwnedIDs and WitnessedIDs are the numbers of records that the host holds as
+	// owner and as witness.
 	OwnedIDs     int `json:"owned_ids"`
 	WitnessedIDs int `json:"witnessed_ids"`
-	// BodyBytes is the memory held by bodies and PeerBytes the content exchanged
-	// with peers since the start.
+	// BodyBytes is the memory held by request bodies. PeerBytes is the number of
+	// bytes in bodies exchanged with peers since the start.
 	BodyBytes int64 `json:"body_bytes"`
 	PeerBytes int64 `json:"peer_bytes"`
-	// Heartbeats and Settings count what they cost.
+	// Heartbeats counts the traffic of heartbeats.
 	Heartbeats fleet.Traffic `json:"heartbeats"`
-	// HeapBytes is the memory in use.
+	// HeapBytes is the heap memory in use.
 	HeapBytes uint64 `json:"heap_bytes"`
 }
 
-// notReadyReason says what the host lacks to take requests, or nothing.
+// notReadyReason returns why the host does not accept requests, or "" if it does.
 func (r *Router) notReadyReason() string {
 	switch {
 	case r.draining.Load():
@@ -79,18 +83,19 @@
 	return st
 }
 
-// serveStatus gives the host's state.
+// serveStatus returns the host's state to operators.
 func (r *Router) serveStatus(w http.ResponseWriter, _ *http.Request) { writeJSON(w, r.Status()) }
 
-// serveReady tells whether the host takes requests.
+// serveReady answers whether the host accepts requests.
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if reason := r.notReadyReason(); reason != "" {
 		problem.Write(w, problem.New(problem.NotReady, "wait or use another host", "%s", reason))
 	}
 }
 
-// serveVars gives all metrics in the form of expvar. The host's own are added
-// here rather than published, so that several hosts may live in one process.
+// serveVars returns all metrics in the format of expvar. The host's own metrics
+// are added here rather than published, so that several hosts can run in one
+// process.
 func (r *Router) serveVars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	st, _ := json.Marshal(r.Status())
--- a/router/targets.go
+++ b/router/targets.go
@@ -18,7 +18,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// applyEndpoints takes the declared endpoints and watches this host's part of them.
+// applyEndpoints applies the declared endpoints: it watches this host's part of
+// them, stops watching the others, and updates the scheduler.
 func (r *Router) applyEndpoints(list []settings.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,8 +43,8 @@
 	r.deliverDecisions()
 }
 
-// selectWatched returns all plain services and, of the engines, at most n, chosen
-// by rendezvous hashing of host and endpoint.
+// selectWatched returns all plain services and at most n engines, which it
+// selects by rendezvous hashing of host and endpoint.
 func selectWatched(list []settings.Endpoint, host string, n int) []settings.Endpoint {
 	var engines, out []settings.Endpoint
 	for _, e := range list {
@@ -61,7 +62,8 @@
 	return append(out, engines...)
 }
 
-// setTarget makes or replaces the means to reach an endpoint; mu must be held.
+// setTarget creates the target of an endpoint, or replaces it if the address or
+// kind changed. The caller must hold mu.
 func (r *Router) setTarget(e settings.Endpoint) {
 	old := r.targets[e.Name]
 	if old != nil && old.Address == e.Address && old.Engine == e.Engine {
@@ -78,14 +80,14 @@
 		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	} else {
 		t.service = &endpoint.Service{Base: base, Transport: r.serviceTransport}
-		// Reports of services may reuse connections; calls may not.
+		// Reads of a service's reports may reuse connections; calls to it may not.
 		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	}
 	r.targets[e.Name] = t
 	go r.pollReports(ctx, t.Name, t.engine)
 }
 
-// pollReports reads an endpoint's reports until ctx ends.
+// pollReports reads and applies an endpoint's reports until ctx ends.
 func (r *Router) pollReports(ctx context.Context, name string, e endpoint.Engine) {
 	after := uint64(0)
 	for ctx.Err() == nil {
@@ -104,8 +106,8 @@
 	}
 }
 
-// reportInterval is the time between reads of one endpoint's report, so that all
-// together keep to the rate.
+// reportInterval returns the time between two reads of one endpoint's report. It
+// keeps the reads of all endpoints together within MaxReportRate.
 func (r *Router) reportInterval() time.Duration {
 	r.mu.Lock()
 	n := len(r.targets)
@@ -113,7 +115,7 @@
 	return max(r.MinReportInterval, time.Duration(float64(n)/r.MaxReportRate*float64(time.Second)))
 }
 
-// applyReport hands a report to the scheduler.
+// applyReport applies an endpoint's report and cache events to the scheduler.
 func (r *Router) applyReport(name string, rep endpoint.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +136,8 @@
 	r.deliverDecisions()
 }
 
-// applyHostList takes a reading of the platform's list: endpoints that leave get no new work.
+// applyHostList applies a new copy of the platform's list. Endpoints that are
+// leaving get no new requests.
 func (r *Router) applyHostList(entries []keyval.ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +149,7 @@
 	}
 	for name, t := range r.targets {
 		if leaving[name] != r.leavingEndpoints[name] {
-			r.Log.Info("endpoint leaving", "endpoint", name, "leaving", leaving[name])
+			r.Log.Info("endpoint leaving state changed", "endpoint", name, "leaving", leaving[name])
 		}
 		r.sched.SetLeaving(name, t.Leaving || leaving[name])
 	}
@@ -154,7 +157,8 @@
 	r.deliverDecisions()
 }
 
-// isLeaving reports whether an endpoint gets no new work.
+// isLeaving reports whether an endpoint gets no new requests because it is
+// leaving or no longer a target.
 func (r *Router) isLeaving(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,14 +166,15 @@
 	return t == nil || t.Leaving || r.leavingEndpoints[name]
 }
 
-// target returns the means to reach an endpoint, or nil.
+// target returns the target of an endpoint, or nil if the host does not watch it.
 func (r *Router) target(name string) *target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.targets[name]
 }
 
-// engineByName returns a client for any declared engine, watched or not, or nil.
+// engineByName returns a client of a declared engine, watched or not, or nil if
+// the engine is not declared.
 func (r *Router) engineByName(name string) endpoint.Engine {
 	if t := r.target(name); t != nil {
 		return t.engine
@@ -186,7 +191,8 @@
 	return nil
 }
 
-// AllEndpointsReported reports whether every endpoint that the host watches has reported.
+// AllEndpointsReported reports whether the host watches any endpoints and has a
+// report of each of them.
 func (r *Router) AllEndpointsReported() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/trace.go
+++ b/router/trace.go
@@ -4,24 +4,26 @@
 
 package router
 
-// Stage is a point on a request's way through a host.
+// Stage is a point in the processing of a request.
 type Stage string
 
-// The stages, in the order in which a request passes them.
+// The stages, in the order in which a request reaches them.
 const (
-	// StageAccepted: the owner has made its record.
+	// StageAccepted means that the owner has created the record.
 	StageAccepted Stage = "accepted"
-	// StageWitnessed: the witness has noted the ID and not answered yet.
+	// StageWitnessed means that the witness has processed the ID and not yet
+	// answered.
 	StageWitnessed Stage = "witnessed"
-	// StageRecorded: the owner has the witness's acknowledgement.
+	// StageRecorded means that the owner has the witness's acknowledgement.
 	StageRecorded Stage = "recorded"
-	// StageDispatched: the owner has the right to send and has not sent yet.
+	// StageDispatched means that the owner has granted the dispatch and nothing is
+	// sent yet.
 	StageDispatched Stage = "dispatched"
-	// StageSent: the endpoint has begun its answer.
+	// StageSent means that the endpoint has started its answer.
 	StageSent Stage = "sent"
 )
 
-// trace tells the observer, if there is one.
+// trace calls Trace, if it is set.
 func (r *Router) trace(s Stage, id string) {
 	if r.Trace != nil {
 		r.Trace(s, id)
--- a/router/witness.go
+++ b/router/witness.go
@@ -16,25 +16,25 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// maxRecordBatch bounds the IDs in one message to a witness.
+// maxRecordBatch is the maximum number of IDs in one message to a witness.
 const maxRecordBatch = 256
 
-// recorder sends IDs to one witness, in batches: what comes while a message is
-// on its way goes with the next.
+// recorder sends IDs to one witness in batches. IDs that arrive while a message
+// is in flight are sent with the next one.
 type recorder struct {
 	mu      sync.Mutex
 	queue   []pendingRecord
 	sending bool
 }
 
-// pendingRecord is an ID that waits for its acknowledgement.
+// pendingRecord is an ID that waits for an acknowledgement.
 type pendingRecord struct {
 	req once.RecordRequest
 	ack chan once.Ack
 }
 
-// record makes the witness record a request before its dispatch. It returns
-// the state that the record is in afterwards: Recorded or Refused.
+// record has the witness record a request before its dispatch. It returns the
+// state of the owner's record afterwards, which is once.Recorded on success.
 func (r *Router) record(ctx context.Context, rec *once.Record, endpoint string) once.State {
 	r.onceMu.Lock()
 	if rec.State == once.Recorded {
@@ -54,7 +54,8 @@
 	return rec.State
 }
 
-// requestRecord sends one ID and waits; no answer in time counts as a refusal.
+// requestRecord asks the witness of an ID to record it and waits for the answer.
+// A timeout counts as a refusal.
 func (r *Router) requestRecord(ctx context.Context, req once.RecordRequest) once.Ack {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.WitnessTimeout)
 	defer cancel()
@@ -88,7 +89,7 @@
 	return rec
 }
 
-// sendRecords sends batches until nothing waits.
+// sendRecords sends batches until the queue is empty.
 func (r *Router) sendRecords(rec *recorder, id once.Incarnation) {
 	for {
 		rec.mu.Lock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// sendBatch sends one batch and hands out the acknowledgements.
+// sendBatch sends one batch and distributes the acknowledgements.
 func (r *Router) sendBatch(batch []pendingRecord, id once.Incarnation) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.WitnessTimeout)
 	defer cancel()
@@ -115,9 +116,9 @@
 		body.Endpoints = append(body.Endpoints, p.req.Endpoint)
 	}
 	var acks []uint8
-	// Only the witness itself records; copies that others hold are sealed.
+	// Only the witness itself records IDs; the copies at other hosts are sealed.
 	if h, ok := r.findHost(id); ok {
-		// An error leaves acks empty: the IDs are refused below.
+		// After an error acks is empty, so the IDs are refused below.
 		acks, _ = r.peers.record(ctx, h.Address, body)
 	}
 	for i, p := range batch {
@@ -129,19 +130,20 @@
 	}
 }
 
-// witnessHosts finds the hosts that may answer for a witness.
+// witnessHosts returns the hosts that may answer for a witness.
 func (r *Router) witnessHosts(id once.Incarnation) (out []fleet.Host) {
 	r.agent.View(func(t *fleet.Table) { out = t.Witnesses(id) })
 	return out
 }
 
-// findHost finds an incarnation that has not ended.
+// findHost returns the host with an incarnation, unless the host is gone.
 func (r *Router) findHost(id once.Incarnation) (h fleet.Host, ok bool) {
 	r.agent.View(func(t *fleet.Table) { h, ok = t.Find(id) })
 	return h, ok && !h.Gone
 }
 
-// localWitness returns the own witness machine of an incarnation, or nil; onceMu must be held.
+// localWitness returns this host's witness for an incarnation: its own, a copy,
+// or nil. The caller must hold onceMu.
 func (r *Router) localWitness(id once.Incarnation) *once.Witness {
 	if id == r.witness.Self() {
 		return r.witness
@@ -149,7 +151,7 @@
 	return r.witnessCopies[id]
 }
 
-// serveRecord records a batch for an owner elsewhere.
+// serveRecord records a batch of IDs for an owner on another host.
 func (r *Router) serveRecord(w http.ResponseWriter, req *http.Request) {
 	var body recordBody
 	if err := json.NewDecoder(req.Body).Decode(&body); err != nil || len(body.IDs) != len(body.Endpoints) {
@@ -168,7 +170,7 @@
 	writeJSON(w, ans)
 }
 
-// recordLocal records one ID; onceMu must be held.
+// recordLocal records one ID at this host. The caller must hold onceMu.
 func (r *Router) recordLocal(text, endpoint string) once.Ack {
 	id, err := once.ParseID(text)
 	if err != nil {
@@ -181,7 +183,8 @@
 	return w.Record(once.RecordRequest{ID: id, Endpoint: endpoint})
 }
 
-// serveClose tells a caller's host what is recorded of an ID.
+// serveClose closes an ID at this host's witness and returns the finding to
+// another host.
 func (r *Router) serveClose(w http.ResponseWriter, req *http.Request) {
 	id, err := once.ParseID(mux.Vars(req)["id"])
 	if err != nil {
@@ -192,7 +195,7 @@
 	writeJSON(w, closeAnswer{uint8(f), endpoint})
 }
 
-// closeLocal asks the own witness machines about an ID.
+// closeLocal closes an ID at this host if the host answers for the ID's witness.
 func (r *Router) closeLocal(id once.ID) (once.Finding, string) {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
@@ -203,7 +206,7 @@
 	return w.Close(id)
 }
 
-// serveHandover takes the records of a witness that leaves.
+// serveHandover receives the records of a witness whose host is leaving.
 func (r *Router) serveHandover(w http.ResponseWriter, req *http.Request) {
 	var h once.Handover
 	if err := json.NewDecoder(req.Body).Decode(&h); err != nil {
@@ -227,15 +230,15 @@
 	writeJSON(w, struct{}{})
 }
 
-// writeJSON sends v as the answer.
+// writeJSON writes v as a JSON answer.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// CloseID closes an ID at this witness, as for a caller whose owner cannot be
-// reached; it reports whether the request was never dispatched, and otherwise
-// the endpoint recorded.
+// CloseID closes an ID at this host's witness, as for a caller that cannot reach
+// the owner. It reports whether the request was never dispatched and never will
+// be; otherwise it returns the recorded endpoint, if there is one.
 func (r *Router) CloseID(id string) (notRun bool, endpoint string) {
 	parsed, err := once.ParseID(id)
 	if err != nil {
