--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -24,7 +24,7 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// newInstantEngine is an engine that answers at once.
+// newInstantEngine returns an engine that answers immediately with n tokens.
 func newInstantEngine(n int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == endpoint.PathLoad {
@@ -51,8 +51,8 @@
 	})
 }
 
-// runLoad does b.N requests over some connections and reports the median time and
-// the processor time of the whole process.
+// runLoad sends b.N requests from concurrent callers. It reports the median
+// latency and the CPU time of the whole process per request.
 func runLoad(b *testing.B, callers int, sendOne func(c *http.Client)) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for range callers {
@@ -82,14 +82,15 @@
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// cpuTime is the processor time of the process.
+// cpuTime returns the CPU time of the process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchHost starts one host and instant engines.
+// benchHost starts one host and two instant engines and returns the addresses of
+// the host and of one engine.
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
 	r.Tune = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
@@ -106,7 +107,7 @@
 	return r.Nodes[0].Address, s.Address
 }
 
-// postCompletion sends one streaming request and reads the answer.
+// postCompletion sends a streaming request and reads the whole answer.
 func postCompletion(c *http.Client, host string) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+endpoint.PathCompletions, strings.NewReader(`{"model":"m","prompt":"hello","max_tokens":100,"stream":true}`))
 	req.Header.Set(router.HeaderWorkspace, "w")
@@ -120,8 +121,9 @@
 	_ = resp.Body.Close()
 }
 
-// BenchmarkPath compares a call through a host with a direct one; the difference
-// is what the host adds, with the engine and the caller in the same process.
+// BenchmarkPath compares requests through a host with requests sent directly to an
+// engine. The difference is the overhead of the host; the engine and the callers
+// run in the same process.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 100} {
 		for _, callers := range []int{1, 16, 256} {
@@ -139,8 +141,8 @@
 	}
 }
 
-// BenchmarkOnce compares plain calls that may be repeated with calls that are
-// recorded at a witness first.
+// BenchmarkOnce compares calls to plain services that may be repeated with calls
+// that are recorded at a witness first.
 func BenchmarkOnce(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		for _, service := range []string{"look", "push"} {
@@ -186,7 +188,7 @@
 	}
 }
 
-// BenchmarkIdleHost gives the memory and processor time of a host without requests.
+// BenchmarkIdleHost measures the memory and CPU time of a host without requests.
 func BenchmarkIdleHost(b *testing.B) {
 	for b.Loop() {
 		r := &dev.Cluster{Declaration: parse(b), Hosts: 7}
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -25,12 +25,12 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// newClient makes a client of workspace w.
+// newClient returns a client of workspace w.
 func newClient(r *testCluster) *client.Client {
 	return &client.Client{Seeds: r.Addresses(), Workspace: "w"}
 }
 
-// setEngines gives all engines the same faults.
+// setEngines injects the same faults into all engines.
 func (r *testCluster) setEngines(f fake.EngineFaults) {
 	for _, e := range r.Engines {
 		e.SetFaults(f)
@@ -47,9 +47,10 @@
 	return highest
 }
 
+// tokenCount is the number of tokens requested.
 const tokenCount = 20
 
-// expectedText is the answer that the stand-in engines give.
+// expectedText returns the complete answer of the fake engines.
 func expectedText() string {
 	var b strings.Builder
 	for i := range tokenCount {
@@ -58,6 +59,8 @@
 	return b.String()
 }
 
+// TestAnswersAreComplete checks that a caller gets either the complete answer or
+// an error with the outcome Unknown, and that no engine runs a request twice.
 func TestAnswersAreComplete(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -93,6 +96,8 @@
 	}
 }
 
+// TestStreamSurvivesOwnerCrash checks that a client resumes a stream at another
+// host when the owner dies in the middle of it.
 func TestStreamSurvivesOwnerCrash(t *testing.T) {
 	r := newTestCluster(t, nil)
 	for _, e := range r.Engines {
@@ -106,7 +111,7 @@
 	go func() {
 		<-reached
 		release()
-		eventually(t, "a token is out", func() bool { return r.busyEngines() > 0 })
+		eventually(t, "an engine runs the request", func() bool { return r.busyEngines() > 0 })
 		time.Sleep(100 * time.Millisecond)
 		owner.Kill()
 	}()
@@ -119,7 +124,7 @@
 	must.Eq(t, 1, r.maxRuns())
 }
 
-// busyEngines counts the engines with requests.
+// busyEngines returns the number of engines with active requests.
 func (r *testCluster) busyEngines() int {
 	n := 0
 	for _, e := range r.Engines {
@@ -130,6 +135,8 @@
 	return n
 }
 
+// TestDisconnectCancelsStream checks that the stream of a caller that
+// disconnects is canceled at its engine, with and without an ID of the caller.
 func TestDisconnectCancelsStream(t *testing.T) {
 	r := newTestCluster(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
 	for _, e := range r.Engines {
@@ -149,7 +156,7 @@
 	}
 }
 
-// newCompletionRequest makes a streaming request.
+// newCompletionRequest returns a streaming request for n tokens.
 func newCompletionRequest(ctx context.Context, host, id string, n int) *http.Request {
 	b, _ := json.Marshal(endpoint.CompletionBody{Model: "m", Prompt: "p", MaxTokens: n, Stream: true})
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+router.PathCompletions, bytes.NewReader(b))
@@ -161,6 +168,8 @@
 	return req
 }
 
+// TestSlowCallerDoesNotBlockOthers checks that other callers are served while one
+// does not read its stream, and that the slow caller gets its whole answer later.
 func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
 	r := newTestCluster(t, nil)
 	host := r.Nodes[0].Address
@@ -180,6 +189,8 @@
 	must.Eq(t, 4096, strings.Count(string(b), "id: "))
 }
 
+// TestBadRequests checks the kind, the outcome and the presence of a remedy of
+// refusals for invalid requests.
 func TestBadRequests(t *testing.T) {
 	r := newTestCluster(t, nil)
 	host := r.Nodes[0].Address
@@ -215,6 +226,8 @@
 	}
 }
 
+// TestRefusalForBodyIsFinal checks that an ID whose body was too large is not
+// run when it is sent again with a small body: "not run" was reported.
 func TestRefusalForBodyIsFinal(t *testing.T) {
 	r := newTestCluster(t, nil)
 	a := r.address(t, r.Nodes[0]).Addresses[0]
@@ -229,19 +242,20 @@
 	must.Zero(t, r.runs("same"))
 }
 
-// leavingCluster is a cluster whose services leave and come back.
+// leavingCluster is a cluster whose services leave and return.
 type leavingCluster struct {
 	*testCluster
 	t  *testing.T
 	cl *client.Client
 }
 
-// moveWork lets one service leave and the other stay, and waits until nothing goes to the first.
+// moveWork marks one service as leaving and the other as not leaving, and waits
+// until no request is sent to the first.
 func (r *leavingCluster) moveWork(leaves, stays string) {
 	for name, leaving := range map[string]bool{leaves: true, stays: false} {
 		r.Platform.Hosts.Put(keyval.ListEntry{Name: name, Zone: "z1", Endpoint: true, Leaving: leaving})
 	}
-	eventually(r.t, leaves+" is left alone", func() bool {
+	eventually(r.t, leaves+" gets no requests", func() bool {
 		for range 20 {
 			if r.servingEndpoint() == leaves {
 				return false
@@ -251,7 +265,7 @@
 	})
 }
 
-// servingEndpoint sends a request and names the endpoint that answered it.
+// servingEndpoint sends a request and returns the endpoint that answered it.
 func (r *leavingCluster) servingEndpoint() string {
 	a, err := r.cl.Do(context.Background(), client.Call{Service: "look", Method: http.MethodGet, Path: "/"})
 	must.NoError(r.t, err)
@@ -264,8 +278,10 @@
 	l.moveWork("s1", "s2")
 }
 
-// TestDispatchAvoidsEndpointThatLeaves lets the endpoint of a request leave, and all hosts know of it, after the request's owner has chosen it and got the right
-// to send: the request goes to another endpoint. What lies between may take the time of a witness's answer and of a cache's move.
+// TestDispatchAvoidsEndpointThatLeaves guards against sending a request to an
+// endpoint that began to leave after the owner chose it and obtained the right to
+// dispatch. Recording at the witness and importing the cache take time between
+// the choice and the send. The request must go to another endpoint.
 func TestDispatchAvoidsEndpointThatLeaves(t *testing.T) {
 	r := newTestCluster(t, nil)
 	l := &leavingCluster{r, t, newClient(r)}
@@ -288,7 +304,7 @@
 	}
 	for i, releaseGate := range release {
 		if i != owner {
-			releaseGate() // other requests go on there
+			releaseGate() // other requests continue at this host
 		}
 	}
 	l.moveWork("s1", "s2")
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -18,7 +18,7 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// faultScenario is one call with its owner, its witness and a third host.
+// faultScenario is a call with its owner, its witness and a third host.
 type faultScenario struct {
 	*testCluster
 	t                      *testing.T
@@ -27,12 +27,13 @@
 	ownerGate, witnessGate *gate
 }
 
-// newFaultScenario picks an owner whose witness is another host than the one asked later.
+// newFaultScenario creates an ID whose owner is not the host that issued it. The
+// third host, which a case queries later, is neither the owner nor the witness.
 func newFaultScenario(t *testing.T, r *testCluster, unique string) *faultScenario {
 	s := &faultScenario{testCluster: r, t: t}
-	queriedHost := r.Nodes[0]
-	for _, a := range r.address(t, queriedHost).Addresses {
-		if a.Address == queriedHost.Address || a.Witness == "" {
+	issuer := r.Nodes[0]
+	for _, a := range r.address(t, issuer).Addresses {
+		if a.Address == issuer.Address || a.Witness == "" {
 			continue
 		}
 		s.id = a.OncePrefix + unique
@@ -48,15 +49,16 @@
 	return s
 }
 
-// start makes the call at the owner and returns a function that waits for its end.
+// start sends the call to the owner and returns a function that waits for the
+// reply.
 func (s *faultScenario) start() func() reply {
 	done := make(chan reply, 1)
 	go func() { done <- callPush(s.owner.Address, s.id) }()
 	return func() reply { return <-done }
 }
 
-// killOwnerAt calls a service at the owner, kills the owner at a stage of the
-// call, and asks the third host what became of it.
+// killOwnerAt calls a service through the owner, kills the owner at a stage of the
+// call, and queries the third host for the outcome.
 func (s *faultScenario) killOwnerAt(stage router.Stage, service string) reply {
 	reached, _ := s.ownerGate.holdAt(stage)
 	done := make(chan reply, 1)
@@ -67,14 +69,15 @@
 	return queryOutcome(s.third.Address, s.id)
 }
 
-// expectation is what a case expects.
+// expectation is the expected result of a case: the outcome that the caller gets
+// and the number of runs of the call.
 type expectation struct {
 	outcome problem.Outcome
 	runs    int
 }
 
-// faultCases bring about what the protocol is made for. Each returns the last
-// word that the caller got.
+// faultCases are the faults that the protocol must handle. Each case returns the
+// last reply that the caller got.
 var faultCases = []struct {
 	name string
 	want expectation
@@ -83,7 +86,7 @@
 	{"no fault", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
 		return callPush(s.owner.Address, s.id)
 	}},
-	{"owner killed while it waits", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+	{"owner killed while the request waits", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		return s.killOwnerAt(router.StageAccepted, "push")
 	}},
 	{"owner killed between record and dispatch", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
@@ -92,29 +95,29 @@
 	{"owner killed after dispatch", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		return s.killOwnerAt(router.StageSent, "push")
 	}},
-	{"owner paused before the record, goes on after the caller was told", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+	{"owner paused before the record, continues after the ID was closed", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		reached, release := s.ownerGate.holdAt(router.StageAccepted)
 		wait := s.start()
 		<-reached
-		closed := s.closeAtWitness()
+		finding := s.closeAtWitness()
 		release()
 		must.Eq(s.t, problem.NotRun, wait().outcome)
-		return closed
+		return finding
 	}},
-	{"owner paused after the record, goes on after the caller was told", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
+	{"owner paused after the record, continues after the witness was queried", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		reached, release := s.ownerGate.holdAt(router.StageRecorded)
 		wait := s.start()
 		<-reached
-		closed := s.closeAtWitness()
+		finding := s.closeAtWitness()
 		release()
 		must.Eq(s.t, problem.Answered, wait().outcome)
-		return closed
+		return finding
 	}},
 	{"witness dead", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		s.witness.Kill()
 		return callPush(s.owner.Address, s.id)
 	}},
-	{"witness slower than the owner waits", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+	{"witness slower than the owner's timeout", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		_, release := s.witnessGate.holdAt(router.StageWitnessed)
 		r := callPush(s.owner.Address, s.id)
 		release()
@@ -127,7 +130,7 @@
 		s.witness.Kill()
 		return wait()
 	}},
-	{"caller retries at all hosts at once", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
+	{"caller retries at all hosts concurrently", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
 		var wg sync.WaitGroup
 		answers := make([]reply, 9)
 		for i := range answers {
@@ -147,11 +150,11 @@
 		}
 		return last
 	}},
-	{"a call that may be repeated, with an ID of a witness, loses its owner", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
-		// The witness must have a record of it, or it would say "not run".
+	{"owner of a repeatable call with a witness killed", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
+		// Without a record the witness would report "not run".
 		return s.killOwnerAt(router.StageSent, "look")
 	}},
-	{"a call without witness loses its owner", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
+	{"owner of a call without witness killed", expectation{problem.Unknown, 1}, func(s *faultScenario) reply {
 		id, err := once.ParseID(s.id)
 		must.NoError(s.t, err)
 		id.Witness, id.WitnessGeneration = 0, 0
@@ -161,11 +164,11 @@
 	{"retry after the answer", expectation{problem.Answered, 1}, func(s *faultScenario) reply {
 		must.Eq(s.t, problem.Answered, callPush(s.owner.Address, s.id).outcome)
 		again := callPush(s.third.Address, s.id)
-		// The answer itself is not repeated; that it was sent is told.
+		// The answer is not repeated; the reply reports that it was sent.
 		must.Eq(s.t, problem.AlreadyRun, again.problem.Kind)
 		return again
 	}},
-	{"asked before the call arrives", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
+	{"outcome queried before the call arrives", expectation{problem.NotRun, 0}, func(s *faultScenario) reply {
 		must.Eq(s.t, problem.NotRun, queryOutcome(s.third.Address, s.id).outcome)
 		return callPush(s.owner.Address, s.id)
 	}},
@@ -184,7 +187,7 @@
 		must.Eq(s.t, problem.Unknown, callPush(s.owner.Address, s.id).outcome)
 		return callPush(s.third.Address, s.id)
 	}},
-	{"witness leaves and hands its records on, then the owner dies", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
+	{"witness leaves and hands its records over, then the owner dies", expectation{problem.Unknown, 0}, func(s *faultScenario) reply {
 		reached, _ := s.ownerGate.holdAt(router.StageRecorded)
 		wait := s.start()
 		<-reached
@@ -193,7 +196,7 @@
 		s.owner.Kill()
 		wait()
 		got := queryOutcome(s.third.Address, s.id)
-		// The copy knows where the call was to go; without it nobody would.
+		// Only the copy of the witness knows the endpoint of the call.
 		must.NotEq(s.t, "", got.problem.Endpoint)
 		return got
 	}},
@@ -220,7 +223,8 @@
 	}},
 }
 
-// closeAtWitness asks the witness directly, as a host does that cannot reach the owner.
+// closeAtWitness closes the ID directly at the witness, as a host does that cannot
+// reach the owner.
 func (s *faultScenario) closeAtWitness() reply {
 	f, name := s.witness.Router.CloseID(s.id)
 	r := reply{outcome: problem.Unknown, body: name}
@@ -230,6 +234,8 @@
 	return r
 }
 
+// TestFaults runs each fault case on a cluster of its own and checks the outcome
+// that is reported to the caller and the number of runs.
 func TestFaults(t *testing.T) {
 	for _, c := range faultCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -242,6 +248,8 @@
 	}
 }
 
+// TestCallIsForwardedUnchanged checks that the service gets the body of a call and
+// that the caller gets the service's status and body.
 func TestCallIsForwardedUnchanged(t *testing.T) {
 	r := newTestCluster(t, nil)
 	s := newFaultScenario(t, r, "u1")
--- a/router/fuzz_test.go
+++ b/router/fuzz_test.go
@@ -14,7 +14,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// FuzzCompletion reads any body without panic, and every refusal has a remedy.
+// FuzzCompletion checks that parseCompletion does not panic on any body and that
+// every refusal has a remedy and the outcome NotRun.
 func FuzzCompletion(f *testing.F) {
 	f.Add(`{"model":"m","prompt":"p"}`)
 	f.Add(`{"model":"m","prompt":"p","max_tokens":-1}`)
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -26,7 +26,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// declaration is a small tree for tests.
+// declaration is a small settings tree for tests.
 const declaration = `
 set: {tiers: [urgent, normal, patient]}
 models: {m: {}}
@@ -47,14 +47,14 @@
         tiers: {patient: {set: {deadline: 20s}}}
 `
 
-// parse reads the test declaration.
+// parse parses the test declaration.
 func parse(t testing.TB) settings.Declaration {
 	p := settings.Parse([]settings.File{{Name: "test.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
 	return p.Declaration
 }
 
-// gate lets a test hold a host at a stage of one request.
+// gate lets a test block a host at a stage of one request.
 type gate struct {
 	mu        sync.Mutex
 	hold      map[router.Stage]chan struct{}
@@ -66,8 +66,8 @@
 	return &gate{hold: map[router.Stage]chan struct{}{}, reached: map[router.Stage]chan struct{}{}, onReached: map[router.Stage]func(){}}
 }
 
-// holdAt makes the next request stop at a stage until release is called; reached
-// is closed when it is there.
+// holdAt blocks the next request at a stage until release is called. It closes
+// reached when the request is at the stage.
 func (g *gate) holdAt(s router.Stage) (reached <-chan struct{}, release func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,6 +77,7 @@
 	return atStage, func() { once.Do(func() { close(hold) }) }
 }
 
+// trace is the host's Trace function.
 func (g *gate) trace(s router.Stage, _ string) {
 	g.mu.Lock()
 	hold, reached := g.hold[s], g.reached[s]
@@ -104,7 +105,7 @@
 			r.gates[x.Self.Name] = g
 			x.Trace = g.trace
 			x.MinReportInterval, x.MaxReportRate = 50*time.Millisecond, 1000
-			// Wide enough that a busy machine makes nobody suspect.
+			// Long enough that hosts do not suspect each other on a busy machine.
 			x.HeartbeatInterval, x.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			x.MaxAge = 200 * time.Millisecond
 			if tune != nil {
@@ -120,7 +121,7 @@
 	return r
 }
 
-// address asks a node for the addresses of workspace w.
+// address queries a node for the addresses of workspace w.
 func (r *testCluster) address(t testing.TB, n *dev.Node) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
@@ -143,7 +144,7 @@
 // gateOf returns the gate of a node.
 func (r *testCluster) gateOf(n *dev.Node) *gate { return r.gates[n.Router.Self.Name] }
 
-// reply is an answer to a plain call.
+// reply is the answer to a request.
 type reply struct {
 	status  int
 	outcome problem.Outcome
@@ -152,11 +153,11 @@
 	err     error
 }
 
-// callPush makes a call that may not be repeated under an ID at a host. The call's
-// name for counting its runs is the ID.
+// callPush sends a call that may not be repeated to a host. Its runs are counted
+// by its ID.
 func callPush(host, id string) reply { return callService(host, "push", id) }
 
-// callService makes a call to a service.
+// callService sends a call of a service to a host.
 func callService(host, service, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathCall+service+"/x?y=1", strings.NewReader("body"))
 	req.Header.Set(router.HeaderWorkspace, "w")
@@ -165,13 +166,13 @@
 	return sendRequest(req)
 }
 
-// queryOutcome asks a host what became of an ID.
+// queryOutcome queries a host for the outcome of a request.
 func queryOutcome(host, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathOutcome+url.PathEscape(id), nil)
 	return sendRequest(req)
 }
 
-// sendRequest does a request on a connection of its own.
+// sendRequest sends a request on a new connection.
 func sendRequest(req *http.Request) reply {
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(req)
@@ -188,7 +189,7 @@
 	return r
 }
 
-// runs returns how often a call was run at any service.
+// runs returns how often all services together ran a call.
 func (r *testCluster) runs(id string) int {
 	n := 0
 	for _, s := range r.Services {
@@ -197,7 +198,7 @@
 	return n
 }
 
-// eventually waits until ok holds; it fails the test after a long while.
+// eventually waits until ok returns true; it fails the test after 20 seconds.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -206,5 +207,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timeout while waiting for: %s", what)
 }
--- a/router/targets.go
+++ b/router/targets.go
@@ -136,7 +136,7 @@
 	r.deliverDecisions()
 }
 
-// applyHostList applies a new copy of the platform's list. Endpoints that are
+// applyHostList applies a new reading of the platform's list. Endpoints that are
 // leaving get no new requests.
 func (r *Router) applyHostList(entries []keyval.ListEntry) {
 	r.mu.Lock()
