--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -61,12 +61,12 @@
 	var a args
 	p := program.Start("hkplacer", &a)
 	if err := a.check(); err != nil {
-		p.Refuse(err)
+		p.ExitInvalidSettings(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	run(ctx, a, p.Log.WithValues("host", a.Name))
-	p.End(nil)
+	p.Exit(nil)
 }
 
 // askTimeout bounds a question to the router.
@@ -74,13 +74,13 @@
 
 // run follows the router's settings and places until ctx ends.
 func run(ctx context.Context, a args, log logr.Logger) {
-	pc := &keyval.Client{Base: a.Platform}
+	pc := &keyval.Client{BaseURL: a.Platform}
 	local := router.NewLocalClient(a.Router)
 	f := &revision.Follower{KV: pc, Peers: local.Peer(), Log: log}
 	engines := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	m := &placer.Manager{
 		Name: a.Name + "/" + once.NewIncarnation().String(), KV: pc, Weights: pc, Settings: f.Snapshot,
-		TTL: a.TTL, Sweep: a.Sweep, Limits: placer.Limits{Loads: a.Loads}, Log: log,
+		TTL: a.TTL, SweepInterval: a.Sweep, Limits: placer.Limits{MaxLoads: a.Loads}, Log: log,
 		Candidate: func(zone string) bool {
 			actx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -93,18 +93,18 @@
 // the host and of one engine.
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
-	r.Tune = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
+	r.ConfigureRouter = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
 	s, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(s.Kill)
 	other, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(other.Kill)
-	r.Override = map[string]string{"e1": s.Address, "e2": other.Address}
+	r.AddressOverrides = map[string]string{"e1": s.Address, "e2": other.Address}
 	must.NoError(b, r.Start())
 	b.Cleanup(r.Stop)
-	eventually(b, "ready", func() bool { return r.Nodes[0].Router.AllEndpointsReported() })
-	return r.Nodes[0].Address, s.Address
+	eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.AllEndpointsReported() })
+	return r.StartedHosts[0].Address, s.Address
 }
 
 // postCompletion sends a streaming request and reads the whole answer.
@@ -152,7 +152,7 @@
 				b.Cleanup(r.Stop)
 				rg := &testCluster{Cluster: r}
 				eventually(b, "ready", func() bool {
-					for _, n := range r.Nodes {
+					for _, n := range r.StartedHosts {
 						live := 0
 						for _, h := range n.Router.Status().Hosts {
 							if h.Live() {
@@ -165,7 +165,7 @@
 					}
 					return true
 				})
-				a := rg.address(b, r.Nodes[0]).Addresses[0]
+				a := rg.address(b, r.StartedHosts[0]).Addresses[0]
 				var n atomic.Int64
 				runLoad(b, callers, func(c *http.Client) {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+service, strings.NewReader("x"))
@@ -182,7 +182,7 @@
 					_, _ = io.Copy(io.Discard, resp.Body)
 					_ = resp.Body.Close()
 				})
-				b.ReportMetric(float64(r.Nodes[0].Router.Status().PeerBytes+r.Nodes[1].Router.Status().PeerBytes+r.Nodes[2].Router.Status().PeerBytes)/float64(b.N), "peer-B/op")
+				b.ReportMetric(float64(r.StartedHosts[0].Router.Status().PeerBytes+r.StartedHosts[1].Router.Status().PeerBytes+r.StartedHosts[2].Router.Status().PeerBytes)/float64(b.N), "peer-B/op")
 			})
 		}
 	}
@@ -193,7 +193,7 @@
 	for b.Loop() {
 		r := &dev.Cluster{Declaration: parse(b), Hosts: 7}
 		must.NoError(b, r.Start())
-		eventually(b, "ready", func() bool { return r.Nodes[0].Router.AllEndpointsReported() })
+		eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.AllEndpointsReported() })
 		time.Sleep(2 * time.Second)
 		cpu, start := cpuTime(), time.Now()
 		time.Sleep(5 * time.Second)
--- a/router/completions.go
+++ b/router/completions.go
@@ -66,7 +66,7 @@
 	r.onceMu.Lock()
 	r.active[j.id()] = a
 	r.onceMu.Unlock()
-	checked := &endpoint.Checked{Stream: stream, ID: j.id()}
+	checked := &endpoint.CheckedStream{Stream: stream, ID: j.id()}
 	if body.Stream {
 		r.streamAnswer(w, req, a, checked)
 		return
@@ -127,27 +127,27 @@
 // copyStream passes the pieces of an answer to a sink and records the token
 // metrics. It resumes a broken stream at the same engine. It returns the number
 // of pieces received.
-func (r *Router) copyStream(ctx context.Context, a *engineRequest, s *endpoint.Checked, write sink) (int, error) {
+func (r *Router) copyStream(ctx context.Context, a *engineRequest, s *endpoint.CheckedStream, write sink) (int, error) {
 	defer func() { _ = s.Close() }()
 	lastToken := a.job.arrived
 	for {
 		p, err := s.Next()
 		switch {
 		case err == io.EOF:
-			return s.Want, nil
+			return s.NextSeq, nil
 		case errors.Is(err, endpoint.ErrLost):
 			if err = r.resumeStream(ctx, a, s); err != nil {
-				return s.Want, err
+				return s.NextSeq, err
 			}
 			continue
 		case err != nil:
-			return s.Want, err
+			return s.NextSeq, err
 		}
 		now := r.now()
 		r.recordToken(a, p.Seq, now-lastToken)
 		lastToken = now
 		if write(p) != nil || ctx.Err() != nil {
-			return s.Want, errCallerGone
+			return s.NextSeq, errCallerGone
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		r.metrics.Record(a.job.key(), metrics.FirstToken, since)
 		return
 	}
-	r.metrics.Record(a.job.key(), metrics.BetweenTokens, since)
+	r.metrics.Record(a.job.key(), metrics.InterToken, since)
 }
 
 // Limits on resuming a stream.
@@ -179,16 +179,16 @@
 
 // resumeStream resumes a broken stream at its engine, after the last piece
 // received.
-func (r *Router) resumeStream(ctx context.Context, a *engineRequest, s *endpoint.Checked) error {
+func (r *Router) resumeStream(ctx context.Context, a *engineRequest, s *endpoint.CheckedStream) error {
 	_ = s.Close()
 	for range maxResumeAttempts {
-		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.job.id(), s.Want)
+		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.job.id(), s.NextSeq)
 		if err == nil {
 			s.Stream = next
 			r.metrics.Count(a.job.key(), "stream resumed")
 			return nil
 		}
-		if errors.Is(err, endpoint.ErrNoStream) {
+		if errors.Is(err, endpoint.ErrUnknownStream) {
 			return err
 		}
 		time.Sleep(resumeRetryInterval)
@@ -197,7 +197,7 @@
 }
 
 // streamAnswer sends the answer as server-sent events.
-func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.Checked) {
+func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.CheckedStream) {
 	setAnswerHeaders(w, a)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -228,7 +228,7 @@
 }
 
 // writeWholeAnswer collects the answer and sends it as one JSON document.
-func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.Checked) {
+func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.CheckedStream) {
 	var text strings.Builder
 	var finish string
 	n, err := r.copyStream(req.Context(), a, s, func(p endpoint.Piece) error {
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -133,7 +133,7 @@
 	switch {
 	case errors.Is(err, endpoint.ErrRejected):
 		kind, remedy = problem.EndpointRefused, "correct the request or resubmit under a new ID"
-	case errors.Is(err, endpoint.ErrCrossed), errors.Is(err, endpoint.ErrOrder):
+	case errors.Is(err, endpoint.ErrWrongStream), errors.Is(err, endpoint.ErrOutOfOrder):
 		kind = problem.BadAnswer
 	}
 	p := problem.Lost(kind, endpointName, remedy, "%v", err)
@@ -160,6 +160,6 @@
 		r.metrics.Count(j.key(), "answered late")
 	}
 	if res == sched.Completed {
-		r.metrics.Record(j.key(), metrics.WholeTime, duration)
+		r.metrics.Record(j.key(), metrics.TotalTime, duration)
 	}
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -87,7 +87,7 @@
 		return
 	}
 	copies := 0
-	for _, to := range fleet.Set("handover", r.Self.Region, r.liveHosts(), handoverCopies) {
+	for _, to := range fleet.SelectHosts("handover", r.Self.Region, r.liveHosts(), handoverCopies) {
 		if r.handOverTo(ctx, to, h) {
 			copies++
 		}
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -41,7 +41,7 @@
 func (r *testCluster) maxRuns() int {
 	highest := 0
 	for _, e := range r.Engines {
-		_, runs := e.TotalRuns()
+		_, runs := e.RunStats()
 		highest = max(highest, runs)
 	}
 	return highest
@@ -68,9 +68,9 @@
 		ok     bool
 	}{
 		{"no fault", fake.EngineFaults{}, true},
-		{"stream cut once and resumed", fake.EngineFaults{CutAfter: 7}, true},
-		{"crossed piece", fake.EngineFaults{CrossAt: 5}, false},
-		{"repeated piece", fake.EngineFaults{RepeatAt: 5}, false},
+		{"stream cut once and resumed", fake.EngineFaults{BreakAfter: 7}, true},
+		{"crossed piece", fake.EngineFaults{WrongIDAt: 5}, false},
+		{"repeated piece", fake.EngineFaults{DuplicateAt: 5}, false},
 		{"missing piece", fake.EngineFaults{SkipAt: 5}, false},
 		{"server error", fake.EngineFaults{ServerErrors: true}, false},
 		{"dead", fake.EngineFaults{Dead: true}, false},
@@ -101,7 +101,7 @@
 func TestStreamSurvivesOwnerCrash(t *testing.T) {
 	r := newTestCluster(t, nil)
 	for _, e := range r.Engines {
-		e.SetStep(20 * time.Millisecond)
+		e.SetStepTime(20 * time.Millisecond)
 	}
 	cl := newClient(r)
 	list, err := cl.Addresses(context.Background())
@@ -140,9 +140,9 @@
 func TestDisconnectCancelsStream(t *testing.T) {
 	r := newTestCluster(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
 	for _, e := range r.Engines {
-		e.SetStep(10 * time.Millisecond)
+		e.SetStepTime(10 * time.Millisecond)
 	}
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for _, id := range []string{"", a.Prefix + "leaves"} {
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, err := http.DefaultClient.Do(newCompletionRequest(ctx, a.Address, id, 100000))
@@ -172,7 +172,7 @@
 // does not read its stream, and that the slow caller gets its whole answer later.
 func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
 	r := newTestCluster(t, nil)
-	host := r.Nodes[0].Address
+	host := r.StartedHosts[0].Address
 	slow, err := http.DefaultClient.Do(newCompletionRequest(context.Background(), host, "", 4096))
 	must.NoError(t, err)
 	defer slow.Body.Close()
@@ -193,8 +193,8 @@
 // refusals for invalid requests.
 func TestBadRequests(t *testing.T) {
 	r := newTestCluster(t, nil)
-	host := r.Nodes[0].Address
-	good := r.address(t, r.Nodes[0]).Addresses[0]
+	host := r.StartedHosts[0].Address
+	good := r.address(t, r.StartedHosts[0]).Addresses[0]
 	cases := []struct {
 		name, path, ws, service, id, body string
 		kind                              problem.Kind
@@ -230,7 +230,7 @@
 // run when it is sent again with a small body: "not run" was reported.
 func TestRefusalForBodyIsFinal(t *testing.T) {
 	r := newTestCluster(t, nil)
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for i, body := range []string{strings.Repeat("x", 101), "small"} {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+"look", strings.NewReader(body))
 		req.Header.Set(router.HeaderWorkspace, "w")
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -23,7 +23,7 @@
 	*testCluster
 	t                      *testing.T
 	id                     string
-	owner, witness, third  *dev.Node
+	owner, witness, third  *dev.Host
 	ownerGate, witnessGate *gate
 }
 
@@ -31,7 +31,7 @@
 // third host, which a case queries later, is neither the owner nor the witness.
 func newFaultScenario(t *testing.T, r *testCluster, unique string) *faultScenario {
 	s := &faultScenario{testCluster: r, t: t}
-	issuer := r.Nodes[0]
+	issuer := r.StartedHosts[0]
 	for _, a := range r.address(t, issuer).Addresses {
 		if a.Address == issuer.Address || a.Witness == "" {
 			continue
@@ -40,7 +40,7 @@
 		s.owner, s.witness = r.node(a.Address), r.node(a.Witness)
 	}
 	must.NotNil(t, s.owner)
-	for _, n := range r.Nodes {
+	for _, n := range r.StartedHosts {
 		if n != s.owner && n != s.witness {
 			s.third = n
 		}
@@ -137,7 +137,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				answers[i] = callPush(s.Nodes[i%3].Address, s.id)
+				answers[i] = callPush(s.StartedHosts[i%3].Address, s.id)
 			}()
 		}
 		wg.Wait()
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -100,7 +100,7 @@
 	r := &testCluster{gates: make(map[string]*gate)}
 	r.Cluster = &dev.Cluster{
 		Declaration: parse(t), Hosts: 3, StepTime: time.Millisecond,
-		Tune: func(x *router.Router) {
+		ConfigureRouter: func(x *router.Router) {
 			g := newGate()
 			r.gates[x.Self.Name] = g
 			x.Trace = g.trace
@@ -122,7 +122,7 @@
 }
 
 // address queries a node for the addresses of workspace w.
-func (r *testCluster) address(t testing.TB, n *dev.Node) fleet.Answer {
+func (r *testCluster) address(t testing.TB, n *dev.Host) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -132,17 +132,17 @@
 }
 
 // node returns the running host at an address.
-func (r *testCluster) node(address string) *dev.Node {
-	for i := len(r.Nodes) - 1; i >= 0; i-- {
-		if r.Nodes[i].Address == address {
-			return r.Nodes[i]
+func (r *testCluster) node(address string) *dev.Host {
+	for i := len(r.StartedHosts) - 1; i >= 0; i-- {
+		if r.StartedHosts[i].Address == address {
+			return r.StartedHosts[i]
 		}
 	}
 	return nil
 }
 
 // gateOf returns the gate of a node.
-func (r *testCluster) gateOf(n *dev.Node) *gate { return r.gates[n.Router.Self.Name] }
+func (r *testCluster) gateOf(n *dev.Host) *gate { return r.gates[n.Router.Self.Name] }
 
 // reply is the answer to a request.
 type reply struct {
--- a/router/peers.go
+++ b/router/peers.go
@@ -34,11 +34,11 @@
 
 // maxPeerAnswer is the maximum size of a peer's answer, in bytes. The largest
 // answers are settings chunks.
-const maxPeerAnswer = 2 * keyval.MaxValue
+const maxPeerAnswer = 2 * keyval.MaxValueSize
 
 // call sends a request with a JSON body and returns the body of the answer.
 func (c *peerClient) call(ctx context.Context, method, address, path string, in any) ([]byte, error) {
-	req, err := jsoncall.Request(ctx, method, "http://"+address+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, "http://"+address+path, in)
 	if err != nil {
 		return nil, err
 	}
--- a/router/resume.go
+++ b/router/resume.go
@@ -50,7 +50,7 @@
 		problem.Write(w, problem.Lost(problem.EndpointLost, endpointName, "resubmit under a new ID if running twice does no harm", "%v", err))
 		return
 	}
-	checked := &endpoint.Checked{Stream: s, ID: id.String(), Want: from}
+	checked := &endpoint.CheckedStream{Stream: s, ID: id.String(), NextSeq: from}
 	if a != nil {
 		r.streamAnswer(w, req, a, checked)
 		return
@@ -73,7 +73,7 @@
 
 // streamOrphan passes the stream of a request whose owner cannot be reached to
 // the caller.
-func (r *Router) streamOrphan(w http.ResponseWriter, endpointName string, s *endpoint.Checked) {
+func (r *Router) streamOrphan(w http.ResponseWriter, endpointName string, s *endpoint.CheckedStream) {
 	defer func() { _ = s.Close() }()
 	w.Header().Set(HeaderID, s.ID)
 	w.Header().Set(HeaderEndpoint, endpointName)
--- a/router/router.go
+++ b/router/router.go
@@ -153,9 +153,9 @@
 			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.liveHostCount, OnSnapshot: r.applySettings, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
-			Self: r.Self, Peers: r.peers, List: r.List, Clock: r.Clock, Interval: r.HeartbeatInterval, Seed: seed, Log: r.Log,
-			Revision: r.follower.Revision, Behind: r.pullSettings, Floors: r.sheddingFloors, SetFloors: r.applyPeerFloors,
-			Listed: r.applyHostList,
+			Self: r.Self, Transport: r.peers, List: r.List, Clock: r.Clock, Interval: r.HeartbeatInterval, Seed: seed, Log: r.Log,
+			Revision: r.follower.Revision, OnNewerRevision: r.pullSettings, Floors: r.sheddingFloors, ApplyFloors: r.applyPeerFloors,
+			OnList: r.applyHostList,
 		}
 		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharingHosts}
 		r.sched.Init()
@@ -231,7 +231,7 @@
 		g := r.owner.Generation()
 		answers := r.copiedWitnesses()
 		r.onceMu.Unlock()
-		r.agent.Update(func(h *fleet.Host) { h.Generation, h.Answers = g, answers })
+		r.agent.Update(func(h *fleet.Host) { h.Generation, h.AnswersFor = g, answers })
 	}
 }
 
@@ -282,7 +282,7 @@
 	if len(inZone) == 0 {
 		inZone = all
 	}
-	for _, h := range fleet.Set(role+zone, r.Self.Region, inZone, hostsPerRole) {
+	for _, h := range fleet.SelectHosts(role+zone, r.Self.Region, inZone, hostsPerRole) {
 		if h.Incarnation == r.Self.Incarnation {
 			return true
 		}
@@ -309,7 +309,7 @@
 	if s == nil {
 		return 1
 	}
-	return min(max(1, s.Hosts(workspace)), r.liveHostCount())
+	return min(max(1, s.HostCount(workspace)), r.liveHostCount())
 }
 
 // pullSettings reads settings from a peer that has a higher revision. It does not
@@ -319,7 +319,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
 		if r.follower.Pull(ctx, rev, address) == nil {
-			r.agent.Kick()
+			r.agent.SendNow()
 		}
 	}()
 }
@@ -331,7 +331,7 @@
 // revision to peers.
 func (r *Router) applySettings(s *settings.Snapshot) {
 	r.applyEndpoints(s.Fleet.Endpoints)
-	r.agent.Kick()
+	r.agent.SendNow()
 }
 
 // sheddingFloors returns the scheduler's shedding floors for heartbeats.
--- a/router/serve.go
+++ b/router/serve.go
@@ -58,18 +58,18 @@
 		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", workspace))
 		return
 	}
-	writeJSON(w, r.addressAnswer(workspace, s.Hosts(workspace), s.Revision))
+	writeJSON(w, r.addressAnswer(workspace, s.HostCount(workspace), s.Revision))
 }
 
 // addressAnswer returns the address answer for a workspace that k hosts serve.
 func (r *Router) addressAnswer(workspace string, k int, rev uint64) fleet.Answer {
 	live := r.liveHosts()
-	set := fleet.Set(workspace, r.Self.Region, live, k)
+	set := fleet.SelectHosts(workspace, r.Self.Region, live, k)
 	var self fleet.Host
 	r.agent.View(func(t *fleet.Table) { self = t.Self })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fleet.Order(set, r.Self.Zone, r.rnd)
+	fleet.OrderForZone(set, r.Self.Zone, r.rnd)
 	ans := fleet.Answer{Workspace: workspace, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
 	for _, h := range set {
 		a := fleet.Address{Host: h.Name, Zone: h.Zone, Address: h.Address, Prefix: fleet.Prefix(h, fleet.Host{}).String()}
--- a/router/witness.go
+++ b/router/witness.go
@@ -226,7 +226,7 @@
 	r.witnessCopies[h.Self] = witnessCopy
 	answers := r.copiedWitnesses()
 	r.onceMu.Unlock()
-	r.agent.Update(func(s *fleet.Host) { s.Answers = answers })
+	r.agent.Update(func(s *fleet.Host) { s.AnswersFor = answers })
 	writeJSON(w, struct{}{})
 }
 
