--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -24,8 +24,8 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// instant is an engine that answers at once.
-func instant(n int) http.Handler {
+// newInstantEngine returns an engine that answers immediately with n tokens.
+func newInstantEngine(n int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == endpoint.PathLoad {
 			_, _ = io.WriteString(w, `{"slots":100000,"step_us":10,"prefill_per_step":100000,"role":"both","holding":{"model":"m","version":"1"}}`)
@@ -51,12 +51,12 @@
 	})
 }
 
-// load does b.N requests over some connections and reports the median time and
-// the processor time of the whole process.
-func load(b *testing.B, callers int, one func(c *http.Client)) {
+// runLoad sends b.N requests from concurrent callers. It reports the median
+// latency and the CPU time of the whole process per request.
+func runLoad(b *testing.B, callers int, sendOne func(c *http.Client)) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for range callers {
-		one(c)
+		sendOne(c)
 	}
 	times := make([]time.Duration, b.N)
 	var next atomic.Int64
@@ -70,7 +70,7 @@
 			defer wg.Done()
 			for i := next.Add(1) - 1; i < int64(b.N); i = next.Add(1) - 1 {
 				start := time.Now()
-				one(c)
+				sendOne(c)
 				times[i] = time.Since(start)
 			}
 		}()
@@ -82,21 +82,22 @@
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// cpuTime is the processor time of the process.
+// cpuTime returns the CPU time of the process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchHost starts one host and instant engines.
+// benchHost starts one host and two instant engines and returns the addresses of
+// the host and of one engine.
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
 	r.ConfigureRouter = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
-	s, err := dev.Serve("127.0.0.1:0", instant(tokens))
+	s, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(s.Kill)
-	other, err := dev.Serve("127.0.0.1:0", instant(tokens))
+	other, err := dev.Serve("127.0.0.1:0", newInstantEngine(tokens))
 	must.NoError(b, err)
 	b.Cleanup(other.Kill)
 	r.AddressOverrides = map[string]string{"e1": s.Address, "e2": other.Address}
@@ -106,8 +107,8 @@
 	return r.StartedHosts[0].Address, s.Address
 }
 
-// post sends one streaming request and reads the answer.
-func post(c *http.Client, host string) {
+// postCompletion sends a streaming request and reads the whole answer.
+func postCompletion(c *http.Client, host string) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+endpoint.PathCompletions, strings.NewReader(`{"model":"m","prompt":"hello","max_tokens":100,"stream":true}`))
 	req.Header.Set(router.HeaderWorkspace, "w")
 	req.Header.Set(router.HeaderService, "write")
@@ -120,8 +121,9 @@
 	_ = resp.Body.Close()
 }
 
-// BenchmarkPath compares a call through a host with a direct one; the difference
-// is what the host adds, with the engine and the caller in the same process.
+// BenchmarkPath compares requests through a host with requests sent directly to an
+// engine. The difference is the overhead of the host; the engine and the callers
+// run in the same process.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 100} {
 		for _, callers := range []int{1, 16, 256} {
@@ -132,15 +134,15 @@
 					if direct {
 						host = engine
 					}
-					load(b, callers, func(c *http.Client) { post(c, host) })
+					runLoad(b, callers, func(c *http.Client) { postCompletion(c, host) })
 				})
 			}
 		}
 	}
 }
 
-// BenchmarkOnce compares plain calls that may be repeated with calls that are
-// recorded at a witness first.
+// BenchmarkOnce compares calls to plain services that may be repeated with calls
+// that are recorded at a witness first.
 func BenchmarkOnce(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		for _, service := range []string{"look", "push"} {
@@ -148,7 +150,7 @@
 				r := &dev.Cluster{Declaration: parse(b), Hosts: 3}
 				must.NoError(b, r.Start())
 				b.Cleanup(r.Stop)
-				rg := &rig{Cluster: r}
+				rg := &testCluster{Cluster: r}
 				eventually(b, "ready", func() bool {
 					for _, n := range r.StartedHosts {
 						live := 0
@@ -165,7 +167,7 @@
 				})
 				a := rg.address(b, r.StartedHosts[0]).Addresses[0]
 				var n atomic.Int64
-				load(b, callers, func(c *http.Client) {
+				runLoad(b, callers, func(c *http.Client) {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+service, strings.NewReader("x"))
 					req.Header.Set(router.HeaderWorkspace, "w")
 					prefix := a.Prefix
@@ -186,7 +188,7 @@
 	}
 }
 
-// BenchmarkIdleHost gives the memory and processor time of a host without requests.
+// BenchmarkIdleHost measures the memory and CPU time of a host without requests.
 func BenchmarkIdleHost(b *testing.B) {
 	for b.Loop() {
 		r := &dev.Cluster{Declaration: parse(b), Hosts: 7}
--- a/router/drain.go
+++ b/router/drain.go
@@ -14,21 +14,22 @@
 	"github.com/heathkeel/heathkeel/problem"
 )
 
-// Figures of leaving.
+// Times of a drain.
 const (
-	// drainSlack is added to the answers' maximum age, for the time until all
-	// hosts have heard that this one leaves.
-	drainSlack = 3 * time.Second
-	// drainCheck is the time between looks at what still runs.
-	drainCheck = 50 * time.Millisecond
-	// goneWait is the time that the last heartbeats get.
-	goneWait = 200 * time.Millisecond
+	// drainMargin is added to the maximum age of address answers. It covers the
+	// time until all hosts know that this host is leaving.
+	drainMargin = 3 * time.Second
+	// drainCheckInterval is the time between checks for open requests.
+	drainCheckInterval = 50 * time.Millisecond
+	// finalHeartbeatTime is the time allowed for the last heartbeats.
+	finalHeartbeatTime = 200 * time.Millisecond
 )
 
-// Drain makes the host leave without cutting a request: it is no longer named
-// in answers, serves on while callers may still use older ones, ends what waits
-// and runs, hands its witness records on, and says that it is gone. It returns
-// early if ctx ends.
+// Drain makes the host leave without interrupting requests. The host is no
+// longer named in address answers, serves requests while callers may still use
+// older answers, waits until no request is waiting or running, hands its witness
+// records over to other hosts and announces that it is gone. Drain returns early
+// if ctx ends.
 func (r *Router) Drain(ctx context.Context) error {
 	r.init()
 	if r.draining.Swap(true) {
@@ -36,22 +37,22 @@
 	}
 	r.Log.Info("draining")
 	r.agent.Update(func(h *fleet.Host) { h.Leaving = true })
-	if err := pause(ctx, r.MaxAge+drainSlack); err != nil {
+	if err := sleep(ctx, r.MaxAge+drainMargin); err != nil {
 		return err
 	}
-	for r.busy() {
-		if err := pause(ctx, drainCheck); err != nil {
+	for r.hasRequests() {
+		if err := sleep(ctx, drainCheckInterval); err != nil {
 			return err
 		}
 	}
-	r.handOn(ctx)
+	r.handOver(ctx)
 	r.agent.Update(func(h *fleet.Host) { h.Gone = true })
 	r.Log.Info("drained")
-	return pause(ctx, goneWait)
+	return sleep(ctx, finalHeartbeatTime)
 }
 
-// pause waits for d or the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -60,12 +61,12 @@
 	}
 }
 
-// busy reports whether requests wait or run.
-func (r *Router) busy() bool {
-	return r.running.Load() > 0
+// hasRequests reports whether requests are waiting or running.
+func (r *Router) hasRequests() bool {
+	return r.openRequests.Load() > 0
 }
 
-// serveDrain makes the host leave.
+// serveDrain starts a drain on behalf of an operator.
 func (r *Router) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	if r.OnDrain == nil {
 		problem.Write(w, problem.New(problem.BadRequest, "send SIGTERM to the process", "this host cannot be drained by a call"))
@@ -75,28 +76,29 @@
 	writeJSON(w, struct{}{})
 }
 
-// handOn gives the witness records to other hosts. The copies are sealed, so that
-// several may answer, and the loss of one loses nothing.
-func (r *Router) handOn(ctx context.Context) {
+// handOver sends the witness records to several other hosts. The copies are
+// sealed, so each of them may answer, and the records survive the loss of one
+// copy.
+func (r *Router) handOver(ctx context.Context) {
 	r.onceMu.Lock()
 	h := r.witness.PrepareHandover()
 	r.onceMu.Unlock()
 	if len(h.Recorded) == 0 {
 		return
 	}
-	done := 0
-	for _, to := range fleet.SelectHosts("handover", r.Self.Region, r.hosts(), handCopies) {
-		if r.handTo(ctx, to, h) {
-			done++
+	copies := 0
+	for _, to := range fleet.SelectHosts("handover", r.Self.Region, r.liveHosts(), handoverCopies) {
+		if r.handOverTo(ctx, to, h) {
+			copies++
 		}
 	}
-	r.Log.Info("witness records handed on", "records", len(h.Recorded), "copies", done)
+	r.Log.Info("witness records handed over", "records", len(h.Recorded), "copies", copies)
 }
 
-// handTo gives the witness records to one host.
-func (r *Router) handTo(ctx context.Context, to fleet.Host, h once.Handover) bool {
-	for range handTries {
-		tctx, cancel := context.WithTimeout(ctx, askTimeout)
+// handOverTo sends the witness records to one host and reports success.
+func (r *Router) handOverTo(ctx context.Context, to fleet.Host, h once.Handover) bool {
+	for range maxHandoverAttempts {
+		tctx, cancel := context.WithTimeout(ctx, queryTimeout)
 		err := r.peers.handover(tctx, to.Address, h)
 		cancel()
 		if err == nil {
@@ -106,10 +108,10 @@
 	return false
 }
 
-// Bounds of handing the witness records on.
+// Limits of a handover of witness records.
 const (
-	// handCopies is the number of hosts that get them.
-	handCopies = 2
-	// handTries bounds the tries at one host.
-	handTries = 3
+	// handoverCopies is the number of hosts that receive the records.
+	handoverCopies = 2
+	// maxHandoverAttempts is the maximum number of attempts per host.
+	maxHandoverAttempts = 3
 )
--- a/router/fuzz_test.go
+++ b/router/fuzz_test.go
@@ -14,7 +14,8 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// FuzzCompletion reads any body without panic, and every refusal has a remedy.
+// FuzzCompletion checks that parseCompletion does not panic on any body and that
+// every refusal has a remedy and the outcome NotRun.
 func FuzzCompletion(f *testing.F) {
 	f.Add(`{"model":"m","prompt":"p"}`)
 	f.Add(`{"model":"m","prompt":"p","max_tokens":-1}`)
@@ -22,7 +23,7 @@
 	snap := settings.NewSnapshot(1, settings.Declaration{{Node: "models/m"}})
 	f.Fuzz(func(t *testing.T, body string) {
 		r := &Router{}
-		j := &job{snap: snap, eff: &settings.Effective{MaxTokens: 10}, body: []byte(body)}
+		j := &job{snapshot: snap, settings: &settings.Effective{MaxTokens: 10}, body: []byte(body)}
 		got, p := r.parseCompletion(j, httptest.NewRequest("POST", "/", nil))
 		if p != nil {
 			must.NotEq(t, "", p.Remedy)
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -26,7 +26,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// declaration is a small tree for tests.
+// declaration is a small settings tree for tests.
 const declaration = `
 set: {tiers: [urgent, normal, patient]}
 models: {m: {}}
@@ -47,56 +47,57 @@
         tiers: {patient: {set: {deadline: 20s}}}
 `
 
-// parse reads the test declaration.
+// parse parses the test declaration.
 func parse(t testing.TB) settings.Declaration {
 	p := settings.Parse([]settings.File{{Name: "test.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
 	return p.Declaration
 }
 
-// gate lets a test hold a host at a stage of one request.
+// gate lets a test block a host at a stage of one request.
 type gate struct {
-	mu    sync.Mutex
-	hold  map[router.Stage]chan struct{}
-	hit   map[router.Stage]chan struct{}
-	onHit map[router.Stage]func()
+	mu        sync.Mutex
+	hold      map[router.Stage]chan struct{}
+	reached   map[router.Stage]chan struct{}
+	onReached map[router.Stage]func()
 }
 
 func newGate() *gate {
-	return &gate{hold: map[router.Stage]chan struct{}{}, hit: map[router.Stage]chan struct{}{}, onHit: map[router.Stage]func(){}}
+	return &gate{hold: map[router.Stage]chan struct{}{}, reached: map[router.Stage]chan struct{}{}, onReached: map[router.Stage]func(){}}
 }
 
-// at makes the next request stop at a stage until release is called; reached
-// is closed when it is there.
-func (g *gate) at(s router.Stage) (reached <-chan struct{}, release func()) {
+// holdAt blocks the next request at a stage until release is called. It closes
+// reached when the request is at the stage.
+func (g *gate) holdAt(s router.Stage) (reached <-chan struct{}, release func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	hold, hit := make(chan struct{}), make(chan struct{})
-	g.hold[s], g.hit[s] = hold, hit
+	hold, atStage := make(chan struct{}), make(chan struct{})
+	g.hold[s], g.reached[s] = hold, atStage
 	var once sync.Once
-	return hit, func() { once.Do(func() { close(hold) }) }
+	return atStage, func() { once.Do(func() { close(hold) }) }
 }
 
+// trace is the host's Trace function.
 func (g *gate) trace(s router.Stage, _ string) {
 	g.mu.Lock()
-	hold, hit := g.hold[s], g.hit[s]
+	hold, reached := g.hold[s], g.reached[s]
 	delete(g.hold, s)
 	g.mu.Unlock()
 	if hold != nil {
-		close(hit)
+		close(reached)
 		<-hold
 	}
 }
 
-// rig is a cluster with a gate at each host.
-type rig struct {
+// testCluster is a cluster with a gate at each host.
+type testCluster struct {
 	*dev.Cluster
 	gates map[string]*gate // by host name
 }
 
-// newRig starts a cluster of three hosts in three zones.
-func newRig(t testing.TB, tune func(*router.Router)) *rig {
-	r := &rig{gates: make(map[string]*gate)}
+// newTestCluster starts a cluster of three hosts in three zones.
+func newTestCluster(t testing.TB, tune func(*router.Router)) *testCluster {
+	r := &testCluster{gates: make(map[string]*gate)}
 	r.Cluster = &dev.Cluster{
 		Declaration: parse(t), Hosts: 3, StepTime: time.Millisecond,
 		ConfigureRouter: func(x *router.Router) {
@@ -104,7 +105,7 @@
 			r.gates[x.Self.Name] = g
 			x.Trace = g.trace
 			x.MinReportInterval, x.MaxReportRate = 50*time.Millisecond, 1000
-			// Wide enough that a busy machine makes nobody suspect.
+			// Long enough that hosts do not suspect each other on a busy machine.
 			x.HeartbeatInterval, x.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			x.MaxAge = 200 * time.Millisecond
 			if tune != nil {
@@ -120,8 +121,8 @@
 	return r
 }
 
-// address asks a node for the addresses of workspace w.
-func (r *rig) address(t testing.TB, n *dev.Host) fleet.Answer {
+// address queries a node for the addresses of workspace w.
+func (r *testCluster) address(t testing.TB, n *dev.Host) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -131,7 +132,7 @@
 }
 
 // node returns the running host at an address.
-func (r *rig) node(address string) *dev.Host {
+func (r *testCluster) node(address string) *dev.Host {
 	for i := len(r.StartedHosts) - 1; i >= 0; i-- {
 		if r.StartedHosts[i].Address == address {
 			return r.StartedHosts[i]
@@ -141,9 +142,9 @@
 }
 
 // gateOf returns the gate of a node.
-func (r *rig) gateOf(n *dev.Host) *gate { return r.gates[n.Router.Self.Name] }
+func (r *testCluster) gateOf(n *dev.Host) *gate { return r.gates[n.Router.Self.Name] }
 
-// reply is an answer to a plain call.
+// reply is the answer to a request.
 type reply struct {
 	status  int
 	outcome problem.Outcome
@@ -152,27 +153,27 @@
 	err     error
 }
 
-// push makes a call that may not be repeated under an ID at a host. The call's
-// name for counting its runs is the ID.
-func push(host, id string) reply { return call(host, "push", id) }
+// callPush sends a call that may not be repeated to a host. Its runs are counted
+// by its ID.
+func callPush(host, id string) reply { return callService(host, "push", id) }
 
-// call makes a call to a service.
-func call(host, service, id string) reply {
+// callService sends a call of a service to a host.
+func callService(host, service, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathCall+service+"/x?y=1", strings.NewReader("body"))
 	req.Header.Set(router.HeaderWorkspace, "w")
 	req.Header.Set(router.HeaderID, id)
 	req.Header.Set(fake.HeaderCall, id)
-	return send(req)
+	return sendRequest(req)
 }
 
-// outcome asks a host what became of an ID.
-func outcome(host, id string) reply {
+// queryOutcome queries a host for the outcome of a request.
+func queryOutcome(host, id string) reply {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+host+router.PathOutcome+url.PathEscape(id), nil)
-	return send(req)
+	return sendRequest(req)
 }
 
-// send does a request on a connection of its own.
-func send(req *http.Request) reply {
+// sendRequest sends a request on a new connection.
+func sendRequest(req *http.Request) reply {
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
@@ -188,8 +189,8 @@
 	return r
 }
 
-// runs returns how often a call was run at any service.
-func (r *rig) runs(id string) int {
+// runs returns how often all services together ran a call.
+func (r *testCluster) runs(id string) int {
 	n := 0
 	for _, s := range r.Services {
 		n += s.Runs(id)
@@ -197,7 +198,7 @@
 	return n
 }
 
-// eventually waits until ok holds; it fails the test after a long while.
+// eventually waits until ok returns true; it fails the test after 20 seconds.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -206,5 +207,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timeout while waiting for: %s", what)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -27,42 +27,46 @@
 
 // Defaults of a Router.
 const (
-	// DefaultMinReportInterval is the least time between reads of an endpoint's report.
+	// DefaultMinReportInterval is the minimum time between two reads of an
+	// endpoint's report.
 	DefaultMinReportInterval = 500 * time.Millisecond
-	// DefaultMaxReportRate bounds the reports read from all endpoints together, a
-	// second: about 0.75 KB each, so that they keep to 8 KB/s.
+	// DefaultMaxReportRate is the maximum number of reports per second that are read
+	// from all endpoints together. A report has about 0.75 KB, so the reports take
+	// at most 8 KB/s.
 	DefaultMaxReportRate = 10
-	// DefaultGenerationInterval is the time after which a new generation of IDs begins.
+	// DefaultGenerationInterval is the time between two generations of IDs.
 	DefaultGenerationInterval = 10 * time.Minute
-	// DefaultWitnessTimeout bounds the wait for a witness's acknowledgement.
+	// DefaultWitnessTimeout is the timeout for a witness's acknowledgement.
 	DefaultWitnessTimeout = 500 * time.Millisecond
-	// DefaultCancelGrace is how long a stream goes on for a caller that lost its
-	// connection and has an ID to resume with.
+	// DefaultCancelGrace is how long a stream continues after its caller lost the
+	// connection, if the caller has an ID to resume with.
 	DefaultCancelGrace = time.Second
-	// DefaultMaxBodyMemory bounds the bodies that are held at once, in bytes.
+	// DefaultMaxBodyMemory is the maximum memory of all request bodies held at the
+	// same time, in bytes.
 	DefaultMaxBodyMemory = 64 << 20
-	// DefaultMaxWatched is the number of endpoints of a model and region above
-	// which a host watches only a part of them.
+	// DefaultMaxWatched is the number of engines above which a host watches only a
+	// part of them.
 	DefaultMaxWatched = 24
-	// tickEvery is the time between looks at what time alone changes.
-	tickEvery = 50 * time.Millisecond
+	// tickInterval is the time between two calls of the scheduler's Tick.
+	tickInterval = 50 * time.Millisecond
 )
 
-// Router is one host. Set the exported fields, then call Run.
+// Router implements one host. Set the exported fields, then call Run.
 type Router struct {
-	// Self is this host's record; Incarnation must be drawn anew at each start.
+	// Self is this host's record. Its Incarnation must be a new one at each start.
 	Self fleet.Host
-	// KV and List are the platform's; List may be nil.
+	// KV and List are the platform's key-value store and list of hosts; List may be
+	// nil.
 	KV   keyval.KV
 	List keyval.HostList
-	// Sched holds the policy's figures.
+	// Sched is the configuration of the scheduler.
 	Sched sched.Config
 	// MaxAge is how long callers keep an address answer; 0 means fleet.DefaultMaxAge.
 	MaxAge time.Duration
 	// HeartbeatInterval is the time between heartbeats; 0 means fleet.DefaultInterval.
 	HeartbeatInterval time.Duration
-	// MinReportInterval, ReportRate, Generation, WitnessTimeout, CancelGrace, Memory and Watched
-	// default to the constants above.
+	// MinReportInterval, MaxReportRate, GenerationInterval, WitnessTimeout,
+	// CancelGrace, MaxBodyMemory and MaxWatched default to the constants above.
 	MinReportInterval  time.Duration
 	MaxReportRate      float64
 	GenerationInterval time.Duration
@@ -70,44 +74,46 @@
 	CancelGrace        time.Duration
 	MaxBodyMemory      int64
 	MaxWatched         int
-	// OnDrain is called when an operator asks the host to leave; nil refuses that.
+	// OnDrain is called when an operator requests a drain of the host. If it is nil,
+	// such requests are refused.
 	OnDrain func()
-	// Trace is told of each stage of each request, on the request's own
-	// goroutine, which it may hold up; nil means nobody.
+	// Trace is called at each stage of each request, on the goroutine of the
+	// request, which it may block; it may be nil.
 	Trace func(s Stage, id string)
-	// Log takes changes of state.
+	// Log logs changes of state.
 	Log logr.Logger
-	// Clock is the host's clock; nil means one that counts suspensions.
+	// Clock is the host's clock; nil means a clock that includes the time for which
+	// the machine was suspended.
 	Clock *clock.Clock
 
-	once     sync.Once
-	agent    *fleet.Agent
-	follower *revision.Follower
-	metrics  metrics.Set
-	peers    *peerClient
-	engines  *http.Client
-	plain    *http.Transport
-	memory   atomic.Int64
-	running  atomic.Int64 // requests accepted and not yet ended
-	live     atomic.Pointer[[]fleet.Host]
-	liveAt   atomic.Uint64
+	once               sync.Once
+	agent              *fleet.Agent
+	follower           *revision.Follower
+	metrics            metrics.Set
+	peers              *peerClient
+	engineClient       *http.Client
+	serviceTransport   *http.Transport
+	bodyMemory         atomic.Int64
+	openRequests       atomic.Int64 // accepted and not ended
+	cachedHosts        atomic.Pointer[[]fleet.Host]
+	cachedHostsVersion atomic.Uint64
 
-	mu        sync.Mutex
-	sched     sched.Scheduler
-	rnd       *rand.Rand
-	endpoints map[string]*target
-	leaving   map[string]bool
+	mu               sync.Mutex
+	sched            sched.Scheduler
+	rnd              *rand.Rand
+	targets          map[string]*target
+	leavingEndpoints map[string]bool
 
-	onceMu    sync.Mutex
-	owner     *once.Owner
-	witness   *once.Witness
-	adopted   map[once.Incarnation]*once.Witness
-	recorders map[once.Incarnation]*recorder
-	active    map[string]*activity
-	draining  atomic.Bool
+	onceMu        sync.Mutex
+	owner         *once.Owner
+	witness       *once.Witness
+	witnessCopies map[once.Incarnation]*once.Witness
+	recorders     map[once.Incarnation]*recorder
+	active        map[string]*engineRequest
+	draining      atomic.Bool
 }
 
-// target is an endpoint and the means to reach it.
+// target is an endpoint with the clients that reach it.
 type target struct {
 	settings.Endpoint
 	engine  endpoint.Engine
@@ -115,18 +121,18 @@
 	stop    context.CancelFunc
 }
 
-// init makes what the handlers and loops share.
+// init sets the defaults and creates the state that the handlers and loops share.
 func (r *Router) init() {
 	r.once.Do(func() {
-		def(&r.MaxAge, fleet.DefaultMaxAge)
-		def(&r.HeartbeatInterval, fleet.DefaultInterval)
-		def(&r.MinReportInterval, DefaultMinReportInterval)
-		def(&r.MaxReportRate, DefaultMaxReportRate)
-		def(&r.GenerationInterval, DefaultGenerationInterval)
-		def(&r.WitnessTimeout, DefaultWitnessTimeout)
-		def(&r.CancelGrace, DefaultCancelGrace)
-		def(&r.MaxBodyMemory, DefaultMaxBodyMemory)
-		def(&r.MaxWatched, DefaultMaxWatched)
+		setDefault(&r.MaxAge, fleet.DefaultMaxAge)
+		setDefault(&r.HeartbeatInterval, fleet.DefaultInterval)
+		setDefault(&r.MinReportInterval, DefaultMinReportInterval)
+		setDefault(&r.MaxReportRate, DefaultMaxReportRate)
+		setDefault(&r.GenerationInterval, DefaultGenerationInterval)
+		setDefault(&r.WitnessTimeout, DefaultWitnessTimeout)
+		setDefault(&r.CancelGrace, DefaultCancelGrace)
+		setDefault(&r.MaxBodyMemory, DefaultMaxBodyMemory)
+		setDefault(&r.MaxWatched, DefaultMaxWatched)
 		if r.Clock == nil {
 			r.Clock = clock.New()
 		}
@@ -134,44 +140,45 @@
 		r.rnd = rand.New(rand.NewPCG(seed, seed>>1))
 		r.owner = once.NewOwner(r.Self.Incarnation, 0, 0)
 		r.witness = once.NewWitness(r.Self.Incarnation, 0, 0)
-		r.adopted = make(map[once.Incarnation]*once.Witness)
+		r.witnessCopies = make(map[once.Incarnation]*once.Witness)
 		r.recorders = make(map[once.Incarnation]*recorder)
-		r.active = make(map[string]*activity)
-		r.endpoints = make(map[string]*target)
-		r.leaving = make(map[string]bool)
+		r.active = make(map[string]*engineRequest)
+		r.targets = make(map[string]*target)
+		r.leavingEndpoints = make(map[string]bool)
 		r.Self.Generation = r.owner.Generation()
 		r.peers = newPeerClient()
-		r.engines = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
-		r.plain = endpoint.NewServiceTransport()
+		r.engineClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
+		r.serviceTransport = endpoint.NewServiceTransport()
 		r.follower = &revision.Follower{
-			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.fleetSize, OnSnapshot: r.taken, Log: r.Log,
+			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.liveHostCount, OnSnapshot: r.applySettings, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
 			Self: r.Self, Transport: r.peers, List: r.List, Clock: r.Clock, Interval: r.HeartbeatInterval, Seed: seed, Log: r.Log,
-			Revision: r.follower.Revision, OnNewerRevision: r.behind, Floors: r.floors, ApplyFloors: r.setFloors,
-			OnList: r.listed,
+			Revision: r.follower.Revision, OnNewerRevision: r.pullSettings, Floors: r.sheddingFloors, ApplyFloors: r.applyPeerFloors,
+			OnList: r.applyHostList,
 		}
-		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharing}
+		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharingHosts}
 		r.sched.Init()
 	})
 }
 
-// def sets a zero value to its default.
-func def[T comparable](p *T, v T) {
+// setDefault sets *p to v if it is zero.
+func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
 		*p = v
 	}
 }
 
-// now is the time of the host's clock, which is the scheduler's.
+// now returns the time of the host's clock. The scheduler uses the same clock.
 func (r *Router) now() time.Duration { return r.Clock.Now() }
 
-// Run keeps the host going until ctx ends; serve Handler meanwhile.
+// Run runs the host's loops until ctx ends. The caller must serve Handler
+// meanwhile.
 func (r *Router) Run(ctx context.Context) {
 	r.init()
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){r.agent.Run, r.follower.Run, r.tick, r.advance} {
+	for _, loop := range []func(context.Context){r.agent.Run, r.follower.Run, r.tick, r.advanceGenerations} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -179,13 +186,14 @@
 		}()
 	}
 	wg.Wait()
-	r.engines.CloseIdleConnections()
+	r.engineClient.CloseIdleConnections()
 	r.peers.http.CloseIdleConnections()
 }
 
-// tick looks at what time alone changes.
+// tick lets the scheduler apply what changes with time only, such as timeouts,
+// and updates its number of hosts.
 func (r *Router) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -193,17 +201,18 @@
 			return
 		case <-t.C:
 		}
-		peers := len(r.hosts())
+		peers := len(r.liveHosts())
 		r.mu.Lock()
 		r.sched.SharingHosts = max(1, peers)
 		r.sched.Tick(r.now())
-		r.pump()
+		r.deliverDecisions()
 		r.mu.Unlock()
 	}
 }
 
-// advance begins a new generation of IDs now and then.
-func (r *Router) advance(ctx context.Context) {
+// advanceGenerations starts a new generation of IDs every GenerationInterval and
+// drops witness copies that have become empty.
+func (r *Router) advanceGenerations(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -213,96 +222,99 @@
 		r.onceMu.Lock()
 		r.owner.Advance()
 		r.witness.Advance()
-		for id, w := range r.adopted {
+		for id, w := range r.witnessCopies {
 			w.Advance()
 			if w.Size() == 0 {
-				delete(r.adopted, id)
+				delete(r.witnessCopies, id)
 			}
 		}
 		g := r.owner.Generation()
-		answers := r.answers()
+		answers := r.copiedWitnesses()
 		r.onceMu.Unlock()
 		r.agent.Update(func(h *fleet.Host) { h.Generation, h.AnswersFor = g, answers })
 	}
 }
 
-// answers lists the witnesses taken over; onceMu must be held.
-func (r *Router) answers() []once.Incarnation {
-	out := make([]once.Incarnation, 0, len(r.adopted))
-	for id := range r.adopted {
+// copiedWitnesses returns the incarnations of the witnesses of which this host
+// holds a copy. The caller must hold onceMu.
+func (r *Router) copiedWitnesses() []once.Incarnation {
+	out := make([]once.Incarnation, 0, len(r.witnessCopies))
+	for id := range r.witnessCopies {
 		out = append(out, id)
 	}
 	return out
 }
 
-// hosts returns the hosts that may be named, from a copy that is made anew when
-// the table changed.
-func (r *Router) hosts() []fleet.Host {
+// liveHosts returns the hosts that may be named in answers. It caches them until
+// the table changes.
+func (r *Router) liveHosts() []fleet.Host {
 	var out []fleet.Host
 	r.agent.View(func(t *fleet.Table) {
-		if p := r.live.Load(); p != nil && r.liveAt.Load() == t.Version() {
+		if p := r.cachedHosts.Load(); p != nil && r.cachedHostsVersion.Load() == t.Version() {
 			out = *p
 			return
 		}
 		out = t.Live()
-		r.live.Store(&out)
-		r.liveAt.Store(t.Version())
+		r.cachedHosts.Store(&out)
+		r.cachedHostsVersion.Store(t.Version())
 	})
 	return out
 }
 
-// fleetSize is the number of live hosts.
-func (r *Router) fleetSize() int { return max(1, len(r.hosts())) }
+// liveHostCount returns the number of live hosts, at least 1.
+func (r *Router) liveHostCount() int { return max(1, len(r.liveHosts())) }
 
-// rolesPerZone is the number of hosts of a zone that watch the settings' head,
-// and of those that try to hold its placement.
-const rolesPerZone = 2
+// hostsPerRole is the number of hosts per zone that watch the settings' head, and
+// the number of those that try to hold the zone's placement.
+const hostsPerRole = 2
 
-// hasRole reports whether this host is one of those that do a zone's work of a
-// kind: the first by rendezvous hashing among the zone's hosts, or among all if
-// it has none.
+// hasRole reports whether this host has a role for a zone. The first hostsPerRole
+// hosts by rendezvous hashing have it, among the hosts of the zone or, if it has
+// none, among all hosts.
 func (r *Router) hasRole(role, zone string) bool {
-	all := r.hosts()
-	var in []fleet.Host
+	all := r.liveHosts()
+	var inZone []fleet.Host
 	for _, h := range all {
 		if h.Zone == zone {
-			in = append(in, h)
+			inZone = append(inZone, h)
 		}
 	}
-	if len(in) == 0 {
-		in = all
+	if len(inZone) == 0 {
+		inZone = all
 	}
-	for _, h := range fleet.SelectHosts(role+zone, r.Self.Region, in, rolesPerZone) {
+	for _, h := range fleet.SelectHosts(role+zone, r.Self.Region, inZone, hostsPerRole) {
 		if h.Incarnation == r.Self.Incarnation {
 			return true
 		}
 	}
-	return len(in) == 0
+	return len(inZone) == 0
 }
 
 // isRelay reports whether this host watches the settings' head for its zone.
 func (r *Router) isRelay() bool { return r.hasRole("relay", r.Self.Zone) }
 
-// IsPlacerCandidate reports whether this host should try to hold a zone's placement.
+// IsPlacerCandidate reports whether this host should try to hold the placement of
+// a zone.
 func (r *Router) IsPlacerCandidate(zone string) bool { return r.hasRole("placer/", zone) }
 
-// Snapshot returns the settings in force, or nil.
+// Snapshot returns the settings in force, or nil if there are none yet.
 func (r *Router) Snapshot() *settings.Snapshot {
 	r.init()
 	return r.follower.Snapshot()
 }
 
-// sharing is the number of hosts that serve a workspace.
-func (r *Router) sharing(workspace string) int {
+// sharingHosts returns the number of hosts that serve a workspace.
+func (r *Router) sharingHosts(workspace string) int {
 	s := r.follower.Snapshot()
 	if s == nil {
 		return 1
 	}
-	return min(max(1, s.HostCount(workspace)), r.fleetSize())
+	return min(max(1, s.HostCount(workspace)), r.liveHostCount())
 }
 
-// behind pulls settings from a peer that has a higher revision.
-func (r *Router) behind(rev uint64, address string) {
+// pullSettings reads settings from a peer that has a higher revision. It does not
+// block.
+func (r *Router) pullSettings(rev uint64, address string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
@@ -312,17 +324,18 @@
 	}()
 }
 
-// pullTimeout bounds the reading of settings from a peer.
+// pullTimeout is the timeout for reading settings from a peer.
 const pullTimeout = 5 * time.Second
 
-// taken puts new settings to use.
-func (r *Router) taken(s *settings.Snapshot) {
-	r.setEndpoints(s.Fleet.Endpoints)
+// applySettings applies the endpoints of new settings and announces the new
+// revision to peers.
+func (r *Router) applySettings(s *settings.Snapshot) {
+	r.applyEndpoints(s.Fleet.Endpoints)
 	r.agent.SendNow()
 }
 
-// floors gives the shedding floors for heartbeats.
-func (r *Router) floors() []fleet.Floor {
+// sheddingFloors returns the scheduler's shedding floors for heartbeats.
+func (r *Router) sheddingFloors() []fleet.Floor {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []fleet.Floor
@@ -332,8 +345,8 @@
 	return out
 }
 
-// setFloors takes the floors of a peer.
-func (r *Router) setFloors(fs []fleet.Floor) {
+// applyPeerFloors applies the shedding floors of a peer to the scheduler.
+func (r *Router) applyPeerFloors(fs []fleet.Floor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range fs {
--- a/router/serve.go
+++ b/router/serve.go
@@ -46,42 +46,42 @@
 	return m
 }
 
-// serveAddress answers which hosts a workspace's callers should use.
+// serveAddress returns the hosts that a workspace's callers should use.
 func (r *Router) serveAddress(w http.ResponseWriter, req *http.Request) {
-	ws := req.URL.Query().Get("workspace")
+	workspace := req.URL.Query().Get("workspace")
 	s := r.follower.Snapshot()
 	if s == nil {
 		problem.Write(w, problem.New(problem.NotReady, "ask another host", "no settings yet"))
 		return
 	}
-	if !s.HasWorkspace(ws) {
-		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", ws))
+	if !s.HasWorkspace(workspace) {
+		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", workspace))
 		return
 	}
-	writeJSON(w, r.address(ws, s.HostCount(ws), s.Revision))
+	writeJSON(w, r.addressAnswer(workspace, s.HostCount(workspace), s.Revision))
 }
 
-// address makes the answer for a workspace.
-func (r *Router) address(ws string, k int, rev uint64) fleet.Answer {
-	live := r.hosts()
-	set := fleet.SelectHosts(ws, r.Self.Region, live, k)
+// addressAnswer returns the address answer for a workspace that k hosts serve.
+func (r *Router) addressAnswer(workspace string, k int, rev uint64) fleet.Answer {
+	live := r.liveHosts()
+	set := fleet.SelectHosts(workspace, r.Self.Region, live, k)
 	var self fleet.Host
 	r.agent.View(func(t *fleet.Table) { self = t.Self })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fleet.OrderForZone(set, r.Self.Zone, r.rnd)
-	ans := fleet.Answer{Workspace: ws, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
+	ans := fleet.Answer{Workspace: workspace, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
 	for _, h := range set {
 		a := fleet.Address{Host: h.Name, Zone: h.Zone, Address: h.Address, Prefix: fleet.Prefix(h, fleet.Host{}).String()}
-		if wit, ok := fleet.PickWitness(self, h, live, r.rnd); ok {
-			a.OncePrefix, a.Witness = fleet.Prefix(h, wit).String(), wit.Address
+		if witness, ok := fleet.PickWitness(self, h, live, r.rnd); ok {
+			a.OncePrefix, a.Witness = fleet.Prefix(h, witness).String(), witness.Address
 		}
 		ans.Addresses = append(ans.Addresses, a)
 	}
 	return ans
 }
 
-// serveHeartbeat takes a peer's heartbeat.
+// serveHeartbeat receives a peer's heartbeat and answers with this host's.
 func (r *Router) serveHeartbeat(w http.ResponseWriter, req *http.Request) {
 	var hb fleet.Heartbeat
 	if err := json.NewDecoder(req.Body).Decode(&hb); err != nil {
@@ -91,7 +91,7 @@
 	writeJSON(w, r.agent.Receive(&hb))
 }
 
-// serveHead gives peers the head record of the settings in force.
+// serveHead returns the head record of the settings in force to a peer.
 func (r *Router) serveHead(w http.ResponseWriter, req *http.Request) {
 	b := r.follower.Head()
 	if b == nil {
@@ -101,8 +101,8 @@
 	writeCompressed(w, req, b)
 }
 
-// writeCompressed sends settings compressed: they are read by every host at every
-// change, and entries repeat each other.
+// writeCompressed writes settings, compressed if the client accepts gzip. Every
+// host reads the settings after every change, and their entries are repetitive.
 func writeCompressed(w http.ResponseWriter, req *http.Request, b []byte) {
 	if !strings.Contains(req.Header.Get("Accept-Encoding"), "gzip") {
 		_, _ = w.Write(b)
@@ -114,7 +114,7 @@
 	_ = z.Close()
 }
 
-// serveChunk gives peers a chunk of the settings in force.
+// serveChunk returns a chunk of the settings in force to a peer.
 func (r *Router) serveChunk(w http.ResponseWriter, req *http.Request) {
 	b := r.follower.Chunk(mux.Vars(req)["digest"])
 	if b == nil {
@@ -124,7 +124,7 @@
 	writeCompressed(w, req, b)
 }
 
-// serveExplain tells how a request was decided.
+// serveExplain returns the scheduler's decisions on a request.
 func (r *Router) serveExplain(w http.ResponseWriter, req *http.Request) {
 	id := mux.Vars(req)["id"]
 	r.mu.Lock()
--- a/router/targets.go
+++ b/router/targets.go
@@ -18,33 +18,34 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// setEndpoints takes the declared endpoints and watches this host's part of them.
-func (r *Router) setEndpoints(list []settings.Endpoint) {
+// applyEndpoints applies the declared endpoints: it watches this host's part of
+// them, stops watching the others, and updates the scheduler.
+func (r *Router) applyEndpoints(list []settings.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	watched := watchedPart(list, r.Self.Name, r.MaxWatched)
+	watched := selectWatched(list, r.Self.Name, r.MaxWatched)
 	specs := make([]sched.Endpoint, 0, len(watched))
-	keep := make(map[string]bool, len(watched))
+	isWatched := make(map[string]bool, len(watched))
 	for _, e := range watched {
-		keep[e.Name] = true
+		isWatched[e.Name] = true
 		specs = append(specs, sched.Endpoint{
-			Name: e.Name, Engine: e.Engine, Slots: e.Slots, Leaving: e.Leaving || r.leaving[e.Name],
+			Name: e.Name, Engine: e.Engine, Slots: e.Slots, Leaving: e.Leaving || r.leavingEndpoints[e.Name],
 		})
 		r.setTarget(e)
 	}
-	for name, t := range r.endpoints {
-		if !keep[name] {
+	for name, t := range r.targets {
+		if !isWatched[name] {
 			t.stop()
-			delete(r.endpoints, name)
+			delete(r.targets, name)
 		}
 	}
 	r.sched.SetEndpoints(specs)
-	r.pump()
+	r.deliverDecisions()
 }
 
-// watchedPart returns all plain services and, of the engines, at most n, chosen
-// by rendezvous hashing of host and endpoint.
-func watchedPart(list []settings.Endpoint, host string, n int) []settings.Endpoint {
+// selectWatched returns all plain services and at most n engines, which it
+// selects by rendezvous hashing of host and endpoint.
+func selectWatched(list []settings.Endpoint, host string, n int) []settings.Endpoint {
 	var engines, out []settings.Endpoint
 	for _, e := range list {
 		if e.Engine {
@@ -61,9 +62,10 @@
 	return append(out, engines...)
 }
 
-// setTarget makes or replaces the means to reach an endpoint; mu must be held.
+// setTarget creates the target of an endpoint, or replaces it if the address or
+// kind changed. The caller must hold mu.
 func (r *Router) setTarget(e settings.Endpoint) {
-	old := r.endpoints[e.Name]
+	old := r.targets[e.Name]
 	if old != nil && old.Address == e.Address && old.Engine == e.Engine {
 		old.Endpoint = e
 		return
@@ -75,46 +77,46 @@
 	t := &target{Endpoint: e, stop: cancel}
 	base := "http://" + e.Address
 	if e.Engine {
-		t.engine = &endpoint.Client{Base: base, HTTP: r.engines}
+		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	} else {
-		t.service = &endpoint.Service{Base: base, Transport: r.plain}
-		// Reports of services may reuse connections; calls may not.
-		t.engine = &endpoint.Client{Base: base, HTTP: r.engines}
+		t.service = &endpoint.Service{Base: base, Transport: r.serviceTransport}
+		// Reads of a service's reports may reuse connections; calls to it may not.
+		t.engine = &endpoint.Client{Base: base, HTTP: r.engineClient}
 	}
-	r.endpoints[e.Name] = t
-	go r.watch(ctx, t.Name, t.engine)
+	r.targets[e.Name] = t
+	go r.pollReports(ctx, t.Name, t.engine)
 }
 
-// watch reads an endpoint's reports until ctx ends.
-func (r *Router) watch(ctx context.Context, name string, e endpoint.Engine) {
+// pollReports reads and applies an endpoint's reports until ctx ends.
+func (r *Router) pollReports(ctx context.Context, name string, e endpoint.Engine) {
 	after := uint64(0)
 	for ctx.Err() == nil {
-		every := r.reportPause()
-		rctx, cancel := context.WithTimeout(ctx, 2*every)
+		interval := r.reportInterval()
+		rctx, cancel := context.WithTimeout(ctx, 2*interval)
 		rep, err := e.Report(rctx, after)
 		cancel()
 		if err == nil {
 			after = rep.NextEvent
-			r.takeReport(name, rep)
+			r.applyReport(name, rep)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// reportPause is the time between reads of one endpoint's report, so that all
-// together keep to the rate.
-func (r *Router) reportPause() time.Duration {
+// reportInterval returns the time between two reads of one endpoint's report. It
+// keeps the reads of all endpoints together within MaxReportRate.
+func (r *Router) reportInterval() time.Duration {
 	r.mu.Lock()
-	n := len(r.endpoints)
+	n := len(r.targets)
 	r.mu.Unlock()
 	return max(r.MinReportInterval, time.Duration(float64(n)/r.MaxReportRate*float64(time.Second)))
 }
 
-// takeReport hands a report to the scheduler.
-func (r *Router) takeReport(name string, rep endpoint.Report) {
+// applyReport applies an endpoint's report and cache events to the scheduler.
+func (r *Router) applyReport(name string, rep endpoint.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -131,11 +133,12 @@
 	for _, ev := range rep.Events {
 		r.sched.ApplyCacheEvent(name, ev.Block, ev.Evicted)
 	}
-	r.pump()
+	r.deliverDecisions()
 }
 
-// listed takes a reading of the platform's list: endpoints that leave get no new work.
-func (r *Router) listed(entries []keyval.ListEntry) {
+// applyHostList applies a new reading of the platform's list. Endpoints that are
+// leaving get no new requests.
+func (r *Router) applyHostList(entries []keyval.ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	leaving := make(map[string]bool)
@@ -144,33 +147,35 @@
 			leaving[e.Name] = true
 		}
 	}
-	for name, t := range r.endpoints {
-		if leaving[name] != r.leaving[name] {
-			r.Log.Info("endpoint leaving", "endpoint", name, "leaving", leaving[name])
+	for name, t := range r.targets {
+		if leaving[name] != r.leavingEndpoints[name] {
+			r.Log.Info("endpoint leaving state changed", "endpoint", name, "leaving", leaving[name])
 		}
 		r.sched.SetLeaving(name, t.Leaving || leaving[name])
 	}
-	r.leaving = leaving
-	r.pump()
+	r.leavingEndpoints = leaving
+	r.deliverDecisions()
 }
 
-// isLeaving reports whether an endpoint gets no new work.
+// isLeaving reports whether an endpoint gets no new requests because it is
+// leaving or no longer a target.
 func (r *Router) isLeaving(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.endpoints[name]
-	return t == nil || t.Leaving || r.leaving[name]
+	t := r.targets[name]
+	return t == nil || t.Leaving || r.leavingEndpoints[name]
 }
 
-// target returns the means to reach an endpoint, or nil.
+// target returns the target of an endpoint, or nil if the host does not watch it.
 func (r *Router) target(name string) *target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.endpoints[name]
+	return r.targets[name]
 }
 
-// anyEngine returns a client for any declared engine, watched or not, or nil.
-func (r *Router) anyEngine(name string) endpoint.Engine {
+// engineByName returns a client of a declared engine, watched or not, or nil if
+// the engine is not declared.
+func (r *Router) engineByName(name string) endpoint.Engine {
 	if t := r.target(name); t != nil {
 		return t.engine
 	}
@@ -180,20 +185,21 @@
 	}
 	for _, e := range s.Fleet.Endpoints {
 		if e.Name == name && e.Engine {
-			return &endpoint.Client{Base: "http://" + e.Address, HTTP: r.engines}
+			return &endpoint.Client{Base: "http://" + e.Address, HTTP: r.engineClient}
 		}
 	}
 	return nil
 }
 
-// AllEndpointsReported reports whether every endpoint that the host watches has reported.
+// AllEndpointsReported reports whether the host watches any endpoints and has a
+// report of each of them.
 func (r *Router) AllEndpointsReported() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name := range r.endpoints {
+	for name := range r.targets {
 		if !r.sched.HasReport(name) {
 			return false
 		}
 	}
-	return len(r.endpoints) > 0
+	return len(r.targets) > 0
 }
