--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -74,7 +74,7 @@
 
 // run follows the router's settings and places until ctx ends.
 func run(ctx context.Context, a args, log logr.Logger) {
-	pc := &keyval.Client{Base: a.Platform}
+	pc := &keyval.Client{BaseURL: a.Platform}
 	local := router.NewLocal(a.Router)
 	f := &revision.Follower{KV: pc, Peers: local.Peer(), Log: log}
 	engines := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
--- a/cmd/hkrouter/run.go
+++ b/cmd/hkrouter/run.go
@@ -28,7 +28,7 @@
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	pc := &keyval.Client{Base: a.Platform}
+	pc := &keyval.Client{BaseURL: a.Platform}
 	r := &router.Router{
 		Self: fleet.Host{
 			Name: a.Name, Incarnation: once.NewIncarnation(), Address: l.Addr().String(), Zone: a.Zone, Region: a.Region,
--- a/internal/bound/requests.go
+++ b/internal/bound/requests.go
@@ -76,13 +76,13 @@
 	counts := Counts{Tries: len(final)}
 	weights := make(map[string]func(*outcome.Event) float64)
 	for route := range kinds {
-		weights[route] = outcome.Weigher(slices.DeleteFunc(slices.Clone(final), func(e outcome.Event) bool { return e.Route != route }))
+		weights[route] = outcome.WeightFunc(slices.DeleteFunc(slices.Clone(final), func(e outcome.Event) bool { return e.Route != route }))
 	}
 	for _, tries := range families(final, kinds) {
 		counts.Requests++
 		last := &tries[len(tries)-1]
 		switch {
-		case !slices.ContainsFunc(tries, func(e outcome.Event) bool { return e.Loss() != outcome.OverAmount }):
+		case !slices.ContainsFunc(tries, func(e outcome.Event) bool { return e.Loss() != outcome.OverQuota }):
 			counts.OverAmount++
 			continue
 		case last.Loss() == outcome.CallerLeft:
@@ -96,7 +96,7 @@
 
 // arrived is when a try came.
 func arrived(e *outcome.Event) time.Duration {
-	return time.Duration(e.Time*float64(time.Second)) - time.Duration(e.HeldMS)*time.Millisecond
+	return time.Duration(e.Time*float64(time.Second)) - time.Duration(e.ElapsedMS)*time.Millisecond
 }
 
 // kindsOf finds the kind of each route: of those with its objective and pause the one whose
@@ -144,7 +144,7 @@
 			continue
 		}
 		from := arrived(e) - zero
-		to := from + time.Duration(e.HeldMS)*time.Millisecond
+		to := from + time.Duration(e.ElapsedMS)*time.Millisecond
 		s := byName[e.Endpoint]
 		if s == nil {
 			s = &seen{from: from, to: to}
@@ -202,7 +202,7 @@
 		return r
 	}
 	r.Output = max(1, last.Events*max(1, site.EventTokens))
-	begun := arrived(last) - arrived(first) + time.Duration(last.FirstMS)*time.Millisecond
+	begun := arrived(last) - arrived(first) + time.Duration(last.FirstEventMS)*time.Millisecond
 	paused := time.Duration(last.LongestPauseMS) * time.Millisecond
 	r.Earned = r.Late
 	if begun <= k.Objective && (k.Pause == 0 || paused <= k.Pause) {
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -238,7 +238,7 @@
 		return nil, err
 	}
 	zone := c.Zones[i%len(c.Zones)]
-	pc := &keyval.Client{Base: "http://" + c.PlatformAddress}
+	pc := &keyval.Client{BaseURL: "http://" + c.PlatformAddress}
 	r := &router.Router{
 		Self: fleet.Host{
 			Name: fmt.Sprintf("host-%d", i+1), Incarnation: once.NewIncarnation(),
--- a/internal/fake/contract_test.go
+++ b/internal/fake/contract_test.go
@@ -62,7 +62,7 @@
 		must.Eq(t, []string{"b/1", "b/2"}, keys)
 	}},
 	{"a value over the limit is refused", func(t *testing.T, kv keyval.KV, _ *KV) {
-		_, err := kv.Swap(t.Context(), "a", 0, make([]byte, keyval.MaxValue+1), 0)
+		_, err := kv.Swap(t.Context(), "a", 0, make([]byte, keyval.MaxValueSize+1), 0)
 		must.ErrorIs(t, err, keyval.ErrTooLarge)
 	}},
 	{"a watch returns a change that came before or comes during it", func(t *testing.T, kv keyval.KV, stand *KV) {
@@ -89,9 +89,9 @@
 		time.Sleep(60 * time.Millisecond)
 		_, err = kv.Get(t.Context(), "a")
 		must.ErrorIs(t, err, keyval.ErrNotFound)
-		must.ErrorIs(t, kv.Renew(t.Context(), l), keyval.ErrLeaseGone)
+		must.ErrorIs(t, kv.Renew(t.Context(), l), keyval.ErrLeaseExpired)
 		_, err = kv.Swap(t.Context(), "a", 0, nil, l)
-		must.ErrorIs(t, err, keyval.ErrLeaseGone)
+		must.ErrorIs(t, err, keyval.ErrLeaseExpired)
 	}},
 	{"an answer may be lost after the write", func(t *testing.T, kv keyval.KV, stand *KV) {
 		stand.SetFaults(KVFaults{LoseAnswer: 1})
@@ -116,7 +116,7 @@
 		stand.Writes = 2
 		var limited int
 		for range 5 {
-			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrLimited) {
+			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrRateLimited) {
 				limited++
 			}
 		}
@@ -135,7 +135,7 @@
 			p := &Platform{KV: kv, Hosts: &HostList{}, Weights: &WeightStore{}}
 			srv := httptest.NewServer(p.Handler())
 			defer srv.Close()
-			c.run(t, &keyval.Client{Base: srv.URL}, kv)
+			c.run(t, &keyval.Client{BaseURL: srv.URL}, kv)
 		})
 	}
 }
@@ -145,7 +145,7 @@
 	p := &Platform{KV: &KV{}, Hosts: l, Weights: &WeightStore{}}
 	srv := httptest.NewServer(p.Handler())
 	defer srv.Close()
-	c := &keyval.Client{Base: srv.URL}
+	c := &keyval.Client{BaseURL: srv.URL}
 	names := func() string {
 		list, err := c.List(t.Context())
 		must.NoError(t, err)
--- a/internal/fake/kv.go
+++ b/internal/fake/kv.go
@@ -136,7 +136,7 @@
 	if lim != nil && !lim.Allow() {
 		k.calls.Limited++
 		k.mu.Unlock()
-		return keyval.ErrLimited
+		return keyval.ErrRateLimited
 	}
 	if f.Delay > 0 {
 		k.mu.Unlock()
@@ -200,7 +200,7 @@
 
 // Swap implements keyval.KV.
 func (k *KV) Swap(ctx context.Context, key string, version uint64, value []byte, lease keyval.Lease) (uint64, error) {
-	if len(value) > keyval.MaxValue {
+	if len(value) > keyval.MaxValueSize {
 		return 0, keyval.ErrTooLarge
 	}
 	if err := k.enter(ctx, true); err != nil {
@@ -211,7 +211,7 @@
 		return 0, keyval.ErrConflict
 	}
 	if lease != 0 && k.leases[lease] == nil {
-		return 0, keyval.ErrLeaseGone
+		return 0, keyval.ErrLeaseExpired
 	}
 	k.version++
 	k.items[key] = kvItem{slices.Clone(value), k.version, lease}
@@ -309,7 +309,7 @@
 	defer k.mu.Unlock()
 	l := k.leases[lease]
 	if l == nil {
-		return keyval.ErrLeaseGone
+		return keyval.ErrLeaseExpired
 	}
 	l.until = time.Now().Add(l.ttl)
 	if k.lost() {
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -122,7 +122,7 @@
 	kick   chan struct{}
 	ticks  int
 	live   map[string]bool // as it was logged last
-	lines  outcome.Budget
+	lines  outcome.LineLimiter
 	row    HostInfo // what this host told last of itself
 	relay  Relay    // what this host passes on
 	uplink uplink   // the relay that passes on what this host tells
@@ -141,7 +141,7 @@
 	a.kick = make(chan struct{}, 1)
 	a.asking = make(chan struct{}, 1)
 	a.live = make(map[string]bool)
-	a.lines = outcome.Budget{Rate: liveLines, Burst: mostLiveLines}
+	a.lines = outcome.LineLimiter{Rate: liveLines, Burst: mostLiveLines}
 	a.relay = Relay{Host: a.Table.Host, Life: a.Table.Life}
 	if a.Interval == 0 {
 		a.Interval = DefaultInterval
@@ -349,7 +349,7 @@
 	if len(seen)+len(lost) == 0 {
 		return
 	}
-	dropped, ok := a.lines.Take(now)
+	dropped, ok := a.lines.Allow(now)
 	if !ok {
 		return
 	}
--- a/revision/store.go
+++ b/revision/store.go
@@ -136,7 +136,7 @@
 // again reports whether an error may pass by itself.
 func again(err error) bool {
 	return errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnavailable) ||
-		errors.Is(err, keyval.ErrLimited) || errors.Is(err, keyval.ErrNotFound)
+		errors.Is(err, keyval.ErrRateLimited) || errors.Is(err, keyval.ErrNotFound)
 }
 
 // try makes one attempt. A head whose write gave no answer is read again by the
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -152,6 +152,6 @@
 		r.metrics.Count(j.key(), "answered late")
 	}
 	if res == sched.Completed {
-		r.metrics.Record(j.key(), metrics.WholeTime, took)
+		r.metrics.Record(j.key(), metrics.TotalTime, took)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -298,7 +298,7 @@
 	if s == nil {
 		return 1
 	}
-	return min(max(1, s.Hosts(workspace)), r.fleetSize())
+	return min(max(1, s.HostCount(workspace)), r.fleetSize())
 }
 
 // behind pulls settings from a peer that has a higher revision.
