--- a/settings/check.go
+++ b/settings/check.go
@@ -10,30 +10,31 @@
 	"strings"
 )
 
-// checker looks at references between entries of one declaration.
-type checker struct {
-	p      *Parsed
+// referenceChecker checks the references between the entries of one declaration.
+type referenceChecker struct {
+	parsed *Parsed
 	faults Faults
 }
 
-// Check finds what is wrong between the entries of a sorted declaration, such as
-// references to names that it does not declare; the faults have no file.
+// Check returns the faults between the entries of a sorted declaration, such as
+// references to names that it does not declare. The faults have no source file.
 func Check(d Declaration) Faults {
-	return checkRefs(&Parsed{Declaration: d, Sources: map[string]Source{}})
+	return checkReferences(&Parsed{Declaration: d, Sources: map[string]Source{}})
 }
 
-// checkRefs finds references to names that are not declared.
-func checkRefs(p *Parsed) Faults {
-	c := &checker{p: p}
+// checkReferences returns the references to undeclared names, missing required keys
+// and duplicate addresses of a parsed declaration.
+func checkReferences(p *Parsed) Faults {
+	c := &referenceChecker{parsed: p}
 	tiers := c.tiers()
 	for _, e := range p.Declaration {
 		switch {
 		case e.Key == KeyEndpoints:
-			c.each(e, "endpoints")
+			c.names(e, "endpoints")
 		case e.Key == KeyModels:
-			c.each(e, "models")
+			c.names(e, "models")
 		case e.Key == KeyModel:
-			c.each(e, "models")
+			c.names(e, "models")
 		case e.Key == KeyTier:
 			c.tier(e, e.Value, tiers)
 		case e.Key == KeyAddress:
@@ -44,68 +45,69 @@
 			c.required(e)
 		}
 	}
-	c.sameAddress()
+	c.uniqueAddresses()
 	return c.faults
 }
 
-// fault notes one problem at the place where e was declared.
-func (c *checker) fault(e Entry, message, remedy string) {
-	f := Fault{Source: c.p.Sources[e.Path()], Path: e.Path(), Message: message, Remedy: remedy}
+// fault records one fault at the position where e was declared.
+func (c *referenceChecker) fault(e Entry, message, remedy string) {
+	f := Fault{Source: c.parsed.Sources[e.Path()], Path: e.Path(), Message: message, Remedy: remedy}
 	c.faults = append(c.faults, f)
 }
 
-// tiers returns the declared order, or the default one.
-func (c *checker) tiers() []string {
-	v, ok := c.p.Declaration.Find("", KeyTiers)
+// tiers returns the declared order of tiers, or the default order.
+func (c *referenceChecker) tiers() []string {
+	v, ok := c.parsed.Declaration.Find("", KeyTiers)
 	if !ok {
 		v = FindKey(KeyTiers, LevelFleet).Default
 	}
-	return split(v)
+	return splitNames(v)
 }
 
-// each checks that every name of a list is declared in a section.
-func (c *checker) each(e Entry, section string) {
-	for _, name := range split(e.Value) {
-		if _, ok := c.p.Declaration.Find(section+"/"+name, ""); !ok {
-			c.fault(e, "refers to "+name+", which "+section+" does not declare", "declare it under "+section+" or take it out")
+// names checks that every name in the list value of e is declared in a section.
+func (c *referenceChecker) names(e Entry, section string) {
+	for _, name := range splitNames(e.Value) {
+		if _, ok := c.parsed.Declaration.Find(section+"/"+name, ""); !ok {
+			c.fault(e, "refers to "+name+", which "+section+" does not declare", "declare it under "+section+" or remove the reference")
 		}
 	}
 }
 
-// tier checks that a tier is in the fleet's order.
-func (c *checker) tier(e Entry, name string, tiers []string) {
+// tier checks that a tier is in the fleet's order of tiers.
+func (c *referenceChecker) tier(e Entry, name string, tiers []string) {
 	if !slices.Contains(tiers, name) {
 		c.fault(e, "tier "+name+" is not in the order "+strings.Join(tiers, ", "), "use one of these or add it to set: tiers")
 	}
 }
 
-// address checks that an address is an IP number and a port.
-func (c *checker) address(e Entry) {
+// address checks that an address consists of an IP address and a port.
+func (c *referenceChecker) address(e Entry) {
 	if _, err := netip.ParseAddrPort(e.Value); err != nil {
-		c.fault(e, "not an IP number and port: "+e.Value, "write it like 10.0.0.1:8000")
+		c.fault(e, "not an IP address and port: "+e.Value, "write it like 10.0.0.1:8000")
 	}
 }
 
-// required checks the keys that a node cannot do without.
-func (c *checker) required(e Entry) {
-	need := ""
+// required checks that a node sets the key that its level requires.
+func (c *referenceChecker) required(e Entry) {
+	required := ""
 	switch levelOf(e.Node) {
 	case LevelEndpoint:
-		need = KeyAddress
+		required = KeyAddress
 	case LevelPlacement:
-		need = KeyModel
+		required = KeyModel
 	default:
 		return
 	}
-	if _, ok := c.p.Declaration.Find(e.Node, need); !ok {
-		c.fault(e, "lacks "+need, "add "+need)
+	if _, ok := c.parsed.Declaration.Find(e.Node, required); !ok {
+		c.fault(e, "lacks the key "+required, "add "+required)
 	}
 }
 
-// sameAddress refuses two endpoints at one address: their reports would mix.
-func (c *checker) sameAddress() {
+// uniqueAddresses rejects endpoints that share an address: hosts could not tell
+// their reports apart.
+func (c *referenceChecker) uniqueAddresses() {
 	first := make(map[string]string)
-	for _, e := range c.p.Declaration {
+	for _, e := range c.parsed.Declaration {
 		if e.Key != KeyAddress {
 			continue
 		}
@@ -117,8 +119,8 @@
 	}
 }
 
-// split cuts a list value into names.
-func split(v string) []string {
+// splitNames splits a list value into names.
+func splitNames(v string) []string {
 	if v == "" {
 		return nil
 	}
@@ -130,7 +132,7 @@
 	return node[strings.LastIndexByte(node, '/')+1:]
 }
 
-// levelOf returns the level of a node from its path.
+// levelOf returns the level of the node at a path, or 0 if the path has no known section.
 func levelOf(node string) Level {
 	if node == "" {
 		return LevelFleet
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -2,11 +2,11 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package settings holds the tree of settings that operators declare: workspaces,
+// Package settings defines the tree of settings that operators declare: workspaces,
 // their services and tiers, and the endpoints, models and placements they refer to.
 //
-// A declaration is a sorted list of entries, each a path and a value. The same
-// list is what YAML files are read into, what is compared and merged, what is
-// cut into content-addressed chunks, and what a Snapshot is built from. The
-// package does no I/O and reads no clock.
+// A Declaration is a sorted list of entries, each with a path and a value. YAML
+// files are parsed into this list; it is compared and merged, split into
+// content-addressed chunks, and resolved into a Snapshot. Apart from reading files
+// through an fs.FS, the package does no I/O, and it reads no clock.
 package settings
--- a/settings/files.go
+++ b/settings/files.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// ReadDir reads all YAML files below the root of fsys, in name order.
+// ReadDir reads all YAML files below the root of fsys, sorted by name. It skips
+// files whose names begin with a dot.
 func ReadDir(fsys fs.FS) ([]File, error) {
 	var files []File
 	err := fs.WalkDir(fsys, ".", func(p string, d fs.DirEntry, err error) error {
--- a/settings/format.go
+++ b/settings/format.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// Format writes a declaration as one YAML file that Parse reads back to the same.
+// Format returns a declaration as one YAML file. Parsing the file gives the same declaration.
 func Format(d Declaration) []byte {
 	root := &formatNode{level: LevelFleet}
 	for _, e := range d {
-		n := root.at(e.Node)
+		n := root.descendant(e.Node)
 		if e.Key != "" {
 			n.values = append(n.values, e)
 		}
@@ -24,7 +24,7 @@
 	return b.Bytes()
 }
 
-// formatNode is a node or section of the tree to write.
+// formatNode is a node or a section of the tree that Format writes.
 type formatNode struct {
 	name     string
 	level    Level // 0 for a section
@@ -32,15 +32,15 @@
 	children []*formatNode
 }
 
-// at returns the node of a path, made if it is not there.
-func (n *formatNode) at(path string) *formatNode {
+// descendant returns the node at a path below n and creates missing nodes.
+func (n *formatNode) descendant(path string) *formatNode {
 	if path == "" {
 		return n
 	}
 	name, rest, _ := strings.Cut(path, "/")
 	for _, c := range n.children {
 		if c.name == name {
-			return c.at(rest)
+			return c.descendant(rest)
 		}
 	}
 	c := &formatNode{name: name}
@@ -48,34 +48,34 @@
 		c.level = levelOf("x/" + n.name + "/" + name)
 	}
 	n.children = append(n.children, c)
-	return c.at(rest)
+	return c.descendant(rest)
 }
 
-// write writes what stands in a node, indented.
+// write writes the values and children of a node, indented by depth.
 func (n *formatNode) write(b *bytes.Buffer, depth int) {
-	pad := strings.Repeat("  ", depth)
-	valuePad := pad
-	if len(n.values) > 0 && n.hasSet() {
-		fmt.Fprintf(b, "%sset:\n", pad)
-		valuePad += "  "
+	indent := strings.Repeat("  ", depth)
+	valueIndent := indent
+	if len(n.values) > 0 && n.usesSet() {
+		fmt.Fprintf(b, "%sset:\n", indent)
+		valueIndent += "  "
 	}
 	for _, e := range n.values {
-		fmt.Fprintf(b, "%s%s: %s\n", valuePad, e.Key, yamlValue(e, n.level))
+		fmt.Fprintf(b, "%s%s: %s\n", valueIndent, e.Key, yamlValue(e, n.level))
 	}
 	for _, c := range n.children {
 		if len(c.values)+len(c.children) == 0 {
-			fmt.Fprintf(b, "%s%s: {}\n", pad, c.name)
+			fmt.Fprintf(b, "%s%s: {}\n", indent, c.name)
 			continue
 		}
-		fmt.Fprintf(b, "%s%s:\n", pad, c.name)
+		fmt.Fprintf(b, "%s%s:\n", indent, c.name)
 		c.write(b, depth+1)
 	}
 }
 
-// hasSet reports whether a node's values stand under "set".
-func (n *formatNode) hasSet() bool { return n.level&inherited != 0 }
+// usesSet reports whether a node's values are written under "set".
+func (n *formatNode) usesSet() bool { return n.level&inheritingLevels != 0 }
 
-// yamlValue writes a value as YAML.
+// yamlValue returns the value of an entry as YAML.
 func yamlValue(e Entry, level Level) string {
 	k := FindKey(e.Key, level)
 	switch {
@@ -87,7 +87,7 @@
 	return e.Value
 }
 
-// Reference writes docs/SETTINGS.md from the table of keys.
+// Reference returns the text of docs/SETTINGS.md, made from the table of keys.
 func Reference() []byte {
 	var b bytes.Buffer
 	b.WriteString("# Settings\n\nThis page is made from the table in settings/key.go by `go generate ./settings`; a test holds it to the table.\n\n")
@@ -111,7 +111,7 @@
 	return b.Bytes()
 }
 
-// levelNames lists the levels of a set.
+// levelNames returns the names of the levels in a set, joined by commas. It omits LevelModel, which has no keys.
 func levelNames(l Level) string {
 	var out []string
 	for _, x := range []struct {
--- a/settings/key.go
+++ b/settings/key.go
@@ -15,7 +15,7 @@
 // Type is the type of a key's value.
 type Type string
 
-// The types of value.
+// The types of values.
 const (
 	Duration Type = "duration"
 	Integer  Type = "integer"
@@ -25,10 +25,10 @@
 	Names    Type = "list of names"
 )
 
-// Level is the kind of node that a key may stand at.
+// Level is a kind of node, or a set of kinds, that may set a key.
 type Level uint8
 
-// The levels of the tree, usable as a set.
+// The levels of the tree; a set is the bitwise or of its levels.
 const (
 	LevelFleet Level = 1 << iota
 	LevelModel
@@ -39,31 +39,31 @@
 	LevelTier
 )
 
-// inherited are the levels that hand their values down to their children.
-const inherited = LevelFleet | LevelWorkspace | LevelService | LevelTier
+// inheritingLevels are the levels whose nodes pass their values on to their children.
+const inheritingLevels = LevelFleet | LevelWorkspace | LevelService | LevelTier
 
-// Key describes one setting: the table of keys is the source of checking, of
-// explain and of docs/SETTINGS.md.
+// Key describes one setting. Checking, Explain and docs/SETTINGS.md all use the
+// table of keys.
 type Key struct {
 	// Name is the key as it is written in YAML.
 	Name string
 	// Type is the type of the value.
 	Type Type
-	// Unit names the unit of the value, or is empty.
+	// Unit is the unit of the value, or empty.
 	Unit string
-	// Min and Max bound the value, in the unit (durations in seconds).
+	// Min and Max limit the value, in Unit (durations in seconds).
 	Min, Max float64
-	// Default is the value in force where no level sets one.
+	// Default is the value in effect where no level sets one.
 	Default string
-	// Levels is the set of nodes that may set the key.
+	// Levels is the set of levels whose nodes may set the key.
 	Levels Level
-	// Choices lists the only permitted texts, or is empty.
+	// Choices lists the permitted values; empty permits any.
 	Choices []string
-	// Doc is one sentence for operators.
+	// Doc is a one-sentence description for operators.
 	Doc string
 }
 
-// The names of keys that the code refers to.
+// The names of the keys.
 const (
 	KeyTier        = "tier"
 	KeyDeadline    = "deadline"
@@ -94,26 +94,27 @@
 	KeySlots       = "slots"
 )
 
-// inherit is the value that sets a key back to what the parent has.
-const inherit = "inherit"
+// inheritValue is the value that states explicitly that a key inherits its parent's value.
+const inheritValue = "inherit"
 
-// Keys is the table of all keys, sorted by name within each group.
+// Keys is the table of all keys: those of the fleet, workspaces, services and tiers,
+// then those of endpoints, then those of placements.
 var Keys = []Key{
 	{Name: KeyTiers, Type: Names, Levels: LevelFleet, Default: "urgent,normal,patient", Doc: "Names of the tiers, the highest first; the last is shed first."},
-	{Name: KeyTier, Type: Text, Levels: inherited &^ LevelTier, Default: "normal", Doc: "Tier of a request that names none."},
-	{Name: KeyDeadline, Type: Duration, Unit: "s", Min: 0.001, Max: 86400, Levels: inherited, Default: "30s", Doc: "Time from arrival within which the whole answer counts as goodput."},
-	{Name: KeyRepeatable, Type: Boolean, Levels: inherited, Default: "true", Doc: "Whether running a request twice does no harm; false demands an ID and a witness."},
-	{Name: KeyWitness, Type: Boolean, Levels: inherited, Default: "true", Doc: "Whether a call that may not be repeated is recorded at a witness before its dispatch."},
-	{Name: KeyWeight, Type: Number, Unit: "share", Min: 0.01, Max: 1000, Levels: inherited, Default: "1", Doc: "Share of a workspace among workspaces of the same tier."},
-	{Name: KeyRate, Type: Number, Unit: "requests/s", Min: 0, Max: 1e6, Levels: inherited, Default: "0", Doc: "Rate limit of everything below the level that sets it, over all hosts; 0 is no limit."},
-	{Name: KeyConcurrency, Type: Integer, Unit: "requests", Min: 0, Max: 1e6, Levels: inherited, Default: "0", Doc: "Limit of requests running at once below the level that sets it, over all hosts; 0 is no limit."},
-	{Name: KeyRetryBudget, Type: Number, Unit: "share", Min: 0, Max: 1, Levels: inherited, Default: "0.1", Doc: "Retries taken, as a share of first tries."},
-	{Name: KeyQueue, Type: Integer, Unit: "requests", Min: 0, Max: 100000, Levels: inherited, Default: "1000", Doc: "Requests of a workspace that may wait on one host."},
-	{Name: KeyAffinity, Type: Boolean, Levels: inherited, Default: "true", Doc: "Whether a request prefers an endpoint that holds its prompt prefix."},
-	{Name: KeyEndpoints, Type: Names, Levels: inherited, Default: "", Doc: "Endpoints that may serve; empty means every engine that holds the model."},
-	{Name: KeyModels, Type: Names, Levels: inherited, Default: "", Doc: "Models that may be asked for; empty means all."},
-	{Name: KeyMaxTokens, Type: Integer, Unit: "tokens", Min: 1, Max: 1e6, Levels: inherited, Default: "4096", Doc: "Most tokens that one answer may have."},
-	{Name: KeyMaxBody, Type: Integer, Unit: "bytes", Min: 1, Max: 64 << 20, Levels: inherited, Default: "1048576", Doc: "Largest body of a request; it bounds the memory that a request may hold."},
+	{Name: KeyTier, Type: Text, Levels: inheritingLevels &^ LevelTier, Default: "normal", Doc: "Tier of a request that names none."},
+	{Name: KeyDeadline, Type: Duration, Unit: "s", Min: 0.001, Max: 86400, Levels: inheritingLevels, Default: "30s", Doc: "Time from arrival within which the whole answer counts as goodput."},
+	{Name: KeyRepeatable, Type: Boolean, Levels: inheritingLevels, Default: "true", Doc: "Whether running a request twice does no harm; false demands an ID and a witness."},
+	{Name: KeyWitness, Type: Boolean, Levels: inheritingLevels, Default: "true", Doc: "Whether a call that may not be repeated is recorded at a witness before its dispatch."},
+	{Name: KeyWeight, Type: Number, Unit: "share", Min: 0.01, Max: 1000, Levels: inheritingLevels, Default: "1", Doc: "Share of a workspace among workspaces of the same tier."},
+	{Name: KeyRate, Type: Number, Unit: "requests/s", Min: 0, Max: 1e6, Levels: inheritingLevels, Default: "0", Doc: "Rate limit of everything below the level that sets it, over all hosts; 0 is no limit."},
+	{Name: KeyConcurrency, Type: Integer, Unit: "requests", Min: 0, Max: 1e6, Levels: inheritingLevels, Default: "0", Doc: "Limit of requests running at once below the level that sets it, over all hosts; 0 is no limit."},
+	{Name: KeyRetryBudget, Type: Number, Unit: "share", Min: 0, Max: 1, Levels: inheritingLevels, Default: "0.1", Doc: "Retries taken, as a share of first tries."},
+	{Name: KeyQueue, Type: Integer, Unit: "requests", Min: 0, Max: 100000, Levels: inheritingLevels, Default: "1000", Doc: "Requests of a workspace that may wait on one host."},
+	{Name: KeyAffinity, Type: Boolean, Levels: inheritingLevels, Default: "true", Doc: "Whether a request prefers an endpoint that holds its prompt prefix."},
+	{Name: KeyEndpoints, Type: Names, Levels: inheritingLevels, Default: "", Doc: "Endpoints that may serve; empty means every engine that holds the model."},
+	{Name: KeyModels, Type: Names, Levels: inheritingLevels, Default: "", Doc: "Models that may be asked for; empty means all."},
+	{Name: KeyMaxTokens, Type: Integer, Unit: "tokens", Min: 1, Max: 1e6, Levels: inheritingLevels, Default: "4096", Doc: "Most tokens that one answer may have."},
+	{Name: KeyMaxBody, Type: Integer, Unit: "bytes", Min: 1, Max: 64 << 20, Levels: inheritingLevels, Default: "1048576", Doc: "Largest body of a request; it bounds the memory that a request may hold."},
 	{Name: KeyHosts, Type: Integer, Unit: "hosts", Min: 1, Max: 1000, Levels: LevelFleet | LevelWorkspace, Default: "3", Doc: "Number of hosts named in the address answer of a workspace."},
 
 	{Name: KeyKind, Type: Text, Levels: LevelEndpoint, Default: "engine", Choices: []string{"engine", "service"}, Doc: "Model engine or plain service."},
@@ -130,7 +131,7 @@
 	{Name: KeyReplicas, Type: Integer, Unit: "endpoints", Min: 0, Max: 10000, Levels: LevelPlacement, Default: "1", Doc: "Endpoints that hold the model, in each zone placed."},
 }
 
-// FindKey returns the key of that name that may stand at level, or nil.
+// FindKey returns the key with the given name that may be set at level, or nil.
 func FindKey(name string, level Level) *Key {
 	for i := range Keys {
 		if Keys[i].Name == name && Keys[i].Levels&level != 0 {
@@ -140,34 +141,34 @@
 	return nil
 }
 
-// Normalize checks text against the key and returns its canonical form.
+// Normalize checks a value of the key and returns its canonical form.
 func (k *Key) Normalize(text string) (string, error) {
 	switch k.Type {
 	case Duration:
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return "", fmt.Errorf("%q is no duration; write a number with a unit, such as 500ms or 30s", text)
+			return "", fmt.Errorf("%q is not a duration; write a number with a unit, such as 500ms or 30s", text)
 		}
-		return d.String(), k.inRange(d.Seconds())
+		return d.String(), k.checkRange(d.Seconds())
 	case Integer:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return "", fmt.Errorf("%q is no whole number; write one without a unit (the unit is %s)", text, k.Unit)
+			return "", fmt.Errorf("%q is not an integer; write one without a unit (the unit is %s)", text, k.Unit)
 		}
-		return strconv.FormatInt(n, 10), k.inRange(float64(n))
+		return strconv.FormatInt(n, 10), k.checkRange(float64(n))
 	case Number:
 		f, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return "", fmt.Errorf("%q is no number; write one without a unit (the unit is %s)", text, k.Unit)
+			return "", fmt.Errorf("%q is not a number; write one without a unit (the unit is %s)", text, k.Unit)
 		}
-		return strconv.FormatFloat(f, 'g', -1, 64), k.inRange(f)
+		return strconv.FormatFloat(f, 'g', -1, 64), k.checkRange(f)
 	case Boolean:
 		if text != "true" && text != "false" {
 			return "", fmt.Errorf("%q is neither true nor false", text)
 		}
 	case Text:
 		if len(k.Choices) > 0 && !slices.Contains(k.Choices, text) {
-			return "", fmt.Errorf("%q is none of %s", text, strings.Join(k.Choices, ", "))
+			return "", fmt.Errorf("%q is not one of %s", text, strings.Join(k.Choices, ", "))
 		}
 	case Names:
 		return text, nil
@@ -175,8 +176,8 @@
 	return text, nil
 }
 
-// inRange reports whether f lies in the key's range; a NaN does not.
-func (k *Key) inRange(f float64) error {
+// checkRange returns an error if f is outside the key's range; a NaN is.
+func (k *Key) checkRange(f float64) error {
 	if f >= k.Min && f <= k.Max {
 		return nil
 	}
--- a/settings/lineage.go
+++ b/settings/lineage.go
@@ -11,14 +11,16 @@
 	"time"
 )
 
-// lineage looks values up from a node towards the fleet.
+// lineage looks up the values in effect at a node: those of the node, its
+// ancestors and the fleet.
 type lineage struct {
 	fleet, entries Declaration
 	node           string
 }
 
-// find returns the value of a key in force at the node and the node that sets
-// it; with no such node the value is the default and the node "default".
+// find returns the value of a key in effect at the node and the path of the node
+// that sets it, empty for the fleet. If no node sets the key, it returns the default
+// value and "default".
 func (l lineage) find(key string) (string, string) {
 	for node := l.node; node != ""; node = parent(node) {
 		if v, ok := l.entries.Find(node, key); ok {
@@ -28,16 +30,16 @@
 	if v, ok := l.fleet.Find("", key); ok {
 		return v, ""
 	}
-	return FindKey(key, inherited).Default, "default"
+	return FindKey(key, inheritingLevels).Default, "default"
 }
 
-// value returns the value of a key in force at the node.
+// value returns the value of a key in effect at the node.
 func (l lineage) value(key string) string {
 	v, _ := l.find(key)
 	return v
 }
 
-// parent returns the path two parts shorter: a node without its section and name.
+// parent returns the path of a node's parent: the path without the node's section and name.
 func parent(node string) string {
 	for range 2 {
 		i := strings.LastIndexByte(node, '/')
@@ -49,7 +51,7 @@
 	return node
 }
 
-// effective resolves every key at a service or tier node.
+// effective resolves all inheritable keys at a service or tier node.
 func (l lineage) effective(f *Fleet, tier string) *Effective {
 	service := l.node
 	if levelOf(service) == LevelTier {
@@ -61,8 +63,8 @@
 		Repeatable:  l.value(KeyRepeatable) == "true",
 		Witness:     l.value(KeyWitness) == "true",
 		Affinity:    l.value(KeyAffinity) == "true",
-		Endpoints:   split(l.value(KeyEndpoints)),
-		Models:      split(l.value(KeyModels)),
+		Endpoints:   splitNames(l.value(KeyEndpoints)),
+		Models:      splitNames(l.value(KeyModels)),
 		Weight:      l.number(KeyWeight),
 		RetryBudget: l.number(KeyRetryBudget),
 		MaxQueued:   int(l.number(KeyQueue)),
@@ -77,23 +79,24 @@
 	return e
 }
 
-// number returns a value as a number; values were checked when they were read.
+// number returns a value as a number. It ignores errors because Parse has checked the values.
 func (l lineage) number(key string) float64 {
 	v, _ := strconv.ParseFloat(l.value(key), 64)
 	return v
 }
 
-// Explanation is one key in force at a node and where it comes from.
+// Explanation is the value of one key in effect at a node and its origin.
 type Explanation struct {
-	// Key and Value are the key and its value in force.
+	// Key and Value are the key and its value in effect.
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// From is the node that sets it, "fleet" or "default".
+	// From is the path of the node that sets the value, "fleet" or "default".
 	From string `json:"from"`
 }
 
-// Explain returns every inheritable key in force at a node of a declaration;
-// it returns false if the node does not exist.
+// Explain returns the keys in effect at a node of a declaration: the inheritable
+// keys, or at an endpoint, model or placement the keys of its level. It returns false
+// if the node does not exist.
 func Explain(d Declaration, node string) ([]Explanation, bool) {
 	if _, ok := d.Find(node, ""); !ok && node != "" {
 		return nil, false
@@ -104,14 +107,14 @@
 	for i := range Keys {
 		k := &Keys[i]
 		switch {
-		case level&inherited == 0 && k.Levels&level != 0:
+		case level&inheritingLevels == 0 && k.Levels&level != 0:
 			v, ok := d.Find(node, k.Name)
 			from := node
 			if !ok {
 				v, from = k.Default, "default"
 			}
 			out = append(out, Explanation{k.Name, v, from})
-		case level&inherited != 0 && k.Levels&inherited != 0:
+		case level&inheritingLevels != 0 && k.Levels&inheritingLevels != 0:
 			v, from := l.find(k.Name)
 			if from == "" {
 				from = "fleet"
--- a/settings/main_test.go
+++ b/settings/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests.
+// TestMain sets a fixed seed for the property tests.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -12,10 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-var update = flag.Bool("update", false, "write docs/SETTINGS.md anew")
+var update = flag.Bool("update", false, "rewrite docs/SETTINGS.md")
 
 //go:generate go test -run TestReference -update
 
+// TestReference checks that docs/SETTINGS.md agrees with the table of keys.
 func TestReference(t *testing.T) {
 	const page = "../docs/SETTINGS.md"
 	if *update {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,32 +20,34 @@
 	return Parse([]File{{Name: "a.yaml", Data: []byte(text)}})
 }
 
+// TestFaultsAreAllReported checks the message of each fault, that it states a remedy,
+// and that a declaration with several faults gets all of them reported.
 func TestFaultsAreAllReported(t *testing.T) {
 	cases := []struct {
 		name, text, want string
 	}{
 		{"unknown key", "workspaces: {a: {set: {speed: 1}}}", "a.yaml:1: workspaces/a:speed: unknown key"},
 		{"unknown section", "workspace: {}", "a.yaml:1: workspace: unknown key"},
-		{"doubled key", "models:\n  m: {}\n  m: {}", "a.yaml:3: models/m: key doubled, first at line 2"},
-		{"no unit", "set: {deadline: 30}", "is no duration"},
-		{"unit where none belongs", "set: {queue: 10s}", "is no whole number"},
+		{"duplicate key", "models:\n  m: {}\n  m: {}", "a.yaml:3: models/m: duplicate key, first at line 2"},
+		{"no unit", "set: {deadline: 30}", "is not a duration"},
+		{"unit on an integer", "set: {queue: 10s}", "is not an integer"},
 		{"out of range", "set: {retry-budget: 2}", "out of range"},
-		{"not a number", "set: {weight: .nan}", "is no number"},
+		{"not a number", "set: {weight: .nan}", "is not a number"},
 		{"NaN", "set: {weight: NaN}", "out of range"},
-		{"no truth value", "set: {repeatable: yes}", "neither true nor false"},
+		{"not a boolean", "set: {repeatable: yes}", "neither true nor false"},
 		{"unknown endpoint", "workspaces: {a: {set: {endpoints: [x]}}}", "refers to x, which endpoints does not declare"},
 		{"unknown model", "placements: {p: {model: x}}", "refers to x, which models does not declare"},
 		{"unknown tier", "workspaces: {a: {services: {s: {set: {tier: slow}}}}}", "tier slow is not in the order"},
 		{"undeclared tier node", "workspaces: {a: {services: {s: {tiers: {slow: {}}}}}}", "tier slow is not in the order"},
-		{"endpoint without address", "endpoints: {e: {zone: z}}", "lacks address"},
-		{"name instead of IP number", "endpoints: {e: {address: \"localhost:1\"}}", "not an IP number and port"},
-		{"two at one address", "endpoints: {e: {address: \"1.1.1.1:1\"}, f: {address: \"1.1.1.1:1\"}}", "has the address of endpoints/e"},
+		{"endpoint without address", "endpoints: {e: {zone: z}}", "lacks the key address"},
+		{"name instead of IP address", "endpoints: {e: {address: \"localhost:1\"}}", "not an IP address and port"},
+		{"two endpoints at one address", "endpoints: {e: {address: \"1.1.1.1:1\"}, f: {address: \"1.1.1.1:1\"}}", "has the address of endpoints/e"},
 		{"cycle", "workspaces: &w {a: {workspaces: *w}}", "aliases are not supported"},
 		{"alias", "models: &m {a: {}}\nendpoints: *m", "aliases are not supported"},
-		{"bad name", "models: {\"a b\": {}}", "not a name"},
-		{"list for a value", "set: {deadline: [1s]}", "expected a duration"},
-		{"value for a list", "set: {tiers: urgent}", "expected a list of names"},
-		{"no YAML", "set: [", "not valid YAML"},
+		{"invalid name", "models: {\"a b\": {}}", "not a valid name"},
+		{"list instead of a value", "set: {deadline: [1s]}", "expected a duration"},
+		{"value instead of a list", "set: {tiers: urgent}", "expected a list of names"},
+		{"invalid YAML", "set: [", "not valid YAML"},
 	}
 	for _, c := range cases {
 		p := parseText(c.text)
@@ -122,8 +124,10 @@
 	must.SliceContains(t, list, Explanation{KeyQueue, "1000", "default"})
 }
 
-func TestWithSharesWhatDidNotChange(t *testing.T) {
-	d := treeOf(2000)
+// TestWithShardsSharesUnchanged checks that a change to one workspace replaces the
+// values of that workspace alone, although others share its shard.
+func TestWithShardsSharesUnchanged(t *testing.T) {
+	d := testDeclaration(2000)
 	s := NewSnapshot(1, d)
 	var part Declaration
 	for _, e := range d {
@@ -168,7 +172,7 @@
 			[]string{"a:x"}, nil},
 		{"both removed", Declaration{{"a", "", ""}, {"a", "y", "1"}}, Declaration{{"a", "", ""}, {"a", "y", "1"}},
 			nil, Declaration{{"a", "", ""}, {"a", "y", "1"}}},
-		{"both added, unlike", append(old[:3:3], Entry{"a", "z", "1"}), append(old[:3:3], Entry{"a", "z", "2"}), []string{"a:z"}, nil},
+		{"both added, different values", append(old[:3:3], Entry{"a", "z", "1"}), append(old[:3:3], Entry{"a", "z", "2"}), []string{"a:z"}, nil},
 	}
 	for _, c := range cases {
 		got, conflicts := Merge(c.theirs, Diff(old, c.mine))
@@ -177,7 +181,8 @@
 	}
 }
 
-func TestDiffThenMergeGivesTheOther(t *testing.T) {
+// TestMergeAppliesDiff checks that merging the difference from a to b into a gives b.
+func TestMergeAppliesDiff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Declaration {
 			m := rapid.MapOfN(rapid.StringMatching("[ab]{1,3}"), rapid.StringMatching("[xy]"), 0, 6).Draw(t, name)
@@ -195,6 +200,8 @@
 	})
 }
 
+// TestExamplesAndFormat checks that the example declarations have no faults and that
+// Format writes files that parse to the same declaration.
 func TestExamplesAndFormat(t *testing.T) {
 	for _, dir := range []struct {
 		name  string
@@ -211,6 +218,8 @@
 	}
 }
 
+// FuzzParse checks that Parse does not panic, and neither does NewSnapshot on a
+// declaration without faults.
 func FuzzParse(f *testing.F) {
 	f.Add(inheritText)
 	f.Add("set: {deadline: 1s}")
@@ -222,8 +231,8 @@
 	})
 }
 
-// treeOf returns a declaration of n workspaces with three services each.
-func treeOf(n int) Declaration {
+// testDeclaration returns a declaration of n workspaces with three services each.
+func testDeclaration(n int) Declaration {
 	d := Declaration{{"", KeyTiers, "urgent,normal,patient"}}
 	for i := range n {
 		ws := fmt.Sprintf("workspaces/ws-%05d", i)
@@ -235,18 +244,18 @@
 	return d.Sorted()
 }
 
-var sizes = []int{5, 500, 8300}
+var workspaceCounts = []int{5, 500, 8300}
 
 func TestResolveAllocatesNothing(t *testing.T) {
-	s := NewSnapshot(1, treeOf(500))
+	s := NewSnapshot(1, testDeclaration(500))
 	ref := Ref{"ws-00123", "b", ""}
 	must.Zero(t, testing.AllocsPerRun(100, func() { s.Resolve(ref) }))
 }
 
 func BenchmarkResolve(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			s := NewSnapshot(1, treeOf(n))
+			s := NewSnapshot(1, testDeclaration(n))
 			ref := Ref{fmt.Sprintf("ws-%05d", n/2), "b", ""}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -257,9 +266,9 @@
 }
 
 func BenchmarkNewSnapshot(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			d := treeOf(n)
+			d := testDeclaration(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				NewSnapshot(1, d)
@@ -269,9 +278,9 @@
 }
 
 func BenchmarkOneKeyChange(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range workspaceCounts {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			d := treeOf(n)
+			d := testDeclaration(n)
 			s := NewSnapshot(1, d)
 			top := TopLevel(d[len(d)-1].Node)
 			var part Declaration
--- a/settings/snapshot.go
+++ b/settings/snapshot.go
@@ -13,114 +13,118 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ref names what a request asks for.
+// Ref identifies the workspace, service and tier that a request asks for.
 type Ref struct {
-	// Workspace is the full name, nested workspaces joined by a slash.
+	// Workspace is the full name; the names of nested workspaces are joined by slashes.
 	Workspace string
-	// Service is the service's name.
+	// Service is the name of the service.
 	Service string
-	// Tier is the tier, or empty for the service's own.
+	// Tier is the name of the tier, or empty for the service's default tier.
 	Tier string
 }
 
-// Effective is the set of values in force for one Ref; it must not be changed.
+// Effective holds the values in effect for one Ref; it must not be modified.
 type Effective struct {
-	// Workspace, Service and Tier name what the values are for.
+	// Workspace, Service and Tier identify what the values apply to.
 	Workspace, Service, Tier string
-	// Rank is the place of the tier in the order, 0 the highest.
+	// Rank is the index of the tier in the order of tiers; 0 is the highest tier.
 	Rank int
-	// Deadline bounds the time from arrival to the end of the answer.
+	// Deadline limits the time from arrival to the end of the answer.
 	Deadline time.Duration
-	// Repeatable says whether running twice does no harm.
+	// Repeatable reports whether running a request twice does no harm.
 	Repeatable bool
-	// Witness says whether a call that may not be repeated is recorded first.
+	// Witness reports whether a call that is not repeatable is recorded at a witness before its dispatch.
 	Witness bool
-	// Weight is the workspace's share in its tier.
+	// Weight is the workspace's share among the workspaces of the same tier.
 	Weight float64
-	// Rate is in requests/s, 0 for none, shared by all below RateScope.
+	// Rate is the rate limit in requests per second, 0 for none. All requests below
+	// the node RateScope share it, over all hosts.
 	Rate      float64
 	RateScope string
-	// Concurrency is in requests, 0 for none, shared by all below ConcurrencyScope.
+	// Concurrency is the limit of requests that run at once, 0 for none. All requests
+	// below the node ConcurrencyScope share it, over all hosts.
 	Concurrency      int
 	ConcurrencyScope string
-	// RetryBudget is retries as a share of first tries.
+	// RetryBudget is the permitted number of retries as a share of first attempts.
 	RetryBudget float64
-	// MaxQueued is the number of requests of the workspace that may wait on a host.
+	// MaxQueued is the number of requests of the workspace that may wait on one host.
 	MaxQueued int
-	// Affinity says whether endpoints that hold the prefix are preferred.
+	// Affinity reports whether endpoints that hold the prompt prefix are preferred.
 	Affinity bool
-	// Endpoints and Models list what is allowed; empty means all.
+	// Endpoints and Models list the permitted ones; empty permits all.
 	Endpoints, Models []string
-	// MaxTokens bounds an answer, in tokens, and MaxBody a request, in bytes.
+	// MaxTokens limits the size of an answer, in tokens, and MaxBody that of a request's body, in bytes.
 	MaxTokens int
 	MaxBody   int64
 }
 
 // Endpoint is a declared endpoint.
 type Endpoint struct {
-	// Name, Address and Zone identify it.
+	// Name is the name of the endpoint, Address its IP address and port, and Zone its availability zone.
 	Name, Address, Zone string
-	// Engine is true for a model engine and false for a plain service.
+	// Engine is true for an engine and false for a plain service.
 	Engine bool
-	// Fenced says whether it checks the fencing token of orders.
+	// Fenced reports whether the endpoint checks the fencing token of orders.
 	Fenced bool
-	// Leaving says that it gets no new work.
+	// Leaving reports that the endpoint gets no new requests.
 	Leaving bool
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that the endpoint runs at once.
 	Slots int
 }
 
-// Placement is a declared wish for replicas of a model.
+// Placement is a declared number of replicas of a model.
 type Placement struct {
-	// Name identifies the placement.
+	// Name is the name of the placement.
 	Name string
-	// Model, Version, Adapters and Role say what is held.
+	// Model, Version, Adapters and Role describe what each replica holds and does.
 	Model, Version string
 	Adapters       []string
 	Role           string
-	// Zone limits it to one availability zone; empty means each.
+	// Zone limits the placement to one availability zone; empty means every zone.
 	Zone string
-	// Replicas is the number of endpoints in each zone.
+	// Replicas is the number of endpoints that hold the model in each zone.
 	Replicas int
 }
 
-// Fleet is what concerns all workspaces.
+// Fleet holds the values that concern all workspaces.
 type Fleet struct {
-	// Tiers is the order, the highest first.
+	// Tiers is the order of tiers, the highest first.
 	Tiers []string
-	// Models are the declared models.
+	// Models are the names of the declared models.
 	Models []string
 	// Endpoints and Placements are sorted by name.
 	Endpoints  []Endpoint
 	Placements []Placement
-	// entries are the fleet's own, from which workspaces inherit.
+	// entries are the entries outside workspaces; workspaces inherit from the fleet's.
 	entries Declaration
 }
 
-// workspaceTree is one top-level workspace, resolved.
+// workspaceTree holds the resolved values of one top-level workspace and the workspaces in it.
 type workspaceTree struct {
-	sum   uint64 // hash of the entries that it was made from
+	hash  uint64 // hash of the entries that the tree was resolved from
 	refs  map[Ref]*Effective
-	hosts map[string]int
+	hosts map[string]int // by full name of the workspace
 }
 
-// shardCount is the number of parts that top-level workspaces are spread over.
-// A change copies one part of a snapshot, so its cost follows the change.
+// shardCount is the number of shards that top-level workspaces are distributed over.
+// A change to a workspace rebuilds one shard of a snapshot, so its cost grows with
+// the change and not with the whole tree.
 const shardCount = 256
 
-// ShardOf returns the shard of a top-level node.
+// ShardOf returns the number of the shard of a top-level workspace, given the path
+// that TopLevel returns.
 func ShardOf(top string) int { return int(xxhash.Sum64String(top) % shardCount) }
 
-// shard holds the top-level workspaces of one part.
+// shard holds the top-level workspaces of one shard by name.
 type shard struct {
 	trees map[string]*workspaceTree
 }
 
 // Snapshot is a whole tree at one revision, immutable and safe for concurrent use.
 type Snapshot struct {
-	// Revision is the number of the accepted change that made it.
+	// Revision is the number of the accepted change that the snapshot reflects.
 	Revision uint64
-	// Fleet is what concerns all workspaces; it must not be changed.
+	// Fleet holds the values that concern all workspaces; it must not be modified.
 	Fleet  *Fleet
 	shards [shardCount]*shard
 }
@@ -146,25 +150,26 @@
 }
 
 // WithShards returns a snapshot at a later revision in which the given shards have
-// new entries; the others are shared with s.
+// new entries. It shares Fleet and the other shards with s.
 func (s *Snapshot) WithShards(revision uint64, changed []ShardEntries) *Snapshot {
-	n := *s
-	n.Revision = revision
+	next := *s
+	next.Revision = revision
 	for _, c := range changed {
-		n.shards[c.Shard] = newShard(n.Fleet, c.Entries, s.shards[c.Shard])
+		next.shards[c.Shard] = newShard(next.Fleet, c.Entries, s.shards[c.Shard])
 	}
-	return &n
+	return &next
 }
 
 // ShardEntries are the sorted entries of one shard.
 type ShardEntries struct {
-	// Shard is the number given by ShardOf.
+	// Shard is the number returned by ShardOf.
 	Shard int
 	// Entries are all entries of the shard.
 	Entries Declaration
 }
 
-// Resolve returns the values in force for a request; it is one look-up.
+// Resolve returns the values in effect for a request. All values are resolved when the
+// snapshot is built, so that Resolve only looks them up.
 func (s *Snapshot) Resolve(ref Ref) (*Effective, bool) {
 	t := s.tree(ref.Workspace)
 	if t == nil {
@@ -174,7 +179,7 @@
 	return e, ok
 }
 
-// HasWorkspace reports whether the full name is declared.
+// HasWorkspace reports whether the workspace with the given full name is declared.
 func (s *Snapshot) HasWorkspace(name string) bool {
 	t := s.tree(name)
 	if t == nil {
@@ -206,7 +211,7 @@
 	return names
 }
 
-// Refs returns all Refs of a workspace, sorted by service and tier.
+// Refs returns the Refs of a workspace, sorted by service and tier.
 func (s *Snapshot) Refs(workspace string) []Ref {
 	t := s.tree(workspace)
 	if t == nil {
@@ -224,17 +229,17 @@
 	return refs
 }
 
-// tree finds the top-level workspace that a full name lies in.
+// tree returns the top-level workspace that contains the workspace with a full name, or nil.
 func (s *Snapshot) tree(workspace string) *workspaceTree {
 	top := workspace
 	if i := strings.IndexByte(workspace, '/'); i >= 0 {
 		top = workspace[:i]
 	}
-	return s.shards[shardOfName(top)].trees[top]
+	return s.shards[shardOfWorkspace(top)].trees[top]
 }
 
-// shardOfName is ShardOf("workspaces/"+name) without an allocation.
-func shardOfName(name string) int {
+// shardOfWorkspace is ShardOf("workspaces/"+name) without an allocation.
+func shardOfWorkspace(name string) int {
 	const prefix = "workspaces/"
 	var buf [len(prefix) + maxName]byte
 	if len(name) > maxName {
@@ -245,37 +250,37 @@
 	return int(xxhash.Sum64(buf[:n]) % shardCount)
 }
 
-// newFleet resolves the entries that concern all workspaces.
+// newFleet resolves the entries outside workspaces.
 func newFleet(entries Declaration) *Fleet {
 	f := &Fleet{entries: entries}
-	f.Tiers = split(lookup(entries, "", KeyTiers, LevelFleet))
+	f.Tiers = splitNames(lookup(entries, "", KeyTiers, LevelFleet))
 	for _, e := range entries {
 		if e.Key != "" {
 			continue
 		}
-		get := func(key string) string { return lookup(entries, e.Node, key, levelOf(e.Node)) }
+		value := func(key string) string { return lookup(entries, e.Node, key, levelOf(e.Node)) }
 		switch levelOf(e.Node) {
 		case LevelModel:
 			f.Models = append(f.Models, lastName(e.Node))
 		case LevelEndpoint:
-			slots, _ := strconv.Atoi(get(KeySlots))
+			slots, _ := strconv.Atoi(value(KeySlots))
 			f.Endpoints = append(f.Endpoints, Endpoint{
-				Name: lastName(e.Node), Address: get(KeyAddress), Zone: get(KeyZone),
-				Engine: get(KeyKind) == "engine", Fenced: get(KeyFenced) == "true",
-				Leaving: get(KeyState) == "leaving", Slots: slots,
+				Name: lastName(e.Node), Address: value(KeyAddress), Zone: value(KeyZone),
+				Engine: value(KeyKind) == "engine", Fenced: value(KeyFenced) == "true",
+				Leaving: value(KeyState) == "leaving", Slots: slots,
 			})
 		case LevelPlacement:
-			n, _ := strconv.Atoi(get(KeyReplicas))
+			n, _ := strconv.Atoi(value(KeyReplicas))
 			f.Placements = append(f.Placements, Placement{
-				Name: lastName(e.Node), Model: get(KeyModel), Version: get(KeyVersion),
-				Adapters: split(get(KeyAdapters)), Role: get(KeyRole), Zone: get(KeyZone), Replicas: n,
+				Name: lastName(e.Node), Model: value(KeyModel), Version: value(KeyVersion),
+				Adapters: splitNames(value(KeyAdapters)), Role: value(KeyRole), Zone: value(KeyZone), Replicas: n,
 			})
 		}
 	}
 	return f
 }
 
-// lookup returns a value of one node or the key's default.
+// lookup returns the value that a node sets for a key, or the key's default.
 func lookup(d Declaration, node, key string, level Level) string {
 	if v, ok := d.Find(node, key); ok {
 		return v
@@ -283,9 +288,10 @@
 	return FindKey(key, level).Default
 }
 
-// newShard resolves the workspaces of one shard. Those whose entries are the same
-// in old, made under the same fleet, are shared with it; old may be nil.
-func newShard(f *Fleet, entries Declaration, old *shard) *shard {
+// newShard resolves the workspaces of one shard. It shares the workspaces whose
+// entries are unchanged with previous, which may be nil and must have been resolved
+// with the same fleet.
+func newShard(f *Fleet, entries Declaration, previous *shard) *shard {
 	sh := &shard{trees: make(map[string]*workspaceTree)}
 	for i := 0; i < len(entries); {
 		top := TopLevel(entries[i].Node)
@@ -293,20 +299,20 @@
 		for j < len(entries) && TopLevel(entries[j].Node) == top {
 			j++
 		}
-		name, sum := lastName(top), hashOf(entries[i:j])
-		if old != nil && old.trees[name] != nil && old.trees[name].sum == sum {
-			sh.trees[name] = old.trees[name]
+		name, sum := lastName(top), hashEntries(entries[i:j])
+		if previous != nil && previous.trees[name] != nil && previous.trees[name].hash == sum {
+			sh.trees[name] = previous.trees[name]
 		} else {
-			sh.trees[name] = newTree(f, entries[i:j])
-			sh.trees[name].sum = sum
+			sh.trees[name] = newWorkspaceTree(f, entries[i:j])
+			sh.trees[name].hash = sum
 		}
 		i = j
 	}
 	return sh
 }
 
-// hashOf hashes entries.
-func hashOf(entries Declaration) uint64 {
+// hashEntries returns a hash of entries.
+func hashEntries(entries Declaration) uint64 {
 	d := xxhash.New()
 	for _, e := range entries {
 		for _, part := range []string{e.Node, e.Key, e.Value} {
@@ -317,11 +323,12 @@
 	return d.Sum64()
 }
 
-// separator stands between hashed parts.
+// separator follows each hashed string, so that the bounds of the strings count.
 var separator = []byte{0}
 
-// newTree resolves all nodes of one top-level workspace.
-func newTree(f *Fleet, entries Declaration) *workspaceTree {
+// newWorkspaceTree resolves all nodes of one top-level workspace and sets the Refs of
+// each service: those without a tier refer to the service's default tier.
+func newWorkspaceTree(f *Fleet, entries Declaration) *workspaceTree {
 	t := &workspaceTree{refs: make(map[Ref]*Effective), hosts: make(map[string]int)}
 	for _, e := range entries {
 		if e.Key != "" {
@@ -352,7 +359,7 @@
 	return t
 }
 
-// WorkspaceName returns the full workspace name of a node's path.
+// WorkspaceName returns the full name of the workspace that contains the node at a path.
 func WorkspaceName(node string) string {
 	var names []string
 	parts := strings.Split(node, "/")
--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -14,37 +14,37 @@
 
 // File is one YAML file of a declaration.
 type File struct {
-	// Name is the file's name as shown in problems.
+	// Name is the name of the file, as faults show it.
 	Name string
 	// Data is the content.
 	Data []byte
 }
 
-// Source says where an entry was declared.
+// Source is the position at which an entry was declared.
 type Source struct {
-	// File and Line place the value.
+	// File is the name of the file and Line the line in it.
 	File string
 	Line int
 }
 
-// Fault is one thing wrong with a declaration.
+// Fault is one error in a declaration.
 type Fault struct {
 	Source
-	// Path is the path in the tree.
+	// Path is the path of the entry or node in the tree.
 	Path string
-	// Message says what is wrong and Remedy what to do.
+	// Message describes the error and Remedy how to correct it.
 	Message, Remedy string
 }
 
-// String gives the fault in one line, starting with file and line.
+// String returns the fault as one line that begins with file and line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s; %s", f.File, f.Line, f.Path, f.Message, f.Remedy)
 }
 
-// Faults is a list of faults as one error.
+// Faults is a list of faults, usable as one error.
 type Faults []Fault
 
-// Error gives one line for each fault.
+// Error returns one line for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
@@ -53,24 +53,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parsed is what reading a set of files gives.
+// Parsed is the result of parsing a set of files.
 type Parsed struct {
-	// Declaration is the tree; it is complete only if Faults is empty.
+	// Declaration is the parsed tree; it is complete only if Faults is empty.
 	Declaration Declaration
-	// Sources gives the place of each path.
+	// Sources maps each path to the position of its declaration.
 	Sources map[string]Source
-	// Faults lists all that is wrong.
+	// Faults lists all faults found, sorted by file and line.
 	Faults Faults
 }
 
-// reader collects entries and faults while it walks YAML nodes.
+// reader collects the entries and faults of one file while it walks the YAML nodes.
 type reader struct {
 	file string
 	out  *Parsed
 }
 
-// Parse reads all files as one declaration and checks it; nothing of a set
-// with faults should be used.
+// Parse parses all files as one declaration and checks it. If the result has faults,
+// its declaration should not be used.
 func Parse(files []File) *Parsed {
 	p := &Parsed{Sources: make(map[string]Source)}
 	for _, f := range files {
@@ -85,7 +85,7 @@
 		}
 	}
 	p.Declaration.Sorted()
-	p.Faults = append(p.Faults, checkRefs(p)...)
+	p.Faults = append(p.Faults, checkReferences(p)...)
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int {
 		if c := strings.Compare(a.File, b.File); c != 0 {
 			return c
@@ -95,16 +95,16 @@
 	return p
 }
 
-// fault notes one problem.
+// fault records one fault at the position of n.
 func (r *reader) fault(n *yaml.Node, path, message, remedy string) {
 	src := Source{File: r.file, Line: n.Line}
 	r.out.Faults = append(r.out.Faults, Fault{Source: src, Path: path, Message: message, Remedy: remedy})
 }
 
-// add notes one entry, refusing a path that was declared before.
+// add records one entry, or a fault if its path already has a value.
 func (r *reader) add(n *yaml.Node, e Entry) {
 	if prev, ok := r.out.Sources[e.Path()]; ok {
-		// The same node may be opened by several files; a value may not be set twice.
+		// Several files may declare the same node, but a value may be set only once.
 		if e.Key != "" {
 			r.fault(n, e.Path(), fmt.Sprintf("declared twice, first at %s:%d", prev.File, prev.Line), "keep one of the two")
 		}
@@ -114,7 +114,8 @@
 	r.out.Declaration = append(r.out.Declaration, e)
 }
 
-// fields calls fn for each key of a mapping and refuses anything else and doubled keys.
+// fields calls fn for each key of a mapping. It records a fault for duplicate keys
+// and for nodes that are not mappings; a null node counts as an empty mapping.
 func (r *reader) fields(n *yaml.Node, path string, fn func(k, v *yaml.Node)) {
 	if n.Kind == yaml.AliasNode {
 		r.fault(n, path, "aliases are not supported", "write the value out")
@@ -131,7 +132,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k := n.Content[i]
 		if first, ok := seen[k.Value]; ok {
-			r.fault(k, path+"/"+k.Value, fmt.Sprintf("key doubled, first at line %d", first), "keep one of the two")
+			r.fault(k, path+"/"+k.Value, fmt.Sprintf("duplicate key, first at line %d", first), "keep one of the two")
 			continue
 		}
 		seen[k.Value] = k.Line
@@ -139,52 +140,52 @@
 	}
 }
 
-// child says which sections may stand in a node and the level of their members.
-type child struct {
+// childSection is a section that a node may contain, and the level of the section's members.
+type childSection struct {
 	name  string
 	level Level
 }
 
-// children gives the sections of each level.
-func children(level Level) []child {
+// childSections returns the sections that a node of a level may contain.
+func childSections(level Level) []childSection {
 	switch level {
 	case LevelFleet:
-		return []child{{"models", LevelModel}, {"endpoints", LevelEndpoint}, {"placements", LevelPlacement}, {"workspaces", LevelWorkspace}}
+		return []childSection{{"models", LevelModel}, {"endpoints", LevelEndpoint}, {"placements", LevelPlacement}, {"workspaces", LevelWorkspace}}
 	case LevelWorkspace:
-		return []child{{"services", LevelService}, {"workspaces", LevelWorkspace}}
+		return []childSection{{"services", LevelService}, {"workspaces", LevelWorkspace}}
 	case LevelService:
-		return []child{{"tiers", LevelTier}}
+		return []childSection{{"tiers", LevelTier}}
 	}
 	return nil
 }
 
-// section reads a node that may have a "set" mapping and child sections.
+// section reads a node that may contain a "set" mapping and child sections.
 func (r *reader) section(n *yaml.Node, node string, level Level) {
 	r.fields(n, node, func(k, v *yaml.Node) {
 		if k.Value == "set" {
 			r.values(v, node, level)
 			return
 		}
-		for _, c := range children(level) {
+		for _, c := range childSections(level) {
 			if c.name == k.Value {
-				r.members(v, join(node, c.name), c.level)
+				r.members(v, joinPath(node, c.name), c.level)
 				return
 			}
 		}
-		r.fault(k, join(node, k.Value), "unknown key", "use one of: "+strings.Join(sectionNames(level), ", "))
+		r.fault(k, joinPath(node, k.Value), "unknown key", "use one of: "+strings.Join(sectionNames(level), ", "))
 	})
 }
 
-// members reads the named children of one section.
+// members reads the named children of one section, which is at path at.
 func (r *reader) members(n *yaml.Node, at string, level Level) {
 	r.fields(n, at, func(k, v *yaml.Node) {
 		if !validName(k.Value) {
-			r.fault(k, join(at, k.Value), "not a name", "use 1 to 64 letters, digits, '-', '_' or '.'")
+			r.fault(k, joinPath(at, k.Value), "not a valid name", "use 1 to 64 letters, digits, '-', '_' or '.'")
 			return
 		}
-		node := join(at, k.Value)
+		node := joinPath(at, k.Value)
 		r.add(k, Entry{Node: node})
-		if children(level) == nil && level != LevelTier {
+		if childSections(level) == nil && level != LevelTier {
 			r.values(v, node, level)
 			return
 		}
@@ -192,7 +193,7 @@
 	})
 }
 
-// values reads the keys that a node sets.
+// values reads the keys that a node sets. An explicit "inherit" adds no entry.
 func (r *reader) values(n *yaml.Node, node string, level Level) {
 	r.fields(n, node, func(k, v *yaml.Node) {
 		path := Entry{Node: node, Key: k.Value}.Path()
@@ -202,7 +203,7 @@
 			return
 		}
 		text, err := scalar(v, key)
-		if err == nil && text == inherit && level&inherited != 0 {
+		if err == nil && text == inheritValue && level&inheritingLevels != 0 {
 			return
 		}
 		if err == nil {
@@ -216,9 +217,9 @@
 	})
 }
 
-// scalar returns the text of a value, with the names of a list joined by commas.
+// scalar returns the text of a value; the names of a list are joined by commas.
 func scalar(v *yaml.Node, key *Key) (string, error) {
-	if v.Kind == yaml.ScalarNode && v.Tag != "!!null" && (key.Type != Names || v.Value == inherit) {
+	if v.Kind == yaml.ScalarNode && v.Tag != "!!null" && (key.Type != Names || v.Value == inheritValue) {
 		return v.Value, nil
 	}
 	if key.Type != Names {
@@ -230,20 +231,20 @@
 	names := make([]string, 0, len(v.Content))
 	for _, c := range v.Content {
 		if c.Kind != yaml.ScalarNode || !validName(c.Value) {
-			return "", fmt.Errorf("%q is not a name", c.Value)
+			return "", fmt.Errorf("%q is not a valid name", c.Value)
 		}
 		if slices.Contains(names, c.Value) {
-			return "", fmt.Errorf("%q stands twice in the list", c.Value)
+			return "", fmt.Errorf("%q appears twice in the list", c.Value)
 		}
 		names = append(names, c.Value)
 	}
 	return strings.Join(names, ","), nil
 }
 
-// maxName is the longest permitted name, in bytes.
+// maxName is the maximum length of a name, in bytes.
 const maxName = 64
 
-// validName reports whether s may name a node.
+// validName reports whether s is a permitted name of a node.
 func validName(s string) bool {
 	if s == "" || len(s) > maxName {
 		return false
@@ -257,24 +258,24 @@
 	return true
 }
 
-// join joins two parts of a path.
-func join(a, b string) string {
+// joinPath joins two parts of a path by a slash; the first part may be empty.
+func joinPath(a, b string) string {
 	if a == "" {
 		return b
 	}
 	return a + "/" + b
 }
 
-// sectionNames lists what may stand directly in a node of a level.
+// sectionNames returns the names that a node of a level may contain: "set" and its sections.
 func sectionNames(level Level) []string {
 	names := []string{"set"}
-	for _, c := range children(level) {
+	for _, c := range childSections(level) {
 		names = append(names, c.name)
 	}
 	return names
 }
 
-// keyNames lists the keys of a level.
+// keyNames returns the names of the keys that may be set at a level.
 func keyNames(level Level) []string {
 	var names []string
 	for i := range Keys {
