--- a/outcome/account.go
+++ b/outcome/account.go
@@ -11,71 +11,72 @@
 	"time"
 )
 
-// Figures of a request's weight, as the users' measure has it: a request counts for its
-// size relative to the mean of its route, and a small one not for nothing.
+// Parameters of a request's weight, as the users define it: a request counts in
+// proportion to its size relative to the mean of its route, plus a fixed part, so that
+// small requests count too.
 const (
-	// outWeight is what a token of the answer weighs, in tokens of the prompt.
-	outWeight = 10
-	// leastWeight is the part that does not depend on the size.
-	leastWeight = 0.3
-	// mostWeight bounds the weight.
-	mostWeight = 4
+	// outputTokenWeight is the weight of a token of the answer, in tokens of the prompt.
+	outputTokenWeight = 10
+	// minWeight is the part of the weight that does not depend on the size.
+	minWeight = 0.3
+	// maxWeight is the maximum weight.
+	maxWeight = 4
 )
 
-// Band is a part of a route's requests by size.
+// Band is a class of a route's requests by size.
 type Band string
 
-// The bands: the largest tenth, the fifth below it and the others.
+// The bands: the largest tenth, the next fifth and all others.
 const (
 	Largest Band = "largest tenth"
 	Large   Band = "fifth below"
 	Others  Band = "others"
 )
 
-// Bands are all of them, the largest first.
+// Bands lists all bands, the largest first.
 var Bands = []Band{Largest, Large, Others}
 
-// Parts of a route's requests that are in the two upper bands.
+// The shares of a route's requests in band Largest, and in Largest and Large together.
 const (
-	largestPart = 0.1
-	largePart   = 0.3
+	largestShare    = 0.1
+	upperBandsShare = 0.3
 )
 
-// Share is the part that some requests lost, by loss, of the weight of all of them.
+// Share divides the weight of a group of requests by their losses.
 type Share struct {
-	// Requests is their number and Weight their weight.
+	// Requests is the number of the requests and Weight the sum of their weights.
 	Requests int
 	Weight   float64
-	// By is the part of Weight with each loss, 0 to 1.
+	// By is the share of Weight with each loss, 0 to 1.
 	By map[Loss]float64
 }
 
-// RouteShare is what the requests of one size on a route lost.
+// RouteShare is the Share of the requests of one route and size.
 type RouteShare struct {
-	// Route names the route and Band the size.
+	// Route is the name of the route and Band the size.
 	Route string
 	Band  Band
 	Share
 }
 
-// WindowShare is what the requests that ended in a span of time lost.
+// WindowShare is the Share of the requests that ended in one window of time.
 type WindowShare struct {
-	// From is the span's begin, since the first event.
+	// From is the start of the window, as the time since the first event.
 	From time.Duration
 	Share
 }
 
-// LossReport says where requests lost what they are worth.
+// LossReport divides the losses of requests by route and size, and by time.
 type LossReport struct {
-	// Routes are sorted by route, then by size.
+	// Routes are sorted by route, then by size, the largest first.
 	Routes []RouteShare
-	// Windows are in order of time.
+	// Windows are sorted by time; windows without requests are left out.
 	Windows []WindowShare
 }
 
-// NewLossReport adds up the final events of requests. The hosts must have traced all
-// requests, since else those that went well are missing. Attempts under new IDs of the
-// same caller count one by one.
+// NewLossReport sums up the final events of requests in windows of the given length. The
+// hosts must have traced all requests, since otherwise the requests that succeeded are
+// missing. A caller's attempts under new IDs count separately.
 func NewLossReport(events []Event, window time.Duration) LossReport {
 	final := slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return !e.Final() || e.Route == "" })
 	if len(final) == 0 {
@@ -86,75 +87,76 @@
 	for _, e := range final {
 		byRoute[e.Route] = append(byRoute[e.Route], e)
 	}
-	var a LossReport
-	spans := make(map[int64]*Share)
-	for _, name := range slices.Sorted(maps.Keys(byRoute)) {
-		es := byRoute[name]
-		weight := WeightFunc(es)
-		a.Routes = append(a.Routes, bandShares(name, es, weight)...)
-		for i := range es {
-			at := int64(time.Duration((es[i].Time-final[0].Time)*float64(time.Second)) / window)
-			if spans[at] == nil {
-				spans[at] = &Share{}
+	var report LossReport
+	windows := make(map[int64]*Share)
+	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
+		routeEvents := byRoute[route]
+		weight := WeightFunc(routeEvents)
+		report.Routes = append(report.Routes, bandShares(route, routeEvents, weight)...)
+		for i := range routeEvents {
+			index := int64(time.Duration((routeEvents[i].Time-final[0].Time)*float64(time.Second)) / window)
+			if windows[index] == nil {
+				windows[index] = &Share{}
 			}
-			spans[at].add(&es[i], weight(&es[i]))
+			windows[index].add(&routeEvents[i], weight(&routeEvents[i]))
 		}
 	}
-	for _, at := range slices.Sorted(maps.Keys(spans)) {
-		spans[at].divide()
-		a.Windows = append(a.Windows, WindowShare{time.Duration(at) * window, *spans[at]})
+	for _, index := range slices.Sorted(maps.Keys(windows)) {
+		windows[index].normalize()
+		report.Windows = append(report.Windows, WindowShare{time.Duration(index) * window, *windows[index]})
 	}
-	return a
+	return report
 }
 
-// size is the work that a request names, in tokens of a prompt.
-func (e *Event) size() int { return e.TokensIn + outWeight*e.TokensOut }
+// size returns the work that the caller announced for a request, in tokens of the prompt.
+func (e *Event) size() int { return e.TokensIn + outputTokenWeight*e.TokensOut }
 
-// WeightFunc returns the weight of requests of one route, by the sizes of some of them.
-func WeightFunc(es []Event) func(*Event) float64 {
+// WeightFunc returns a function that weighs the requests of one route by their sizes,
+// relative to the mean size of the given events.
+func WeightFunc(events []Event) func(*Event) float64 {
 	sum := 0
-	for i := range es {
-		sum += es[i].size()
+	for i := range events {
+		sum += events[i].size()
 	}
-	mean := float64(sum) / float64(len(es))
+	mean := float64(sum) / float64(len(events))
 	return func(e *Event) float64 {
 		if mean == 0 {
 			return 1
 		}
-		return min(mostWeight, leastWeight+(1-leastWeight)*float64(e.size())/mean)
+		return min(maxWeight, minWeight+(1-minWeight)*float64(e.size())/mean)
 	}
 }
 
-// bandShares adds up a route's requests by size; those over their amount, which nobody
-// owes, are left out.
-func bandShares(route string, es []Event, weight func(*Event) float64) []RouteShare {
-	owed := slices.DeleteFunc(slices.Clone(es), func(e Event) bool { return e.Loss() == OverQuota })
-	slices.SortStableFunc(owed, func(a, b Event) int { return cmp.Compare(b.size(), a.size()) })
+// bandShares sums up a route's requests by size. It leaves out the requests over their
+// workspace's quota, since the service owes no answer to them.
+func bandShares(route string, events []Event, weight func(*Event) float64) []RouteShare {
+	counted := slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.Loss() == OverQuota })
+	slices.SortStableFunc(counted, func(a, b Event) int { return cmp.Compare(b.size(), a.size()) })
 	shares := make(map[Band]*Share)
-	for i := range owed {
+	for i := range counted {
 		b := Others
-		switch part := float64(i) / float64(len(owed)); {
-		case part < largestPart:
+		switch rank := float64(i) / float64(len(counted)); {
+		case rank < largestShare:
 			b = Largest
-		case part < largePart:
+		case rank < upperBandsShare:
 			b = Large
 		}
 		if shares[b] == nil {
 			shares[b] = &Share{}
 		}
-		shares[b].add(&owed[i], weight(&owed[i]))
+		shares[b].add(&counted[i], weight(&counted[i]))
 	}
 	var out []RouteShare
 	for _, b := range Bands {
 		if s := shares[b]; s != nil {
-			s.divide()
+			s.normalize()
 			out = append(out, RouteShare{route, b, *s})
 		}
 	}
 	return out
 }
 
-// add counts a request.
+// add counts a request with its weight.
 func (s *Share) add(e *Event, weight float64) {
 	if s.By == nil {
 		s.By = make(map[Loss]float64)
@@ -164,8 +166,8 @@
 	s.By[e.Loss()] += weight
 }
 
-// divide turns the sums into parts.
-func (s *Share) divide() {
+// normalize turns the sums of weights into shares.
+func (s *Share) normalize() {
 	for l := range s.By {
 		s.By[l] /= s.Weight
 	}
--- a/outcome/account_test.go
+++ b/outcome/account_test.go
@@ -12,24 +12,25 @@
 	"github.com/shoenig/test/must"
 )
 
+// TestLoss checks the loss that each kind of final event gives.
 func TestLoss(t *testing.T) {
 	cases := []struct {
 		name  string
 		event Event
 		want  Loss
 	}{
-		{"whole and in time", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 100, PauseObjectiveMS: 50, LongestPauseMS: 50, LeftMS: 9}, InTime},
-		{"first event late", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 101}, LateFirstEvent},
-		{"pause late", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 90, PauseObjectiveMS: 50, LongestPauseMS: 51}, LatePause},
+		{"complete and in time", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 100, PauseObjectiveMS: 50, LongestPauseMS: 50, LeftMS: 9}, InTime},
+		{"late first event", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 101}, LateFirstEvent},
+		{"long pause", Event{Outcome: Served, ObjectiveMS: 100, FirstEventMS: 90, PauseObjectiveMS: 50, LongestPauseMS: 51}, LatePause},
 		{"no objective", Event{Outcome: Served, FirstEventMS: 101, LongestPauseMS: 99}, InTime},
-		{"amount", Event{Outcome: Refused, Status: 429}, OverQuota},
-		{"no place", Event{Outcome: Refused, Status: 503}, NoSlot},
+		{"over quota", Event{Outcome: Refused, Status: 429}, OverQuota},
+		{"no slot", Event{Outcome: Refused, Status: 503}, NoSlot},
 		{"unknown key", Event{Outcome: Refused, Status: 401}, InvalidRequest},
 		{"endpoint's own failure", Event{Outcome: EndpointFailed, Status: 500, LeftMS: 900}, EndpointFault},
-		{"cut at the deadline", Event{Outcome: Truncated, LeftMS: 0}, DeadlineMissed},
-		{"cut before", Event{Outcome: Truncated, LeftMS: 900}, EndpointFault},
+		{"truncated at the deadline", Event{Outcome: Truncated, LeftMS: 0}, DeadlineMissed},
+		{"truncated before the deadline", Event{Outcome: Truncated, LeftMS: 900}, EndpointFault},
 		{"caller left at its deadline", Event{Outcome: CallerGone, LeftMS: 5}, DeadlineMissed},
-		{"caller left", Event{Outcome: CallerGone, LeftMS: 900}, CallerLeft},
+		{"caller left early", Event{Outcome: CallerGone, LeftMS: 900}, CallerLeft},
 		{"no answer by the deadline", Event{Outcome: Failed, Status: 504, LeftMS: 0}, DeadlineMissed},
 		{"answer lost", Event{Outcome: Failed, Status: 502, LeftMS: 900}, EndpointFault},
 	}
@@ -38,11 +39,13 @@
 	}
 }
 
-func TestAccount(t *testing.T) {
+// TestNewLossReport checks how requests are divided into bands by size and into windows, which
+// events are left out, and the weights of requests.
+func TestNewLossReport(t *testing.T) {
 	var events []Event
 	for i := range 20 {
 		e := Event{Time: 100 + float64(i)/4, ID: fmt.Sprint(i), Route: "r", Outcome: Served, TokensIn: 100 * (i + 1), ObjectiveMS: 100, FirstEventMS: 10}
-		if i >= 18 { // the largest tenth
+		if i >= 18 { // the largest tenth is late
 			e.FirstEventMS = 500
 		}
 		events = append(events, e)
@@ -63,8 +66,9 @@
 	must.Len(t, 3, a.Windows)
 	must.EqOp(t, 9, a.Windows[0].Requests)
 	must.EqOp(t, 4*time.Second, a.Windows[2].From)
-	// 1,900 and 2,000 tokens of 1,700 to 2,000, at a mean of 1,050.
-	late := 2*leastWeight + 0.7*3900/1050
-	must.InDelta(t, late/(4*leastWeight+0.7*7400/1050), a.Windows[2].By[LateFirstEvent], 1e-9)
+	// The last window has the requests of 1,700 to 2,000 tokens, of which those of 1,900
+	// and 2,000 were late. The mean size is 1,050 tokens.
+	late := 2*minWeight + 0.7*3900/1050
+	must.InDelta(t, late/(4*minWeight+0.7*7400/1050), a.Windows[2].By[LateFirstEvent], 1e-9)
 	must.EqOp(t, 0, len(NewLossReport(nil, time.Second).Routes))
 }
--- a/outcome/budget.go
+++ b/outcome/budget.go
@@ -6,26 +6,26 @@
 
 import "time"
 
-// Defaults of a Budget.
+// Defaults of a LineLimiter, in lines per second and in lines.
 const (
 	defaultRate  = 20
 	defaultBurst = 200
 )
 
-// LineLimiter bounds lines a second; the zero value holds the defaults. It is not safe for
-// concurrent use.
+// LineLimiter limits the rate of log lines with a token bucket. The zero value uses the
+// defaults. It is not safe for concurrent use.
 type LineLimiter struct {
-	// Rate is in lines a second and Burst in lines; 0 means 20 and 200.
+	// Rate is in lines per second and Burst in lines; 0 means 20 and 200.
 	Rate, Burst float64
 
-	credit  float64
-	at      time.Duration
-	begun   bool
-	dropped int64
+	tokens     float64
+	lastRefill time.Duration
+	started    bool
+	dropped    int64
 }
 
-// Allow tells whether a line may be written now, and how many were dropped since the
-// last that was.
+// Allow reports whether a line may be written now. If so, it also returns the number of
+// lines dropped since the last line that was allowed.
 func (b *LineLimiter) Allow(now time.Duration) (dropped int64, ok bool) {
 	rate, burst := b.Rate, b.Burst
 	if rate <= 0 {
@@ -34,17 +34,17 @@
 	if burst <= 0 {
 		burst = defaultBurst
 	}
-	if !b.begun {
-		b.begun, b.credit = true, burst
+	if !b.started {
+		b.started, b.tokens = true, burst
 	} else {
-		b.credit = min(burst, b.credit+rate*(now-b.at).Seconds())
+		b.tokens = min(burst, b.tokens+rate*(now-b.lastRefill).Seconds())
 	}
-	b.at = now
-	if b.credit < 1 {
+	b.lastRefill = now
+	if b.tokens < 1 {
 		b.dropped++
 		return 0, false
 	}
-	b.credit--
+	b.tokens--
 	dropped, b.dropped = b.dropped, 0
 	return dropped, true
 }
--- a/outcome/cause.go
+++ b/outcome/cause.go
@@ -6,42 +6,44 @@
 
 import "net/http"
 
-// Loss says what kept a request from being answered whole and in time.
+// Loss is the reason why a request was not answered completely and in time.
 type Loss string
 
-// The losses, in the order in which tables show them.
+// The losses, in the order that tables use.
 const (
-	// InTime means that nothing was lost.
+	// InTime means that the request was answered completely and in time.
 	InTime Loss = "in time"
-	// LateFirstEvent means that the first event or answer came after the objective.
+	// LateFirstEvent means that the first event, or the answer, came later than the route's objective.
 	LateFirstEvent Loss = "late first"
-	// LatePause means that a pause between two events was longer than wanted.
+	// LatePause means that a pause between two events was longer than the route's objective.
 	LatePause Loss = "late pause"
-	// DeadlineMissed means that the answer was not whole by the deadline.
+	// DeadlineMissed means that the answer was not complete by the deadline.
 	DeadlineMissed Loss = "deadline"
-	// CallerLeft means that the caller left well before its deadline.
+	// CallerLeft means that the caller left, more than 100 ms before its deadline.
 	CallerLeft Loss = "caller left"
-	// EndpointFault means that the endpoint failed, or broke its answer off.
+	// EndpointFault means that the endpoint failed or did not complete its answer.
 	EndpointFault Loss = "endpoint fault"
-	// NoSlot means a refusal because no endpoint had room in time.
+	// NoSlot means that the host refused the request for a time (status 503), as when no
+	// endpoint had a free slot in time.
 	NoSlot Loss = "no place"
-	// OverQuota means a refusal because the workspace's amount was used up.
+	// OverQuota means that the request was refused because its workspace had used up its quota.
 	OverQuota Loss = "over amount"
-	// CrashesEndpoints means a refusal because endpoints crashed under the request.
+	// CrashesEndpoints means that the request was refused because endpoints crashed while they ran it.
 	CrashesEndpoints Loss = "crashes endpoints"
-	// InvalidRequest means that the request itself was refused.
+	// InvalidRequest means that the request was refused for another reason, which lies in the request itself.
 	InvalidRequest Loss = "improper"
 )
 
-// Losses are all of them in the order in which tables show them.
+// Losses lists all losses in the order that tables use.
 var Losses = []Loss{InTime, LateFirstEvent, LatePause, DeadlineMissed, CallerLeft, EndpointFault, NoSlot, OverQuota, CrashesEndpoints, InvalidRequest}
 
-// Final tells whether the event ends its request: a send may be followed by another.
+// Final reports whether the event ends its request. The events of single sends do not,
+// since another send may follow.
 func (e *Event) Final() bool { return e.Outcome != SendLost && e.Outcome != SentByStaleList }
 
-// Loss names what was lost by the event that ended a request.
+// Loss returns the loss of a request, given the event that ended it.
 func (e *Event) Loss() Loss {
-	late := e.LeftMS <= nearDeadline
+	nearItsDeadline := e.LeftMS <= nearDeadlineMS
 	switch {
 	case e.Outcome == Served && e.ObjectiveMS > 0 && e.FirstEventMS > e.ObjectiveMS:
 		return LateFirstEvent
@@ -59,7 +61,7 @@
 		return InvalidRequest
 	case e.Outcome == EndpointFailed:
 		return EndpointFault
-	case late:
+	case nearItsDeadline:
 		return DeadlineMissed
 	case e.Outcome == CallerGone:
 		return CallerLeft
--- a/outcome/event.go
+++ b/outcome/event.go
@@ -4,97 +4,101 @@
 
 package outcome
 
-// Message is the text by which lines of events are found in logs.
+// Message is the log message of the lines that hold events.
 const Message = "request"
 
-// Kind says what became of a request, or of one send of it.
+// Kind is the outcome of a request, or of one send of it.
 type Kind string
 
-// The kinds.
+// The kinds of events.
 const (
-	// Refused means that the host gave a final answer of its own and no endpoint ran the request.
+	// Refused means that the host itself gave the final answer and no endpoint ran the request.
 	Refused Kind = "refused"
-	// Held means that the host refused a request under which endpoints crashed.
+	// Held means that the host refused the request because endpoints crashed while they ran it.
 	Held Kind = "held"
-	// Failed means that the host gave a final answer of its own although an endpoint may have run the request.
+	// Failed means that the host itself gave the final answer, although an endpoint may have run the request.
 	Failed Kind = "failed"
-	// EndpointFailed means that an endpoint's own failure was passed on.
+	// EndpointFailed means that the host forwarded an endpoint's answer that reports a failure.
 	EndpointFailed Kind = "endpoint failed"
-	// Truncated means that the answer was broken off after some of it went to the caller.
+	// Truncated means that the answer ended early, after a part of it was sent to the caller.
 	Truncated Kind = "cut"
 	// CallerGone means that the caller left.
 	CallerGone Kind = "caller gone"
-	// SendLost means that a send brought no whole answer; the request may go on elsewhere.
+	// SendLost means that a send returned no complete answer; the request may be sent again.
 	SendLost Kind = "send lost"
-	// SentByStaleList means that the request was sent by a list of endpoints that was old; it says nothing of how the send ended.
+	// SentByStaleList means that the host's list of endpoints was so old at a send that it may
+	// contain endpoints that have left. It does not say how the send ended.
 	SentByStaleList Kind = "sent by old list"
-	// Served means that the caller got an endpoint's whole answer; it is told only by a
-	// host that traces all requests.
+	// Served means that the caller got an endpoint's complete answer. Only hosts that trace
+	// all requests log it.
 	Served Kind = "served"
 )
 
-// Event is one line about a request.
+// Event is one log line about a request. Durations are in milliseconds unless stated otherwise.
 type Event struct {
-	// Time is when, in seconds of the host's time of day; it orders lines roughly only.
+	// Time is when the event happened, as the host's wall-clock time in seconds. It orders
+	// events of several hosts only roughly.
 	Time float64 `json:"ts"`
-	// Host is who wrote it.
+	// Host is the name of the host that logged the event.
 	Host string `json:"host"`
-	// ID, Workspace, Route and Service name the request; what was not found out is empty.
+	// ID, Workspace, Route and Service identify the request; those not determined are empty.
 	ID        string `json:"id"`
 	Workspace string `json:"workspace"`
 	Route     string `json:"route"`
 	Service   string `json:"service"`
-	// Outcome is what became of it, Status what the caller was told, and Why explains it.
+	// Outcome is the kind of the event, Status the status of the answer to the caller, and
+	// Why the explanation.
 	Outcome Kind   `json:"outcome"`
 	Status  int    `json:"status"`
 	Why     string `json:"why"`
-	// Endpoint is the last one it was sent to, Sends the number of sends and Events
-	// the number of events passed on.
+	// Endpoint is the last endpoint that the request was sent to, Sends the number of sends,
+	// and Events the number of events of the answer forwarded to the caller.
 	Endpoint string `json:"endpoint"`
 	Sends    int    `json:"sends"`
 	Events   int    `json:"events"`
-	// Fingerprint is the same for all attempts at one request, whoever they came to, SentMS the time since the newest
-	// send, and Beside the number of other requests that were known to be at that endpoint; lines of sends that
-	// were lost tell them, and those of requests that were held the first.
+	// Fingerprint is the same for all attempts of one request at all hosts. SentMS is the time since
+	// the last send, and OtherInFlight the number of other requests known to be at that endpoint.
+	// Events of kind SendLost have all three, those of kind Held the fingerprint only.
 	Fingerprint   string `json:"fingerprint,omitempty"`
 	SentMS        int64  `json:"sent_ms,omitempty"`
 	OtherInFlight int    `json:"beside,omitempty"`
-	// ElapsedMS is the time since its arrival, PredictedMS the predicted time to the first
-	// event at that endpoint, and LeftMS what was left to its deadline.
+	// ElapsedMS is the time since the arrival of the request, PredictedMS the predicted time to
+	// the first event at the endpoint, and LeftMS the time left until the deadline.
 	ElapsedMS   int64 `json:"held_ms"`
 	PredictedMS int64 `json:"predicted_ms"`
 	LeftMS      int64 `json:"left_ms"`
-	// TokensIn and TokensOut are the prompt and the most of the answer as the caller named
-	// them, TokensGuess its guess of the answer; 0 where it named none.
+	// TokensIn is the size of the prompt, TokensOut the maximum size of the answer and
+	// TokensGuess its expected size, in tokens as stated by the caller; 0 if not stated.
 	TokensIn    int `json:"tokens_in"`
 	TokensOut   int `json:"tokens_out"`
 	TokensGuess int `json:"tokens_guess"`
-	// ObjectiveMS is the time to the first event, or to a whole answer that is no stream,
-	// that the route wants, and PauseObjectiveMS the longest pause between two events; 0 for none.
+	// ObjectiveMS is the route's objective for the time to the first event, or to the whole
+	// answer if it is no stream, and PauseObjectiveMS that for the longest pause between two
+	// events; 0 for none.
 	ObjectiveMS      int64 `json:"objective_ms"`
 	PauseObjectiveMS int64 `json:"pause_objective_ms"`
-	// QueuedMS is the time from its arrival to its first send, FirstMS to the first event
-	// or answer that was passed on, -1 where there was none; LongestPauseMS is the longest
-	// pause between two events.
+	// QueuedMS is the time from the arrival to the first send, and FirstEventMS that to the
+	// first event or answer forwarded to the caller, -1 if there was none. LongestPauseMS is
+	// the longest pause between two events.
 	QueuedMS       int64 `json:"queued_ms"`
 	FirstEventMS   int64 `json:"first_ms"`
 	LongestPauseMS int64 `json:"longest_pause_ms"`
-	// ListAgeMS is how old the list of endpoints might be at the newest send, and ChoiceMS the time from the choice of the endpoint to
-	// that send; -1 where there was none.
+	// ListAgeMS is the maximum age of the list of endpoints at the last send, and ChoiceMS the
+	// time from the choice of the endpoint to that send; -1 if there was none.
 	ListAgeMS int64 `json:"list_age_ms"`
 	ChoiceMS  int64 `json:"choice_ms"`
-	// StepUS is the time of a token at the endpoint as this host knew it at the last send,
-	// in microseconds, and Load the requests that it was taken to have there.
+	// StepUS is the time per token at the endpoint, in microseconds, and Load the number of
+	// requests there, both as the host estimated them at the last send.
 	StepUS int64   `json:"step_us"`
 	Load   float64 `json:"load"`
-	// RetryAfterMS is when the caller was told to come back.
+	// RetryAfterMS is the time after which the answer asks the caller to retry.
 	RetryAfterMS int64 `json:"retry_after_ms"`
-	// Revision and SettingsAgeMS tell the settings in force and how old they might be, -1 for unknown.
+	// Revision is the revision of the settings in force, and SettingsAgeMS their maximum age, -1 if unknown.
 	Revision      uint64 `json:"revision"`
 	SettingsAgeMS int64  `json:"settings_age_ms"`
 }
 
-// Fields gives the event as keys and values for a logger, without time and host.
+// Fields returns the event as keys and values for a logger, without time and host.
 func (e *Event) Fields() []any {
 	fields := []any{
 		"id", e.ID, "workspace", e.Workspace, "route", e.Route, "service", e.Service,
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -12,7 +12,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestBudget(t *testing.T) {
+// TestLineLimiter checks which lines a limiter allows in sequence and the counts of dropped lines that it returns.
+func TestLineLimiter(t *testing.T) {
 	b := LineLimiter{Rate: 2, Burst: 3}
 	cases := []struct {
 		name    string
@@ -23,11 +24,11 @@
 		{"first", 0, true, 0},
 		{"second", 0, true, 0},
 		{"third", 0, true, 0},
-		{"spent", 0, false, 0},
-		{"still spent", 400 * time.Millisecond, false, 0},
-		{"one again, and the dropped are told", 600 * time.Millisecond, true, 2},
-		{"spent again", 600 * time.Millisecond, false, 0},
-		{"no more than the burst comes back", time.Hour, true, 1},
+		{"empty bucket", 0, false, 0},
+		{"still empty", 400 * time.Millisecond, false, 0},
+		{"one token, and the dropped lines are counted", 600 * time.Millisecond, true, 2},
+		{"empty again", 600 * time.Millisecond, false, 0},
+		{"refilled up to the burst", time.Hour, true, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,7 +39,9 @@
 	}
 }
 
-const log = `{"level":"info","ts":1,"msg":"started","host":"a"}
+// testLog has two events of request x1, one of them with a prefix. The other lines are other
+// messages, text, an event of another request whose ID begins with x1, and an incomplete event.
+const testLog = `{"level":"info","ts":1,"msg":"started","host":"a"}
   12.5 a {"ts":3,"msg":"request","host":"b","id":"x1","outcome":"failed","status":502,"endpoint":"e2","sends":2,"held_ms":40}
 not json x1
 {"ts":2,"msg":"request","host":"a","id":"x1","outcome":"send lost","endpoint":"e1"}
@@ -46,8 +49,9 @@
 {"ts":2,"msg":"other","host":"a","id":"x1"}
 {"ts":4,"msg":"request","host":"a","id":"x1","outc`
 
+// TestRead checks that Read finds the events of a request in testLog and no other lines.
 func TestRead(t *testing.T) {
-	events, err := Read(strings.NewReader(log), "x1")
+	events, err := Read(strings.NewReader(testLog), "x1")
 	must.NoError(t, err)
 	Sort(events)
 	must.Len(t, 2, events)
@@ -57,6 +61,7 @@
 	must.StrContains(t, Cause(events), "e2")
 }
 
+// TestCause checks the sentence for each kind of event.
 func TestCause(t *testing.T) {
 	cases := []struct {
 		event Event
--- a/outcome/story.go
+++ b/outcome/story.go
@@ -17,50 +17,50 @@
 	"github.com/rotisserie/eris"
 )
 
-// mostLine bounds a line of a log, in bytes.
-const mostLine = 1 << 20
+// maxLineSize is the maximum length of a log line, in bytes.
+const maxLineSize = 1 << 20
 
-// Read finds the events of a request in a log, or those of all requests if id is empty.
-// Lines that are no events, or not whole, are passed over; what stands before the first
-// brace of a line is too, so that logs with prefixes of a collector can be read as they are.
+// Read returns the events of a request in a log, or those of all requests if id is empty.
+// It skips lines that are no events or are incomplete. It also skips the text before the
+// first brace of a line, so that logs to which a collector added prefixes can be read.
 func Read(r io.Reader, id string) ([]Event, error) {
-	out, _, err := read(r, id)
+	out, _, err := readEvents(r, id)
 	return out, err
 }
 
-// ReadStrict finds the events of all requests and refuses a log with a damaged line of a request.
+// ReadStrict returns the events of all requests in a log. It returns an error if the line of an event is damaged.
 func ReadStrict(r io.Reader) ([]Event, error) {
-	out, damaged, err := read(r, "")
-	if err == nil && damaged > 0 {
-		err = eris.Errorf("line %d is cut or damaged; give the whole log", damaged)
+	out, damagedLine, err := readEvents(r, "")
+	if err == nil && damagedLine > 0 {
+		err = eris.Errorf("line %d is truncated or damaged; pass the complete log", damagedLine)
 	}
 	return out, err
 }
 
-// read finds the events of a request, or of all if id is empty, and the number of the first line
-// that begins as one of a request and cannot be read, or 0.
-func read(r io.Reader, id string) (out []Event, damaged int, err error) {
+// readEvents returns the events of a request, or of all requests if id is empty. It also returns
+// the number of the first line that contains the message of an event and cannot be decoded, or 0.
+func readEvents(r io.Reader, id string) (out []Event, damagedLine int, err error) {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, mostLine)
+	sc.Buffer(nil, maxLineSize)
 	for n := 1; sc.Scan(); n++ {
 		line := sc.Bytes()
-		at := bytes.IndexByte(line, '{')
-		if at < 0 || !bytes.Contains(line, []byte(id)) {
+		start := bytes.IndexByte(line, '{')
+		if start < 0 || !bytes.Contains(line, []byte(id)) {
 			continue
 		}
 		var e struct {
 			Event
 			Message string `json:"msg"`
 		}
-		err := json.Unmarshal(line[at:], &e)
+		err := json.Unmarshal(line[start:], &e)
 		switch {
-		case err != nil && damaged == 0 && bytes.Contains(line, []byte(`"msg":"`+Message+`"`)):
-			damaged = n
+		case err != nil && damagedLine == 0 && bytes.Contains(line, []byte(`"msg":"`+Message+`"`)):
+			damagedLine = n
 		case err == nil && e.Message == Message && (id == "" || e.ID == id):
 			out = append(out, e.Event)
 		}
 	}
-	return out, damaged, sc.Err()
+	return out, damagedLine, sc.Err()
 }
 
 // Sort orders events by time.
@@ -76,7 +76,7 @@
 	})
 }
 
-// Describe tells an event in words.
+// Describe returns a description of an event for operators.
 func (e *Event) Describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s after %d ms", e.Host, e.Outcome, e.ElapsedMS)
@@ -96,19 +96,20 @@
 	return b.String()
 }
 
-// nearDeadline is the time left, in milliseconds, at which a caller that leaves does so
-// because of its deadline.
-const nearDeadline = 100
+// nearDeadlineMS is the time left until the deadline, in milliseconds, at or below which the
+// end of an unfinished answer is attributed to the deadline.
+const nearDeadlineMS = 100
 
-// Cause names the cause of the last event in one sentence, with what to look at.
+// Cause returns one sentence that explains the last event and names the endpoint or
+// workspace to examine.
 func Cause(events []Event) string {
 	if len(events) == 0 {
 		return "No line tells of this request: it went well, it never came to these hosts, or its line was dropped (look for \"lines dropped\")."
 	}
 	e := &events[len(events)-1]
-	late := e.LeftMS <= nearDeadline
+	nearItsDeadline := e.LeftMS <= nearDeadlineMS
 	switch {
-	case (e.Outcome == CallerGone || e.Outcome == Truncated) && late:
+	case (e.Outcome == CallerGone || e.Outcome == Truncated) && nearItsDeadline:
 		return fmt.Sprintf("The answer of endpoint %s was not whole by the deadline; %d events had come.", e.Endpoint, e.Events)
 	case e.Outcome == CallerGone:
 		return "The caller left before its answer was whole."
