--- a/metrics/doc.go
+++ b/metrics/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package metrics counts outcomes and keeps histograms for each workspace and
-// tier, and publishes them by expvar. The number of series is bounded: the
-// least recently used is folded into the series "other" of its tier.
+// Package metrics keeps counters and histograms for each workspace and tier, and
+// publishes them with expvar. The number of series is limited: beyond the limit the
+// least recently used series is merged into the series "other" of its tier.
 package metrics
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -13,58 +13,58 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Measure is one of the histograms of a series.
+// Measure identifies one of the histograms of a series.
 type Measure uint8
 
 // The measures, each in microseconds.
 const (
-	// FirstToken is from arrival to the first token sent to the caller.
+	// FirstToken is the time from arrival to the first token sent to the caller.
 	FirstToken Measure = iota
-	// InterToken is from one token to the next.
+	// InterToken is the time from one token to the next.
 	InterToken
-	// QueueWait is from arrival to dispatch.
+	// QueueWait is the time from arrival to dispatch.
 	QueueWait
-	// TotalTime is from arrival to the end of the answer.
+	// TotalTime is the time from arrival to the end of the answer.
 	TotalTime
-	// ListAge is the age of the list of endpoints as a request was sent by it.
+	// ListAge is the age of the list of endpoints at the time a request is sent by it.
 	ListAge
-	// ChoiceToSend is from the choice of an endpoint to the sending.
+	// ChoiceToSend is the time from the choice of an endpoint to the send.
 	ChoiceToSend
 	measureCount
 )
 
-// names are the measures as they are published.
-var names = [measureCount]string{"first_token_us", "between_tokens_us", "queue_wait_us", "whole_time_us", "list_age_us", "choice_to_send_us"}
+// publishedNames are the names under which the measures are published.
+var publishedNames = [measureCount]string{"first_token_us", "between_tokens_us", "queue_wait_us", "whole_time_us", "list_age_us", "choice_to_send_us"}
 
-// Bounds of the histograms.
+// Limits of the series and histograms.
 const (
-	// DefaultMaxSeries bounds the series of a host beside the "other" ones.
+	// DefaultMaxSeries is the default limit of the series of a host, not counting the "other" ones.
 	DefaultMaxSeries = 128
-	// maxMicros is the largest time told apart: one hour.
-	maxMicros = int64(time.Hour / time.Microsecond)
-	// digits is the number of significant digits kept.
-	digits = 1
-	// Other names the series that idle ones are folded into.
+	// maxMicroseconds is the largest time that a histogram distinguishes: one hour.
+	maxMicroseconds = int64(time.Hour / time.Microsecond)
+	// significantDigits is the number of decimal digits to which a histogram resolves values.
+	significantDigits = 1
+	// Other is the workspace name of the series into which idle ones are merged.
 	Other = "other"
 )
 
-// Key names a series.
+// Key identifies a series.
 type Key struct {
-	// Workspace and Tier are what the series is for.
+	// Workspace and Tier are the names of the workspace and the tier.
 	Workspace, Tier string
 }
 
-// series holds the figures of one workspace and tier.
+// series holds the counters and histograms of one workspace and tier.
 type series struct {
-	key    Key
-	counts map[string]int64
-	hists  [measureCount]*hdrhistogram.Histogram
-	at     *list.Element
+	key           Key
+	counts        map[string]int64
+	histograms    [measureCount]*hdrhistogram.Histogram
+	recentElement *list.Element
 }
 
-// Set is all series of a host, safe for concurrent use.
+// Set holds all series of a host. It is safe for concurrent use.
 type Set struct {
-	// MaxSeries bounds the series; 0 means DefaultSeries.
+	// MaxSeries limits the number of series; 0 means DefaultMaxSeries.
 	MaxSeries int
 
 	mu     sync.Mutex
@@ -72,15 +72,16 @@
 	recent list.List
 }
 
-// get returns a series and marks it as used; mu must be held.
-func (s *Set) get(k Key) *series {
+// seriesFor returns the series of a key, created if there is none, and marks it as the
+// most recently used. mu must be held.
+func (s *Set) seriesFor(k Key) *series {
 	if s.series == nil {
 		s.series = make(map[Key]*series)
 	}
 	x := s.series[k]
 	if x != nil {
-		if x.at != nil {
-			s.recent.MoveToFront(x.at)
+		if x.recentElement != nil {
+			s.recent.MoveToFront(x.recentElement)
 		}
 		return x
 	}
@@ -89,68 +90,68 @@
 	if k.Workspace == Other {
 		return x
 	}
-	x.at = s.recent.PushFront(x)
+	x.recentElement = s.recent.PushFront(x)
 	limit := s.MaxSeries
 	if limit == 0 {
 		limit = DefaultMaxSeries
 	}
 	if s.recent.Len() > limit {
-		s.fold(s.recent.Remove(s.recent.Back()).(*series))
+		s.mergeIntoOther(s.recent.Remove(s.recent.Back()).(*series))
 	}
 	return x
 }
 
-// fold adds a series to the "other" one of its tier and drops it; mu must be held.
-func (s *Set) fold(x *series) {
+// mergeIntoOther merges a series into the "other" one of its tier and removes it. mu must be held.
+func (s *Set) mergeIntoOther(x *series) {
 	delete(s.series, x.key)
-	o := s.get(Key{Other, x.key.Tier})
+	other := s.seriesFor(Key{Other, x.key.Tier})
 	for name, n := range x.counts {
-		o.counts[name] += n
+		other.counts[name] += n
 	}
-	for m, h := range x.hists {
+	for m, h := range x.histograms {
 		if h != nil {
-			o.hist(Measure(m)).Merge(h)
+			other.histogram(Measure(m)).Merge(h)
 		}
 	}
 }
 
-// hist returns a histogram, made when it is first used.
-func (x *series) hist(m Measure) *hdrhistogram.Histogram {
-	if x.hists[m] == nil {
-		x.hists[m] = hdrhistogram.New(1, maxMicros, digits)
+// histogram returns the histogram of a measure, created on first use.
+func (x *series) histogram(m Measure) *hdrhistogram.Histogram {
+	if x.histograms[m] == nil {
+		x.histograms[m] = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 	}
-	return x.hists[m]
+	return x.histograms[m]
 }
 
-// Count adds one to a counter, such as an outcome or a kind of refusal.
+// Count increments a counter, such as that of an outcome or a kind of refusal.
 func (s *Set) Count(k Key, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.get(k).counts[name]++
+	s.seriesFor(k).counts[name]++
 }
 
-// Record notes a time in a histogram; times out of range are clamped.
+// Record adds a time to a histogram. It clamps times out of range.
 func (s *Set) Record(k Key, m Measure, d time.Duration) {
-	us := min(max(d.Microseconds(), 1), maxMicros)
+	us := min(max(d.Microseconds(), 1), maxMicroseconds)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.get(k).hist(m).RecordValue(us)
+	_ = s.seriesFor(k).histogram(m).RecordValue(us)
 }
 
-// Quantiles are what is published of a histogram, in microseconds.
+// Quantiles is the published form of a histogram, in microseconds.
 type Quantiles struct {
-	// Count is the number of values.
+	// Count is the number of recorded times.
 	Count int64 `json:"count"`
-	// P50, P95, P99 and Max are read from the histogram, with one significant digit.
+	// P50, P95, P99 and Max are the percentiles and the maximum, with one significant digit.
 	P50 int64 `json:"p50"`
 	P95 int64 `json:"p95"`
 	P99 int64 `json:"p99"`
 	Max int64 `json:"max"`
 }
 
-// Series is what is published of one workspace and tier.
+// Series is the published form of the series of one workspace and tier.
 type Series struct {
-	// Workspace and Tier name the series.
+	// Workspace and Tier identify the series.
 	Workspace string `json:"workspace"`
 	Tier      string `json:"tier"`
 	// Counts are the counters by name.
@@ -175,24 +176,24 @@
 	return out
 }
 
-// export copies a series.
+// export returns the published form of a series.
 func (x *series) export() Series {
-	o := Series{Workspace: x.key.Workspace, Tier: x.key.Tier, Counts: make(map[string]int64), Times: make(map[string]Quantiles)}
+	exported := Series{Workspace: x.key.Workspace, Tier: x.key.Tier, Counts: make(map[string]int64), Times: make(map[string]Quantiles)}
 	for name, n := range x.counts {
-		o.Counts[name] = n
+		exported.Counts[name] = n
 	}
-	for m, h := range x.hists {
+	for m, h := range x.histograms {
 		if h != nil {
-			o.Times[names[m]] = Quantiles{
+			exported.Times[publishedNames[m]] = Quantiles{
 				Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95),
 				P99: h.ValueAtQuantile(99), Max: h.Max(),
 			}
 		}
 	}
-	return o
+	return exported
 }
 
-// String gives the series as JSON, which makes a Set an expvar.Var.
+// String returns the series as JSON, so that a Set is an expvar.Var.
 func (s *Set) String() string {
 	b, err := json.Marshal(s.Export())
 	if err != nil {
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -14,7 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSeriesAreBoundedAndLoseNothing(t *testing.T) {
+// TestSeriesLimitKeepsTotals checks that merging series beyond the limit loses no counts
+// and no times, and that the most recently used series comes first and "other" last.
+func TestSeriesLimitKeepsTotals(t *testing.T) {
 	s := &Set{MaxSeries: 10}
 	const n = 8300
 	for i := range n {
@@ -35,7 +37,8 @@
 	must.Eq(t, fmt.Sprint("w", n-1), all[0].Workspace)
 }
 
-func TestExpvarForm(t *testing.T) {
+// TestStringIsJSON checks that String returns the JSON form of Export, also for a time out of range.
+func TestStringIsJSON(t *testing.T) {
 	s := &Set{}
 	s.Record(Key{"w", "urgent"}, TotalTime, 3*time.Hour)
 	var out []Series
@@ -61,7 +64,7 @@
 	}
 }
 
-// BenchmarkMemory gives the bytes that one series with all its histograms takes.
+// BenchmarkMemory reports the bytes that one series with all its histograms takes.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("series=%d", n), func(b *testing.B) {
