--- a/keyval/http.go
+++ b/keyval/http.go
@@ -16,41 +16,41 @@
 	"github.com/heathkeel/heathkeel/internal/jsoncall"
 )
 
-// The paths and fields below are the whole wire format of the platform; both
-// the clients here and the stand-ins' handlers use them.
+// The paths and fields below are the whole wire format of the platform. Both
+// Client and the handlers of the platform's test doubles use them.
 const (
-	// PathKV is followed by the escaped key.
+	// PathKV, followed by the escaped key, is the path of a key.
 	PathKV = "/kv/item/"
-	// PathKeys lists keys by the query field "prefix".
+	// PathKeys lists the keys that start with the query parameter "prefix".
 	PathKeys = "/kv/keys"
 	// PathLease grants (POST) and renews (PUT) leases.
 	PathLease = "/kv/lease"
-	// PathHosts serves the list of hosts and endpoints.
+	// PathHosts returns the list of hosts and endpoints.
 	PathHosts = "/hosts"
-	// PathWeights describes weights by the query fields "model" and "version".
+	// PathWeights describes the weights given by the query parameters "model" and "version".
 	PathWeights = "/weights"
 )
 
 // SwapBody is the body of a write.
 type SwapBody struct {
-	// Version is the version that the key must have.
+	// Version is the version that the key must have, 0 if it must be absent.
 	Version uint64 `json:"version"`
 	// Value is the new value.
 	Value []byte `json:"value"`
-	// Lease is the lease that the key hangs on, or 0.
+	// Lease is the lease that the key is attached to, or 0.
 	Lease Lease `json:"lease,omitempty"`
 }
 
-// LeaseBody is the body of a grant, a renewal and their answers.
+// LeaseBody is the body of a request to grant or renew a lease, and of the answer.
 type LeaseBody struct {
-	// Lease is the lease's number.
+	// Lease identifies the lease.
 	Lease Lease `json:"lease,omitempty"`
-	// TTLMS is the time to live in milliseconds.
+	// TTLMS is the time to live of a granted lease, in milliseconds.
 	TTLMS int64 `json:"ttl_ms,omitempty"`
 }
 
-// errorOf maps statuses to errors and back; one table serves both directions.
-var errorOf = []struct {
+// statusErrors maps HTTP statuses to errors and errors to statuses.
+var statusErrors = []struct {
 	status int
 	err    error
 }{
@@ -61,12 +61,12 @@
 	{http.StatusGone, ErrLeaseExpired},
 }
 
-// StatusOf gives the HTTP status that carries err.
+// StatusOf returns the HTTP status that represents err.
 func StatusOf(err error) int {
 	if err == nil {
 		return http.StatusOK
 	}
-	for _, e := range errorOf {
+	for _, e := range statusErrors {
 		if e.err == err {
 			return e.status
 		}
@@ -74,19 +74,19 @@
 	return http.StatusServiceUnavailable
 }
 
-// Client speaks to the platform over HTTP; it is a KV, a HostList and a WeightStore.
+// Client calls the platform over HTTP. It implements KV, HostList and WeightStore.
 type Client struct {
-	// BaseURL is the platform's address, such as "http://127.0.0.1:7000".
+	// BaseURL is the platform's base URL, such as "http://127.0.0.1:7000".
 	BaseURL string
-	// HTTP does the calls; nil means http.DefaultClient.
+	// HTTP is the client that sends the calls; nil means http.DefaultClient.
 	HTTP *http.Client
 
-	mu   sync.Mutex
-	list []ListEntry
-	tag  string
+	mu         sync.Mutex
+	cachedList []ListEntry
+	cachedETag string
 }
 
-// client returns what does the calls.
+// client returns the HTTP client that sends the calls.
 func (c *Client) client() *http.Client {
 	if c.HTTP != nil {
 		return c.HTTP
@@ -94,7 +94,8 @@
 	return http.DefaultClient
 }
 
-// call sends one request and decodes a JSON answer into out, if out is not nil.
+// call sends one request and decodes the JSON answer into out, unless out is nil. Every
+// failure without an error of its own in statusErrors is ErrUnavailable.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	req, err := jsoncall.Request(ctx, method, c.BaseURL+path, in)
 	if err != nil {
@@ -105,7 +106,7 @@
 		return ErrUnavailable
 	}
 	defer resp.Body.Close()
-	for _, e := range errorOf {
+	for _, e := range statusErrors {
 		if e.status == resp.StatusCode {
 			return e.err
 		}
@@ -169,8 +170,8 @@
 	return c.call(ctx, http.MethodPut, PathLease, LeaseBody{Lease: lease}, nil)
 }
 
-// List implements HostList. It asks for the list only if it changed since the
-// last reading; the result is shared and must not be changed.
+// List implements HostList. The platform sends the list only if it changed since the
+// last call. The result is shared and must not be modified.
 func (c *Client) List(ctx context.Context) ([]ListEntry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +179,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.tag != "" {
-		req.Header.Set("If-None-Match", c.tag)
+	if c.cachedETag != "" {
+		req.Header.Set("If-None-Match", c.cachedETag)
 	}
 	resp, err := c.client().Do(req)
 	if err != nil {
@@ -187,13 +188,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified {
-		return c.list, nil
+		return c.cachedList, nil
 	}
 	var out []ListEntry
 	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&out) != nil {
 		return nil, ErrUnavailable
 	}
-	c.list, c.tag = out, resp.Header.Get("ETag")
+	c.cachedList, c.cachedETag = out, resp.Header.Get("ETag")
 	return out, nil
 }
 
