--- a/spec/age.pml
+++ b/spec/age.pml
@@ -1,27 +1,28 @@
 /*
- * What a host may believe of the age of its settings: packages feed (Age,
- * Settings) and peers (Proof).
+ * Bounds on the age of a host's settings: packages feed (Age, Settings) and
+ * peers (Proof).
  *
  * The store holds a revision, which changes once, when a key is withdrawn.
- * Two hosts read it; a call is sent, read by the store and answered at any
- * later moments, or never. Hosts tell each other their revision, its age as
- * they send, and which heartbeat of the other they heard last; a heartbeat is
- * delivered late, any number of times, or never. A host that hears one takes
- * the other's proof to hold as of the sending of its own heartbeat that it
- * answers, less the age: so no delay can make a proof younger.
+ * Two hosts read it. A call is sent, read by the store and answered at any
+ * later times, or never. Hosts exchange heartbeats with their revision, its
+ * age at the time of sending, and which heartbeat of the other host they
+ * received last. A heartbeat is delivered late, any number of times, or never.
+ * A host that receives one dates the other's proof to the time at which it
+ * sent the heartbeat that this one answers, minus the age. So no delay can
+ * make a proof seem more recent than it is.
  *
- * Time may pass between any two steps of a host: it stands still, or is
- * suspended. It makes a heartbeat in two steps (SLOW), first which one of
- * the other's it answers, then the age. Its clock counts suspensions; with one
- * that stops while the host sleeps (MUT_STEADY) all moments that it
- * remembers come nearer.
+ * Time may pass between any two steps of a host, as when its process does not
+ * run or is suspended. With SLOW a host makes a heartbeat in two steps: first
+ * it chooses which heartbeat of the other to answer, then it reads the age.
+ * The host's clock counts suspensions. With a clock that stops during a
+ * suspension (MUT_STEADY) all remembered times move nearer to the present.
  *
- * Checked by assertions: no host believes that the old revision was the newest
- * at a moment after the change (YOUNG), and its revision never goes back
- * (BACK). With both, a withdrawn key is taken for no longer than the age up
- * to which settings are trusted.
+ * Assertions check that no host believes that the old revision was the newest
+ * at a time after the change (YOUNG), and that its revision never goes back
+ * (BACK). Together they ensure that a withdrawn key is accepted for no longer
+ * than the age up to which settings are trusted.
  *
- * Each MUT_ symbol takes one guard away; spec/age.mutations lists them.
+ * Each MUT_ symbol removes one guard; spec/age.mutations lists them.
  */
 
 #define END 2             /* ticks of time */
@@ -30,20 +31,24 @@
 byte now = 0;
 byte changed = NEVER;     /* when the revision changed at the store */
 
-/* What each host believes. */
+/* What each host knows: its revision, and when that was proven to be the newest. */
 bool known[2], rev[2];
 byte proven[2];
 
-/* Each host's call to the store. */
+/* Each host's call to the store: under way, read by the store, the revision read, and when it was sent. */
 bool c_on[2], c_read[2], c_rev[2];
 byte c_sent[2];
 
-/* The newest heartbeat of each host, and the sending of the other's that it heard. */
+/*
+ * The newest heartbeat of each host: sent at all, its revision, age and time of
+ * sending, and when the heartbeat that it answers was sent. heard is when the
+ * newest heartbeat that the host received from the other was sent.
+ */
 bool m_on[2], m_rev[2];
 byte m_age[2], m_sent[2], m_echo[2];
 byte heard[2] = NEVER;
 
-/* The heartbeat that each host is about to send: between its two steps. */
+/* The heartbeat that each host has begun and not sent yet, between its two steps. */
 bool b_on[2];
 byte b_sent[2], b_echo[2];
 #ifdef MUT_AGE_FIRST
@@ -51,7 +56,7 @@
 bool b_rev[2];
 #endif
 
-/* Host i learns that revision r was the newest at a moment. */
+/* Host i learns that revision r was the newest at a time. */
 inline learn(i, r, moment) {
 	if
 	:: known[i] && rev[i] && !r ->
@@ -71,12 +76,12 @@
 	assert(rev[i] || changed == NEVER || proven[i] <= changed)   /* YOUNG */
 }
 
-/* Host i's call is over; what it held is cleared, so that fewer states differ. */
+/* Host i's call has ended. Its variables are cleared to reduce the number of states. */
 inline hang_up(i) {
 	c_on[i] = false; c_read[i] = false; c_rev[i] = false; c_sent[i] = 0
 }
 
-/* Host i hears the newest heartbeat of host j. */
+/* Host i receives the newest heartbeat of host j. */
 inline hear(i, j) {
 	heard[i] = m_sent[j];
 	if
@@ -94,7 +99,7 @@
 	fi
 }
 
-/* Host i begins a heartbeat, and sends it later. */
+/* Host i begins a heartbeat, which send_beat sends later. */
 inline begin_beat(i) {
 	b_on[i] = true; b_sent[i] = now; b_echo[i] = heard[i];
 #ifdef MUT_AGE_FIRST
@@ -114,7 +119,7 @@
 }
 
 #ifdef MUT_STEADY
-/* Host i is suspended for a tick that its clock does not count. */
+/* Host i is suspended for a tick that its clock does not count, so that the times it remembers move on by one. */
 inline doze(i, j) {
 	now++;
 	if :: known[i] -> proven[i]++ :: else fi;
@@ -130,20 +135,20 @@
 #define SLEEP(i, j)
 #endif
 
-/* Host i asks the store. */
+/* Host i calls the store: it sends a call, the store reads it, the host receives the answer, or the call fails. */
 #define ASK(i) \
 	:: atomic { !c_on[i] -> c_on[i] = true; c_read[i] = false; c_sent[i] = now } \
 	:: atomic { c_on[i] && !c_read[i] -> c_read[i] = true; c_rev[i] = (changed != NEVER) } \
 	:: atomic { c_on[i] && c_read[i] -> learn(i, c_rev[i], CALL(i)); hang_up(i) } \
 	:: atomic { c_on[i] -> hang_up(i) }
 
-/* Host i makes a heartbeat at once, or in two steps. */
+/* Host i makes a heartbeat in one step, or in two. */
 #define BEAT(i) :: atomic { known[i] -> begin_beat(i); send_beat(i) }
 #define SLOW_BEAT(i) \
 	:: atomic { known[i] && !b_on[i] -> begin_beat(i) } \
 	:: atomic { b_on[i] -> send_beat(i) }
 
-/* Host i hears host j. */
+/* Host i receives a heartbeat of host j. */
 #define HEAR(i, j) :: atomic { m_on[j] -> hear(i, j) }
 
 #ifdef MUT_AGE_FIRST
@@ -151,8 +156,8 @@
 #endif
 
 /*
- * Everything that the hosts may do. With SLOW host 1 reads the store and makes its heartbeats in two steps, and host 0 only hears
- * and is heard: what both may do in so many steps does not fit into 2 GB.
+ * All steps of the hosts. With SLOW host 1 reads the store and makes its heartbeats in two steps, while
+ * host 0 only exchanges heartbeats: the states of two hosts with so many steps need more than 2 GB.
  */
 #ifdef SLOW
 #define HOSTS \
--- a/spec/list.pml
+++ b/spec/list.pml
@@ -1,34 +1,38 @@
 /*
- * By which list of endpoints a host may send: packages feed (Reach, callLog,
- * Endpoints.Usable) and ingress (stillAllowed).
+ * Whether a host may send by its list of endpoints: packages feed
+ * (StoreHealth, callLog, Endpoints.Usable) and ingress (the check before a
+ * request is sent).
  *
- * The store holds one endpoint's entry, which says from some moment on that it
- * leaves. It may go away and come back. The host calls it, one call at a time;
- * the store reads the call, or refuses it, or never sees it: while it is away
- * always; while it is there, never as the fourth in a row that fails, or later. (A
- * host that hears no other, and whose first call after an outage fails alone, is excused for a
- * while longer than it should be: what others know of the store ends that.) An answer lies in the
- * host's socket until the host's process runs and reads it. A process that
- * runs judges a call that has no answer there as silent; it may also give one up
- * without a judgement. Four calls that fail in a row, with no answer between
- * them, tell an outage; the last of them, by when it was sent, excuses
- * an old list for a time.
+ * The store holds the entry of one endpoint, which says from some time on that
+ * the endpoint is leaving. The store may become unreachable ("away") and
+ * reachable again. The host calls it, one call at a time. The store reads the
+ * call, refuses it or never receives it. While it is away, calls always fail;
+ * while it is reachable, a call never fails as the fourth or a later one in a
+ * row. (This excludes a host that receives nothing from other hosts and whose
+ * first call after an outage fails alone: it may use an old list for longer
+ * than it should. What other hosts know of the store ends that.) An answer
+ * stays in the host's socket until the host's process runs and reads it. A
+ * process that runs counts a call without an answer in the socket as silent;
+ * it may also abandon a call without counting it. Four failed calls in a row,
+ * with no answer between them, indicate an outage. For a time from the sending
+ * of the last of them, the host may use an old list.
  *
- * A request is bound to the endpoint at one moment (choice) and sent at a later
- * one; time may pass between any two steps.
+ * A request is bound to the endpoint at one time (choice) and sent at a later
+ * one. Time may pass between any two steps.
  *
- * Checked by assertions: no request goes to the endpoint later than DRAIN after
- * it left, unless the store was away within the last CONTACT (LATE). A host to which the
- * store is away and that has just had four calls fail may send (SERVES).
+ * Assertions check that no request goes to the endpoint later than DRAIN after
+ * it left, unless the store was away within the last CONTACT (LATE), and that
+ * a host may send if the store is away and four of its calls have just failed
+ * (SERVES).
  *
- * Each MUT_ symbol takes one guard away; spec/list.mutations lists them.
+ * Each MUT_ symbol removes one guard; spec/list.mutations lists them.
  */
 
 #define END 7             /* ticks of time */
 #define DRAIN 2
-#define MOST 1            /* the age up to which a list is used: less than DRAIN */
+#define MOST 1            /* maximum age of a list that is used: less than DRAIN */
 #define CONTACT 3
-#define KEEP 2            /* how long a failed call excuses: less than CONTACT */
+#define KEEP 2            /* how long a failed call permits an old list: less than CONTACT */
 #define TRIES 4
 #define NEVER 255
 
@@ -42,18 +46,24 @@
 
 /* The store. */
 bool away = false;
-byte lastaway = NEVER;    /* the newest moment at which it was away */
-byte left = NEVER;        /* since when the endpoint leaves */
+byte lastaway = NEVER;    /* the last time at which it was away */
+byte left = NEVER;        /* since when the endpoint is leaving */
 
-/* The host's call: sent; answered, so that an answer lies in the socket. */
+/*
+ * The host's call: under way; answered, so that an answer is in the socket;
+ * whether that says that the endpoint is leaving; lost, so that no answer comes.
+ */
 bool on = false, answered = false, view = false, lost = false;
 byte sent = 0;
 
-/* What the host believes: the list, as of a moment; failed calls in a row; the last one of those that told an outage. */
+/*
+ * What the host knows: its list and the time as of which that holds, the number of
+ * failed calls in a row, and the sending of the last call that indicated an outage.
+ */
 bool leaving = false;
 byte proven = 0, fails = 0, out = NEVER;
 
-/* A request that was bound to the endpoint; whether its list was usable then. */
+/* A request that is bound to the endpoint, and whether the list was usable at the choice. */
 bool bound = false, usable = false;
 
 inline hang_up() {
@@ -92,7 +102,7 @@
 #define MAY USABLE
 #endif
 
-/* A process that runs finds an answer in its socket before it calls the call silent. */
+/* A process that runs reads an answer in its socket before it counts the call as silent. */
 #ifdef MUT_CLOCK
 #define SILENT on
 #else
@@ -105,7 +115,7 @@
 	:: atomic { !away -> away = true; lastaway = now }
 	:: atomic { away -> away = false }
 	:: atomic { !away && left == NEVER -> left = now }
-	/* A call, and what becomes of it. */
+	/* A call and its result. */
 	:: atomic { !on -> on = true; sent = now }
 	:: atomic { on && !answered && !lost && !away -> answered = true; view = (left != NEVER) }
 	:: atomic { on && !answered && !lost && !away && fails + 1 < TRIES -> lost = true }
--- a/spec/once.pml
+++ b/spec/once.pml
@@ -1,18 +1,20 @@
 /*
  * The protocol of package once for one ID: owner, witness and two callers.
  *
- * A network that loses, doubles, delays and reorders is modelled by one bit for
- * each message: once sent it may be delivered at any time, any number of times,
- * or never. A pause is any interleaving in which a process takes no step. A
- * crash loses all memory; what starts again is another incarnation, which the
- * ID does not name, so that it takes no part unless a mutation lets it.
+ * A network that loses, duplicates, delays and reorders messages is modelled by
+ * one bit for each message: once sent, it may be delivered at any time, any
+ * number of times, or never. A pause is any interleaving in which a process
+ * takes no step. A crash loses all memory. A restarted process is another
+ * incarnation, which the ID does not name, so that it takes no part unless a
+ * mutation lets it.
  *
- * Checked by assertions: the endpoint is sent the request at most once
- * (ONCE), and once a caller was told "not run" it was not and is not sent
- * (NOTRUN). Checked without faults by LTL: the request is answered.
+ * Assertions check that the request is sent to the endpoint at most once
+ * (ONCE), and that a request of which a caller was told "not run" has not been
+ * sent and never is (NOTRUN). An LTL formula checks, without faults, that the
+ * request is answered.
  *
- * Each MUT_ symbol takes one guard of the protocol away; spec/once.mutations
- * lists them and spec/check shows that each is caught.
+ * Each MUT_ symbol removes one guard of the protocol; spec/once.mutations lists
+ * them and spec/check shows that each is caught.
  */
 
 mtype = { Absent, Waiting, Recording, Recorded, Dispatched, Answered, Lost, Refused };
@@ -25,9 +27,9 @@
 mtype st = Absent;
 bool o_alive = true;
 bool o_forgot;            /* its generation is no longer kept */
-bool o_full;              /* no room for another record now */
-bool o_sealed;            /* gets no new records, for ever */
-bool sent_now;            /* a byte of this dispatch went out */
+bool o_full;              /* currently no room for another record */
+bool o_sealed;            /* never takes new records again */
+bool sent_now;            /* a byte of this dispatch was sent */
 
 /* The witness and the copy that a successor holds. */
 mtype note = None;
@@ -36,9 +38,9 @@
 bool copied;
 mtype copy = None;
 
-/* What the outside saw. */
+/* What endpoint and callers observe. */
 byte sends;
-bool told;                /* some caller was told "not run" */
+bool told;                /* a caller was told "not run" */
 bool answered;
 
 inline send_to_endpoint() {
@@ -110,25 +112,25 @@
 	:: atomic { o_alive && st == Dispatched && !sent_now -> send_to_endpoint() }
 	:: atomic { o_alive && st == Dispatched && sent_now -> st = Answered; answered = true }
 #ifndef NOFAULT
-	/* The connection was refused, so that no byte went out. */
+	/* The connection was refused, so that no byte was sent. */
 	:: atomic { o_alive && st == Dispatched && !sent_now -> st = Recorded }
 #ifdef MUT_RETRACT_SENT
 	:: atomic { o_alive && st == Dispatched && sent_now -> st = Recorded }
 #endif
 	:: atomic { o_alive && st == Dispatched && sent_now -> st = Lost }
-	/* Deadline, shedding, a witness that gives no answer, a caller that left. */
+	/* The deadline passed, the request was shed, the witness does not answer, or the caller left. */
 	:: atomic { o_alive && (st == Waiting || st == Recording || st == Recorded) -> st = Refused }
 #ifdef MUT_REFUSE_DISPATCHED
 	:: atomic { o_alive && st == Dispatched -> st = Refused }
 #endif
 	:: atomic { o_alive && st == Refused && !told -> tell_not_run() }
-	/* A generation passes: final records are forgotten. */
+	/* The generation expires, and its final records are dropped. */
 	:: atomic { o_alive && !o_forgot && (st == Absent || st == Refused || st == Lost || st == Answered) ->
 		st = Absent; o_forgot = true }
 	:: atomic { o_alive -> o_full = !o_full }
 	:: atomic { o_alive -> o_alive = false;
 #ifdef MUT_OWNER_RESTART
-		/* The same name starts again and takes the ID for its own. */
+		/* A host of the same name restarts and treats the ID as its own. */
 		o_alive = true; st = Absent
 #endif
 	   }
@@ -188,14 +190,14 @@
 	:: atomic { w_alive && m_close -> close_note() }
 	:: atomic { w_alive && !w_forgot -> note = None; w_forgot = true }
 	:: atomic { w_alive -> w_full = !w_full }
-	/* It leaves: sealed, its records go to a successor. */
+	/* The witness leaves: it is sealed and its records go to a successor. */
 	:: atomic { w_alive && !copied && !w_forgot ->
 #ifndef MUT_LEAVE_NO_SEAL
 		w_sealed = true;
 #endif
 		copied = true; copy = note }
 	:: atomic { w_alive -> w_alive = false }
-	/* Another incarnation at its address refuses what names the old one. */
+	/* Another incarnation at its address refuses messages that name the old one. */
 	:: atomic { !w_alive && m_record ->
 #ifdef MUT_WITNESS_RESTART
 		m_ack = true
@@ -206,13 +208,13 @@
 #ifdef MUT_RESTART_CLOSES
 	:: atomic { !w_alive && m_close -> tell_not_run() }
 #endif
-	/* The copy answers callers; it records nothing. */
+	/* The copy answers callers and records nothing. */
 	:: atomic { copied && m_close && copy != Noted -> tell_not_run() }
 #endif
 	od
 }
 
-/* Two callers that ask everybody everything, in any order. */
+/* Two callers that send all requests and questions, in any order. */
 active [2] proctype Caller() {
 	do
 	:: !m_req -> m_req = true
--- a/spec/trial.pml
+++ b/spec/trial.pml
@@ -1,64 +1,64 @@
 /*
  * Sends of a request on trial, each granted by the store: packages quarantine
- * (Book, Record), ingress (grant) and edge (records).
+ * (Registry, Record), ingress (grant) and edge (records).
  *
- * Endpoints have ended under a request; each of two hosts knows that, or learns
- * it at any moment. To send it once more a host writes one grant more than it
- * knows of, on the condition that the record is as it last saw it. The store
- * does a call at any later moment, its answer comes late or never, and a host
- * whose write was not done learns what stands. Hosts tell each other what
- * they know at any moments, or never; each may be killed and starts with
- * nothing. A send may be answered, once: the host that answers it knows that
- * the request is no longer on trial, others hear of that at any moment, and
- * the record is removed, which the store may do long after. Then endpoints may
- * end anew.
+ * Endpoints crashed while they ran a request; each of two hosts knows that, or
+ * learns it at any time. To send the request once more, a host writes a record
+ * with one grant more than it knows of, on the condition that the stored record
+ * is as the host last saw it. The store executes a call at any later time, and
+ * its answer arrives late or never. A host whose write was rejected learns the
+ * stored record. Hosts exchange what they know at any time, or never. Each may
+ * be killed and restarts without memory. A send may be answered, once: the host
+ * that receives the answer knows that the request is no longer on trial, others
+ * learn that at any time, and the record is removed, which the store may do
+ * long after. Then endpoints may crash again.
  *
- * Checked by an assertion: sends whose grant was asked for since the answer are
- * MOST at most (BOUND), whoever has heard of it. A record tells when it was
- * written; a host that knows of a later answer does not count what it says.
- * A send that was asked for before the answer and made after it is not counted:
- * there is one of each other host at most.
+ * An assertion checks that at most MOST sends are made whose grant was requested
+ * since the answer (BOUND), whichever hosts have learned of it. A record says
+ * when it was written; a host that knows of a later answer ignores its grants.
+ * A send whose grant was requested before the answer and which is made after it
+ * is not counted: there is at most one from each other host.
  *
- * Each MUT_ symbol takes one guard away; spec/trial.mutations lists them.
+ * Each MUT_ symbol removes one guard; spec/trial.mutations lists them.
  */
 
 #define MOST 2            /* grants until the request is answered */
 #define KILLS 1           /* kills of hosts */
 #define WRITES 4          /* writes to the store */
 
-/* The record: its revision, 0 for none, the grants that it counts, and the answers before it was written. */
+/* The stored record: its revision (0 for none), its number of grants, and the number of answers before it was written. */
 byte rec_rev = 0, rec_n = 0, rec_era = 0;
 byte at = 0;              /* the newest revision of the store */
 
-byte granted[2];          /* sends whose grant was asked for before, and after, the answer */
+byte granted[2];          /* sends whose grant was requested before, and after, the answer */
 bool answered = false;
 byte kills = 0;
 
-/* What each host knows: grants, and answers (0 or 1). */
+/* What each host knows: the number of grants, and of answers (0 or 1). */
 byte n[2], era[2];
-byte from[2];             /* the answers before the newest grant that it knows of */
-byte seen[2];             /* the revision that it was told of when its last write was not done, else 0 */
+byte from[2];             /* the number of answers before the newest grant that it knows of */
+byte seen[2];             /* the revision that it learned when its last write was rejected, else 0 */
 
-/* Each host's call for a grant: sent, done by the store, whether it wrote, and what stood if not. */
+/* Each host's call for a grant: under way, executed, whether it wrote, and the record to write or, if rejected, the stored one. */
 bool c_on[2], c_done[2], c_wrote[2];
 byte c_rev[2], c_n[2], c_era[2];
 
 bool busy[2];             /* a granted send is at an endpoint */
-byte sent[2];             /* the answers before its grant was asked for */
+byte sent[2];             /* the number of answers before its grant was requested */
 
-/* The removal of the record: wanted, which revision it names, and whether it is on its way. */
+/* The removal of the record: wanted, record read, call under way, and the revision that was read. */
 bool d_want[2], d_read[2], d_sent[2];
 byte d_rev[2];
 
-/* Host i forgets all: its process ends. Calls on their way are done by the store all the same. */
+/* The process of host i ends and loses its memory. The store still executes calls under way. */
 inline kill(i) {
 	n[i] = 0; from[i] = 0; era[i] = 0; seen[i] = 0;
 	busy[i] = false; d_want[i] = false; d_read[i] = false;
 	lost[i] = true
 }
-bool lost[2];             /* the answer to the call under way finds nobody */
+bool lost[2];             /* the process that made the call under way has ended */
 
-/* Host i takes what stands, or what another host tells: k grants, after e answers. */
+/* Host i merges what the store or another host reports: k grants, after e answers. */
 inline take(i, k, e) {
 	if
 	:: e >= era[i] ->
@@ -74,7 +74,7 @@
 	fi
 }
 
-/* Host i hears that the request was answered: grants from before count no more. */
+/* Host i learns that the request was answered: earlier grants no longer count. */
 inline clear(i) {
 	era[i] = 1;
 	if
@@ -83,7 +83,7 @@
 	fi
 }
 
-/* The store does host i's write. */
+/* The store executes host i's write. */
 inline write(i) {
 	if
 #ifdef MUT_BLIND
@@ -100,7 +100,7 @@
 
 proctype Host(byte i) {
 	do
-	/* a grant is asked for */
+	/* a grant is requested */
 	:: atomic { !c_on[i] && n[i] < MOST && at < WRITES ->
 		c_on[i] = true; c_done[i] = false; lost[i] = false;
 		c_rev[i] = seen[i]; c_n[i] = n[i] + 1; c_era[i] = answered
@@ -108,9 +108,9 @@
 		; c_on[i] = false; n[i]++; granted[answered]++; assert(granted[answered] <= MOST)
 #endif
 	   }
-	/* the store does it */
+	/* the store executes the call */
 	:: atomic { c_on[i] && !c_done[i] -> write(i) }
-	/* the answer comes */
+	/* the answer arrives */
 	:: atomic { c_on[i] && c_done[i] && !lost[i] ->
 		c_on[i] = false;
 		if
@@ -119,7 +119,7 @@
 			sent[i] = c_era[i];
 			if
 			:: sent[i] == answered -> granted[sent[i]]++
-			:: else         /* it was answered meanwhile: not on trial any more */
+			:: else         /* the request was answered meanwhile and is no longer on trial */
 			fi;
 			assert(granted[sent[i]] <= MOST);        /* BOUND */
 			busy[i] = true
@@ -142,7 +142,7 @@
 		busy[i] = false; answered = true; clear(i); d_want[i] = true; d_read[i] = false
 	   }
 	:: atomic { busy[i] -> busy[i] = false }
-	/* the record is removed: read first, then as it was read, which the store may do late */
+	/* the record is removed: the host reads it and then removes that revision, which the store may execute late */
 	:: atomic { d_want[i] && !d_read[i] && !d_sent[i] ->
 		d_rev[i] = rec_rev; d_read[i] = true;
 		if
@@ -164,10 +164,10 @@
 #endif
 		fi
 	   }
-	/* the other host tells */
+	/* the other host reports what it knows */
 	:: atomic { n[1-i] > n[i] && from[1-i] >= era[i] -> take(i, n[1-i], from[1-i]) }
 	:: atomic { era[1-i] > era[i] -> clear(i) }
-	/* it is killed, and starts with nothing */
+	/* the host is killed and restarts without memory */
 	:: atomic { kills < KILLS -> kills++; kill(i) }
 	od
 }
