--- a/cmd/hkrouter/run.go
+++ b/cmd/hkrouter/run.go
@@ -33,7 +33,7 @@
 		Self: fleet.Host{
 			Name: a.Name, Incarnation: once.NewIncarnation(), Address: l.Addr().String(), Zone: a.Zone, Region: a.Region,
 		},
-		KV: pc, List: pc, MaxAge: a.MaxAge, Heartbeat: a.Heartbeat, ReportEvery: a.Reports, ReportRate: a.Rate, Memory: a.Memory,
+		KV: pc, List: pc, MaxAge: a.MaxAge, HeartbeatInterval: a.Heartbeat, MinReportInterval: a.Reports, MaxReportRate: a.Rate, MaxBodyMemory: a.Memory,
 		OnDrain: stop, Log: log,
 	}
 	srv := &http.Server{Handler: r.Handler()}
--- a/keyval/http.go
+++ b/keyval/http.go
@@ -97,7 +97,7 @@
 // call sends one request and decodes the JSON answer into out, unless out is nil. Every
 // failure without an error of its own in statusErrors is ErrUnavailable.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	req, err := jsoncall.Request(ctx, method, c.BaseURL+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, c.BaseURL+path, in)
 	if err != nil {
 		return err
 	}
