--- a/cmd/hkbench/bound.go
+++ b/cmd/hkbench/bound.go
@@ -96,14 +96,14 @@
 	site := &bound.Site{
 		Model: bound.Model{
 			Slots: e.Slots, Step: e.Step, StepPerRequest: e.StepPerRequest, StepPerContext: e.StepPerContext,
-			PrefillPerMS: e.PrefillPerMS, PrefillPairs: e.PrefillPairs, First: e.First,
+			PrefillPerMS: e.PrefillPerMS, PrefillPairs: e.PrefillPairs, First: e.FirstTokenDelay,
 		},
 		Slowness: e.Slowness, EventTokens: e.EventTokens,
 	}
 	for _, k := range f.Requests {
 		if k.Service == e.Service {
 			site.Kinds = append(site.Kinds, bound.Kind{
-				Name: k.Name, Objective: k.Objective, Pause: k.Pause, Deadline: k.Deadline, Worth: k.Worth, Late: k.Late, Prompt: k.PromptTokens,
+				Name: k.Name, Objective: k.Objective, Pause: k.PauseObjective, Deadline: k.Deadline, Worth: k.Worth, Late: k.LateWorth, Prompt: k.PromptTokens,
 			})
 		}
 	}
--- a/cmd/hkdev/check.go
+++ b/cmd/hkdev/check.go
@@ -102,7 +102,7 @@
 		a, err := cl.Complete(ctx, client.Completion{
 			Service: t.Service, Tier: t.Tier, Model: t.model, Prompt: "Write one line about the sea.", MaxTokens: 16, NoRepeat: !t.repeatable,
 		})
-		return "engine", a.Endpoint, a.First, err
+		return "engine", a.Endpoint, a.FirstToken, err
 	}
 	kind = "plain"
 	if !t.repeatable {
--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -80,7 +80,7 @@
 	engines := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	m := &placer.Manager{
 		Name: a.Name + "/" + once.NewIncarnation().String(), KV: pc, Weights: pc, Settings: f.Snapshot,
-		TTL: a.TTL, Sweep: a.Sweep, Limits: placer.Limits{Loads: a.Loads}, Log: log,
+		TTL: a.TTL, SweepInterval: a.Sweep, Limits: placer.Limits{MaxLoads: a.Loads}, Log: log,
 		Candidate: func(zone string) bool {
 			actx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
--- a/edge/host.go
+++ b/edge/host.go
@@ -169,12 +169,12 @@
 		Headers: platform.Headers, Dial: h.endpointDial(), Now: h.now, Watch: &h.watch, Unconfirmed: h.unproven, ListConfirmedAt: h.provenAt, ListUsable: h.listUsable, DrainTime: b.DrainTime, Host: b.Host, Zone: b.Zone, Policy: policy(),
 		Retries:    quota.RetryBudget{Ratio: retryShare * b.RetryRatio, MaxCredit: retryShare * b.RetrySlack},
 		Tolerance:  quota.Tolerance{Window: b.QuotaWindow, Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack},
-		FirstStart: b.First, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
+		FirstStart: b.Bootstrap, BodyMemory: h.bodyMemory(), Trace: h.Trace, Log: h.Log.WithName("ingress"),
 	}
 	h.reach = &feed.StoreHealth{
 		Now: h.now, RunTime: h.watch.RunTime, OutageAfter: time.Duration(silentShare * float64(b.DrainTime)), RetryInterval: endpointsPause,
 		LapseTimes: feed.LapseTimes{
-			MinOutage: lapseBeats * b.Heartbeat, RenewTime: backTime, MaxKeep: time.Duration(lapseShare * float64(b.ContactTime)),
+			MinOutage: lapseBeats * b.HeartbeatInterval, RenewTime: backTime, MaxKeep: time.Duration(lapseShare * float64(b.ContactTime)),
 		},
 	}
 	h.settings = &feed.Settings{
@@ -389,8 +389,8 @@
 	h.ingress.Stop()
 	h.agent.TriggerHeartbeat()
 	h.Log.Info("stopping", "active", h.ingress.Active())
-	for h.now()-began < h.Boot.Grace-graceRest {
-		if h.now()-began > min(lingerLeast, h.Boot.Grace/2) && h.ingress.Active() == 0 {
+	for h.now()-began < h.Boot.GracePeriod-graceRest {
+		if h.now()-began > min(lingerLeast, h.Boot.GracePeriod/2) && h.ingress.Active() == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/edge/join.go
+++ b/edge/join.go
@@ -46,11 +46,11 @@
 
 // follow keeps up with the store, after peers had the time to tell this host what they read.
 func (h *Host) follow(ctx context.Context) {
-	if !h.isSeed() && h.Boot.First {
+	if !h.isSeed() && h.Boot.Bootstrap {
 		h.awaitPeers(ctx, firstPatience)
 	}
 	go h.entry.Run(ctx)
-	if !h.isSeed() && !h.Boot.First && h.awaitEntries(ctx) >= manyHosts {
+	if !h.isSeed() && !h.Boot.Bootstrap && h.awaitEntries(ctx) >= manyHosts {
 		h.awaitPeers(ctx, startPatience)
 	}
 	go h.settings.Run(ctx)
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -83,8 +83,8 @@
 		found       int64
 		least, most time.Duration
 	}{
-		{"a seed, at the first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, First: true}, 0, 0, 0},
-		{"the first start", platform.Boot{Seeds: others, First: true}, 0, firstPatience, 2*firstPatience + startLook},
+		{"a seed, at the first start", platform.Boot{Seeds: []string{"10.0.0.1:80"}, Bootstrap: true}, 0, 0, 0},
+		{"the first start", platform.Boot{Seeds: others, Bootstrap: true}, 0, firstPatience, 2*firstPatience + startLook},
 		{"among many", platform.Boot{Seeds: others}, 295, startPatience, 2*startPatience + startLook},
 		{"among few", platform.Boot{Seeds: others}, 6, 0, 0},
 		{"the store does not tell how many", platform.Boot{Seeds: others}, 0, startPatience, startPatience + startLook},
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -197,8 +197,8 @@
 
 // initial spreads the declared placements over the engines of each zone, as if
 // a placer had run before.
-func initial(fl *settings.Fleet) map[string]endpoint.Holding {
-	held := make(map[string]endpoint.Holding)
+func initial(fl *settings.Fleet) map[string]endpoint.ModelSpec {
+	held := make(map[string]endpoint.ModelSpec)
 	for _, p := range fl.Placements {
 		left := make(map[string]int)
 		for _, e := range fl.Endpoints {
@@ -206,7 +206,7 @@
 				continue
 			}
 			left[e.Zone]++
-			held[e.Name] = endpoint.Holding{Model: p.Model, Version: p.Version, Adapters: p.Adapters}
+			held[e.Name] = endpoint.ModelSpec{Model: p.Model, Version: p.Version, Adapters: p.Adapters}
 		}
 	}
 	return held
--- a/internal/fake/contract_test.go
+++ b/internal/fake/contract_test.go
@@ -170,7 +170,7 @@
 // newEngine makes an engine that holds model m.
 func newEngine() *Engine {
 	e := &Engine{Core: EngineCore{Slots: 2, PrefillPerStep: 512, CacheBlocks: 8}, StepTime: time.Millisecond}
-	e.Hold(endpoint.Holding{Model: "m", Version: "1"})
+	e.Hold(endpoint.ModelSpec{Model: "m", Version: "1"})
 	return e
 }
 
@@ -192,7 +192,7 @@
 		cl := &endpoint.Client{Base: srv.URL}
 		for i, tok := range c.tokens {
 			err := cl.Order(t.Context(), endpoint.Order{Token: tok, Want: e.Held(), Role: "both"})
-			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStale), must.Sprint(c.name, i))
+			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStaleToken), must.Sprint(c.name, i))
 		}
 		srv.Close()
 	}
@@ -227,7 +227,7 @@
 	// The cache holds three blocks: one of four was evicted, and told so.
 	gone := 0
 	for _, e := range c.Events(0) {
-		if e.Gone {
+		if e.Evicted {
 			gone++
 		}
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -53,8 +53,8 @@
 	faults  EngineFaults
 	streams map[string]*engineStream
 	past    []agedReport
-	holding *endpoint.Holding
-	loading *endpoint.Holding
+	holding *endpoint.ModelSpec
+	loading *endpoint.ModelSpec
 	role    string
 	token   uint64
 	runs    map[string]int
@@ -80,7 +80,7 @@
 const maxPast = 256
 
 // Hold sets what the engine holds at the start.
-func (e *Engine) Hold(h endpoint.Holding) {
+func (e *Engine) Hold(h endpoint.ModelSpec) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.holding = &h
@@ -203,7 +203,7 @@
 func (e *Engine) report() endpoint.Report {
 	r := e.Core.Report()
 	r.StepUS = e.StepTime.Microseconds()
-	r.Holding, r.Loading, r.Role, r.Token = e.holding, e.loading, e.role, e.token
+	r.Loaded, r.Loading, r.Role, r.Token = e.holding, e.loading, e.role, e.token
 	if r.Role == "" {
 		r.Role = "both"
 	}
@@ -257,7 +257,7 @@
 }
 
 // sameHolding compares two holdings.
-func sameHolding(a, b *endpoint.Holding) bool {
+func sameHolding(a, b *endpoint.ModelSpec) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -265,7 +265,7 @@
 }
 
 // Held returns what the engine holds, or nil.
-func (e *Engine) Held() *endpoint.Holding {
+func (e *Engine) Held() *endpoint.ModelSpec {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holding
--- a/internal/fake/enginecore.go
+++ b/internal/fake/enginecore.go
@@ -182,7 +182,7 @@
 
 // event notes a cache event.
 func (c *EngineCore) event(block uint64, gone bool) {
-	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Gone: gone})
+	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Evicted: gone})
 	c.nextEvent++
 	if len(c.events) > maxEvents {
 		c.events = slices.Clone(c.events[len(c.events)-maxEvents/2:])
--- a/internal/pairs/pairs.go
+++ b/internal/pairs/pairs.go
@@ -139,10 +139,10 @@
 	s := Summarize(ps)
 	a, b := 0, 0
 	for i := range ps {
-		if ps[i].A.Broken != "" {
+		if ps[i].A.BrokenRule != "" {
 			a++
 		}
-		if ps[i].B.Broken != "" {
+		if ps[i].B.BrokenRule != "" {
 			b++
 		}
 	}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -152,7 +152,7 @@
 		for _, ev := range evs {
 			for k, o := range t.hosts {
 				if !t.deadAt[k] {
-					o.cached(e, ev.Block, ev.Gone)
+					o.cached(e, ev.Block, ev.Evicted)
 				}
 			}
 		}
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -126,7 +126,7 @@
 	switch {
 	case errors.Is(err, endpoint.ErrRejected):
 		kind, remedy = problem.Refused, "correct the request or resubmit under a new ID"
-	case errors.Is(err, endpoint.ErrCrossed), errors.Is(err, endpoint.ErrOrder):
+	case errors.Is(err, endpoint.ErrWrongStream), errors.Is(err, endpoint.ErrOutOfOrder):
 		kind = problem.BadAnswer
 	}
 	p := problem.Lost(kind, name, remedy, "%v", err)
--- a/router/drain.go
+++ b/router/drain.go
@@ -85,7 +85,7 @@
 		return
 	}
 	done := 0
-	for _, to := range fleet.Set("handover", r.Self.Region, r.hosts(), handCopies) {
+	for _, to := range fleet.SelectHosts("handover", r.Self.Region, r.hosts(), handCopies) {
 		if r.handTo(ctx, to, h) {
 			done++
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -147,9 +147,9 @@
 			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.fleetSize, OnSnapshot: r.taken, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
-			Self: r.Self, Peers: r.peers, List: r.List, Clock: r.Clock, Interval: r.Heartbeat, Seed: seed, Log: r.Log,
-			Revision: r.follower.Revision, Behind: r.behind, Floors: r.floors, SetFloors: r.setFloors,
-			Listed: r.listed,
+			Self: r.Self, Transport: r.peers, List: r.List, Clock: r.Clock, Interval: r.Heartbeat, Seed: seed, Log: r.Log,
+			Revision: r.follower.Revision, OnNewerRevision: r.behind, Floors: r.floors, ApplyFloors: r.setFloors,
+			OnList: r.listed,
 		}
 		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharing}
 		r.sched.Init()
@@ -222,7 +222,7 @@
 		g := r.owner.Generation()
 		answers := r.answers()
 		r.onceMu.Unlock()
-		r.agent.Update(func(h *fleet.Host) { h.Generation, h.Answers = g, answers })
+		r.agent.Update(func(h *fleet.Host) { h.Generation, h.AnswersFor = g, answers })
 	}
 }
 
@@ -272,7 +272,7 @@
 	if len(in) == 0 {
 		in = all
 	}
-	for _, h := range fleet.Set(role+zone, r.Self.Region, in, rolesPerZone) {
+	for _, h := range fleet.SelectHosts(role+zone, r.Self.Region, in, rolesPerZone) {
 		if h.Incarnation == r.Self.Incarnation {
 			return true
 		}
@@ -307,7 +307,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
 		if r.follower.Pull(ctx, rev, address) == nil {
-			r.agent.Kick()
+			r.agent.SendNow()
 		}
 	}()
 }
@@ -318,7 +318,7 @@
 // taken puts new settings to use.
 func (r *Router) taken(s *settings.Snapshot) {
 	r.setEndpoints(s.Fleet.Endpoints)
-	r.agent.Kick()
+	r.agent.SendNow()
 }
 
 // floors gives the shedding floors for heartbeats.
--- a/router/targets.go
+++ b/router/targets.go
@@ -124,12 +124,12 @@
 		Step: time.Duration(rep.StepUS) * time.Microsecond, PrefillPerStep: rep.PrefillPerStep,
 		AcceptsPrompts: rep.Role != "decode" && rep.Role != "drain",
 	}
-	if rep.Holding != nil {
-		sr.Model = rep.Holding.Model
+	if rep.Loaded != nil {
+		sr.Model = rep.Loaded.Model
 	}
 	r.sched.ApplyReport(now, name, sr)
 	for _, ev := range rep.Events {
-		r.sched.ApplyCacheEvent(name, ev.Block, ev.Gone)
+		r.sched.ApplyCacheEvent(name, ev.Block, ev.Evicted)
 	}
 	r.pump()
 }
--- a/router/witness.go
+++ b/router/witness.go
@@ -223,7 +223,7 @@
 	r.adopted[h.Self] = copied
 	answers := r.answers()
 	r.onceMu.Unlock()
-	r.agent.Update(func(s *fleet.Host) { s.Answers = answers })
+	r.agent.Update(func(s *fleet.Host) { s.AnswersFor = answers })
 	writeJSON(w, struct{}{})
 }
 
