--- a/fleet/agent.go
+++ b/fleet/agent.go
@@ -18,74 +18,81 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// Defaults of an Agent.
+// Default values of an Agent's fields, and its other constants.
 const (
 	// DefaultInterval is the time between heartbeats.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultMissThreshold is the number of heartbeats without answer that make a suspicion.
+	// DefaultMissThreshold is the number of unanswered heartbeats in a row after which a
+	// peer is suspected.
 	DefaultMissThreshold = 3
 	// DefaultMaxBatch is the largest number of changed records in a heartbeat.
 	DefaultMaxBatch = 24
-	// digestRounds is the number of beats with unequal digests that ask for all records.
-	digestRounds = 8
-	// probeRounds is the number of beats between probes of a suspect.
-	probeRounds = 5
-	// listEvery is the time between reads of the platform's list.
-	listEvery = time.Second
+	// fullSyncThreshold is the number of heartbeats in a row with unequal digests after
+	// which all records are requested.
+	fullSyncThreshold = 8
+	// probeInterval is the number of rounds of heartbeats between two probes.
+	probeInterval = 5
+	// listInterval is the time between two reads of the platform's list.
+	listInterval = time.Second
 )
 
-// Agent keeps a Table by heartbeats. Set the exported fields, then call Run.
+// Agent maintains a Table by exchanging heartbeats with peers. Set the exported fields,
+// then call Run.
 type Agent struct {
-	// Self is this host's record at the start.
+	// Self is the initial record of this host.
 	Self Host
 	// Transport sends heartbeats.
 	Transport Transport
-	// List is the platform's list; nil means none.
+	// List reads the platform's list of hosts; nil means that there is none.
 	List keyval.HostList
-	// Interval, Misses, Fanout and Batch default to the constants above.
+	// Interval, MissThreshold, Fanout and MaxBatch default to the constants of this
+	// package.
 	Interval      time.Duration
 	MissThreshold int
 	Fanout        int
 	MaxBatch      int
-	// Revision returns the settings' revision in force; Behind is told of a
-	// higher one at an address. Both may be nil.
+	// Revision returns the revision of the settings in force. OnNewerRevision is called
+	// when a peer has a newer revision, with that revision and the peer's address. Both may
+	// be nil.
 	Revision        func() uint64
 	OnNewerRevision func(revision uint64, address string)
-	// Floors returns the floors to tell; SetFloors takes a peer's. Both may be nil.
+	// Floors returns the shedding floors to send; ApplyFloors applies those of a peer. Both
+	// may be nil.
 	Floors      func() []Floor
 	ApplyFloors func([]Floor)
-	// OnList is told of each reading of the platform's list; nil means nobody.
+	// OnList is called with each reading of the platform's list; it may be nil.
 	OnList func([]keyval.ListEntry)
-	// Clock is the host's clock; nil means one that counts suspensions.
+	// Clock is the host's clock; nil means one that counts the time in which the host was
+	// suspended.
 	Clock *clock.Clock
-	// Seed seeds the choice of suspects to probe.
+	// Seed seeds the choice of the host to probe.
 	Seed uint64
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	mu      sync.Mutex
-	table   *Table
-	outbox  map[once.Incarnation][]Host
-	missed  map[once.Incarnation]int
-	differ  map[once.Incarnation]int
-	inbound map[once.Incarnation]time.Duration
-	listed  []keyval.ListEntry
-	rnd     *rand.Rand
-	round   int
-	kick    chan struct{}
-	peers   []Host
-	peersAt uint64
-	sent    Traffic
+	mu               sync.Mutex
+	table            *Table
+	outboxes         map[once.Incarnation][]Host
+	missed           map[once.Incarnation]int
+	digestMismatches map[once.Incarnation]int
+	lastReceived     map[once.Incarnation]time.Duration
+	listed           []keyval.ListEntry
+	rng              *rand.Rand
+	round            int
+	sendNow          chan struct{}
+	neighborCache    []Host
+	neighborVersion  uint64
+	traffic          Traffic
 }
 
-// Traffic counts what heartbeats cost; bytes are counted by the caller.
+// Traffic counts heartbeats; the Transport counts bytes.
 type Traffic struct {
-	// Sent and Received count heartbeats; Failed counts those without answer.
+	// Sent and Received count heartbeats; Failed counts those sent that got no answer.
 	Sent, Received, Failed int64
 }
 
-// init makes what Run and Receive share; mu must be held.
-func (a *Agent) init() {
+// initialize creates the state that Run and Receive share; mu must be held.
+func (a *Agent) initialize() {
 	if a.table != nil {
 		return
 	}
@@ -93,40 +100,41 @@
 		a.Clock = clock.New()
 	}
 	a.table = NewTable(a.Self)
-	a.outbox = make(map[once.Incarnation][]Host)
+	a.outboxes = make(map[once.Incarnation][]Host)
 	a.missed = make(map[once.Incarnation]int)
-	a.differ = make(map[once.Incarnation]int)
-	a.inbound = make(map[once.Incarnation]time.Duration)
-	a.rnd = rand.New(rand.NewPCG(a.Seed, uint64(a.Self.Incarnation)))
-	a.kick = make(chan struct{}, 1)
+	a.digestMismatches = make(map[once.Incarnation]int)
+	a.lastReceived = make(map[once.Incarnation]time.Duration)
+	a.rng = rand.New(rand.NewPCG(a.Seed, uint64(a.Self.Incarnation)))
+	a.sendNow = make(chan struct{}, 1)
 }
 
-// now is the time of the host's clock, never 0; mu must be held.
+// now returns the time of the host's clock plus 1 ns, so that it is never 0; mu must be
+// held.
 func (a *Agent) now() time.Duration { return a.Clock.Now() + 1 }
 
-// View calls fn with the table; fn must not keep it or block.
+// View calls fn with the table. fn must not retain the table or block.
 func (a *Agent) View(fn func(*Table)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.init()
+	a.initialize()
 	fn(a.table)
 }
 
-// Update changes this host's own record and spreads it at once.
+// Update changes this host's own record and sends it to the neighbours at once.
 func (a *Agent) Update(change func(*Host)) {
 	a.mu.Lock()
-	a.init()
+	a.initialize()
 	a.table.Update(change)
 	a.distribute()
 	a.mu.Unlock()
 	a.SendNow()
 }
 
-// SendNow makes the next heartbeat go out at once.
+// SendNow triggers the next round of heartbeats at once.
 func (a *Agent) SendNow() {
 	a.mu.Lock()
-	a.init()
-	kick := a.kick
+	a.initialize()
+	kick := a.sendNow
 	a.mu.Unlock()
 	select {
 	case kick <- struct{}{}:
@@ -138,13 +146,13 @@
 func (a *Agent) Traffic() Traffic {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.sent
+	return a.traffic
 }
 
 // Run sends heartbeats until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	a.mu.Lock()
-	a.init()
+	a.initialize()
 	a.mu.Unlock()
 	if a.List != nil {
 		go a.readList(ctx)
@@ -152,32 +160,32 @@
 	tick := time.NewTicker(cmp.Or(a.Interval, DefaultInterval))
 	defer tick.Stop()
 	for {
-		a.beat(ctx)
+		a.sendHeartbeats(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-a.kick:
+		case <-a.sendNow:
 		}
 	}
 }
 
-// readList reads the platform's list again and again.
+// readList reads the platform's list every listInterval until ctx ends.
 func (a *Agent) readList(ctx context.Context) {
 	for ctx.Err() == nil {
 		entries, err := a.List.List(ctx)
 		if err == nil {
-			a.takeList(entries)
+			a.applyList(entries)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(listEvery):
+		case <-time.After(listInterval):
 		}
 	}
 }
 
-// takeList joins one reading of the list.
-func (a *Agent) takeList(entries []keyval.ListEntry) {
+// applyList applies one reading of the platform's list.
+func (a *Agent) applyList(entries []keyval.ListEntry) {
 	a.mu.Lock()
 	a.listed = entries
 	names := make([]string, 0, len(entries))
@@ -193,19 +201,20 @@
 	}
 }
 
-// beat sends one heartbeat to each neighbour and, now and then, to a suspect.
-func (a *Agent) beat(ctx context.Context) {
+// sendHeartbeats sends one heartbeat to each neighbour and, in some rounds, to a host to
+// probe.
+func (a *Agent) sendHeartbeats(ctx context.Context) {
 	a.mu.Lock()
 	a.round++
-	targets := a.targets()
+	targets := a.heartbeatTargets()
 	a.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(a.Interval, DefaultInterval))
 	var wg sync.WaitGroup
-	for _, h := range targets {
+	for _, target := range targets {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			a.exchange(ctx, h)
+			a.exchange(ctx, target)
 		}()
 	}
 	go func() {
@@ -214,51 +223,52 @@
 	}()
 }
 
-// neighbors returns the peers of the current table; mu must be held.
+// neighbors returns the neighbours of this host, computed anew when the table has changed;
+// mu must be held.
 func (a *Agent) neighbors() []Host {
-	if a.peersAt != a.table.Version() || a.peers == nil {
+	if a.neighborVersion != a.table.Version() || a.neighborCache == nil {
 		live := a.table.Hosts()
-		keep := live[:0]
+		usable := live[:0]
 		for _, h := range live {
 			if !h.Gone && !h.Suspect {
-				keep = append(keep, h)
+				usable = append(usable, h)
 			}
 		}
-		a.peers = Neighbors(a.table.Self, keep, cmp.Or(a.Fanout, DefaultFanout))
-		a.peersAt = a.table.Version()
+		a.neighborCache = Neighbors(a.table.Self, usable, cmp.Or(a.Fanout, DefaultFanout))
+		a.neighborVersion = a.table.Version()
 	}
-	return a.peers
+	return a.neighborCache
 }
 
-// targets returns whom to send to now; mu must be held.
-func (a *Agent) targets() []Host {
+// heartbeatTargets returns the receivers of this round's heartbeats; mu must be held.
+func (a *Agent) heartbeatTargets() []Host {
 	out := append([]Host(nil), a.neighbors()...)
-	if h, ok := a.stranger(); ok && a.round%probeRounds == 1 {
+	if h, ok := a.probeCandidate(); ok && a.round%probeInterval == 1 {
 		out = append(out, h)
 	}
 	return out
 }
 
-// stranger picks a host to probe: one that is suspect or that only the list
-// knows. It heals the table after a cut and lets a new host join.
-func (a *Agent) stranger() (Host, bool) {
-	var cands []Host
+// probeCandidate picks a random host that is suspect or that only the platform's list
+// shows. Probing it repairs the table after a network partition and lets a new host join.
+func (a *Agent) probeCandidate() (Host, bool) {
+	var candidates []Host
 	known := make(map[string]bool)
 	for _, h := range a.table.Hosts() {
 		if !h.Gone {
 			known[h.Address] = true
 		}
 		if h.Suspect && !h.Gone {
-			cands = append(cands, h)
+			candidates = append(candidates, h)
 		}
 	}
 	for _, e := range a.listed {
 		if !e.Endpoint && !known[e.Address] {
-			cands = append(cands, Host{Name: e.Name, Address: e.Address, Zone: e.Zone})
+			candidates = append(candidates, Host{Name: e.Name, Address: e.Address, Zone: e.Zone})
 		}
 	}
-	if len(cands) == 0 {
+	if len(candidates) == 0 {
 		return Host{}, false
 	}
-	return cands[a.rnd.IntN(len(cands))], true
+	return candidates[a.rng.IntN(len(candidates))], true
 }
--- a/fleet/answer.go
+++ b/fleet/answer.go
@@ -11,38 +11,39 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// Address is one host in an address answer.
+// Address describes one host in an address answer.
 type Address struct {
-	// Host and Zone name the host.
+	// Host and Zone are the names of the host and of its availability zone.
 	Host string `json:"host"`
 	Zone string `json:"zone"`
-	// Address is its IP number and port.
+	// Address is the host's IP number and port.
 	Address string `json:"address"`
-	// Prefix begins the ID of requests sent there; the caller appends its own part.
+	// Prefix is the prefix of the IDs of requests sent to the host; the caller appends its
+	// own part.
 	Prefix string `json:"prefix"`
-	// OncePrefix begins the ID of calls that may not be repeated: it names a
-	// witness, which records every such ID before its dispatch. It is empty if
+	// OncePrefix is the prefix of the IDs of calls that may not be repeated. It names a
+	// witness, which records each such ID before the request is dispatched. It is empty if
 	// there is no other host.
 	OncePrefix string `json:"once_prefix,omitempty"`
 	// Witness is the address to ask about a request when the host is lost; it may be empty.
 	Witness string `json:"witness,omitempty"`
 }
 
-// Answer tells a caller which hosts to use.
+// Answer is an address answer: it tells a caller which hosts to use.
 type Answer struct {
-	// Workspace is the workspace asked for.
+	// Workspace is the workspace that the caller asked for.
 	Workspace string `json:"workspace"`
 	// Addresses are the hosts, the preferred one first.
 	Addresses []Address `json:"addresses"`
-	// MaxAgeMS is how long the answer may be used, in milliseconds.
+	// MaxAgeMS is the time for which the answer may be used, in milliseconds.
 	MaxAgeMS int64 `json:"max_age_ms"`
-	// Revision is the revision of the settings that the answer was made from.
+	// Revision is the revision of the settings from which the answer was made.
 	Revision uint64 `json:"revision"`
 }
 
-// PickWitness returns a live witness for an owner: the given host itself if it
-// lies in another zone, otherwise a random host of another zone in the owner's
-// region, of any other region, or at last of the owner's zone.
+// PickWitness returns a live witness for owner: self if it is live and lies in another zone
+// of the owner's region, otherwise a random host of another zone of the owner's region,
+// then of another region, and finally of the owner's own zone.
 func PickWitness(self, owner Host, live []Host, rnd *rand.Rand) (Host, bool) {
 	if self.Live() && self.Zone != owner.Zone && self.Region == owner.Region {
 		return self, true
@@ -67,7 +68,7 @@
 	return best, n > 0
 }
 
-// witnessRank is lower for a better witness.
+// witnessRank ranks h as a witness for owner; a lower rank is better.
 func witnessRank(owner, h Host) int {
 	switch {
 	case h.Region == owner.Region && h.Zone != owner.Zone:
@@ -80,7 +81,7 @@
 	return 3
 }
 
-// Prefix returns the prefix for requests to owner with an optional witness.
+// Prefix returns the prefix for IDs of requests to owner. A zero witness means none.
 func Prefix(owner Host, witness Host) once.Prefix {
 	p := once.Prefix{Owner: owner.Incarnation, OwnerGeneration: owner.Generation}
 	if witness.Incarnation != 0 {
@@ -89,5 +90,5 @@
 	return p
 }
 
-// DefaultMaxAge is how long callers keep an address answer.
+// DefaultMaxAge is the time for which callers keep an address answer.
 const DefaultMaxAge = 5 * time.Second
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -18,11 +18,11 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// benchSizes are the numbers of hosts tried.
+// benchSizes are the numbers of hosts in the benchmarks.
 var benchSizes = []int{7, 90, 930}
 
-// hostsOf returns n hosts in nine zones.
-func hostsOf(n int) []Host {
+// makeHosts returns n hosts in nine zones.
+func makeHosts(n int) []Host {
 	out := make([]Host, n)
 	for i := range out {
 		out[i] = Host{
@@ -33,19 +33,19 @@
 	return out
 }
 
-// nobody answers no heartbeat.
-type nobody struct{}
+// noTransport fails to send any heartbeat.
+type noTransport struct{}
 
-func (nobody) Heartbeat(context.Context, string, *Heartbeat) (*Heartbeat, error) {
-	return nil, errors.New("nobody")
+func (noTransport) Heartbeat(context.Context, string, *Heartbeat) (*Heartbeat, error) {
+	return nil, errors.New("no answer")
 }
 
-// BenchmarkHeartbeat gives the cost of answering one heartbeat, coding included.
+// BenchmarkHeartbeat measures the answer to one heartbeat, with decoding and encoding.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			hosts := hostsOf(n)
-			a := &Agent{Self: hosts[0], Transport: nobody{}, Log: logr.Discard()}
+			hosts := makeHosts(n)
+			a := &Agent{Self: hosts[0], Transport: noTransport{}, Log: logr.Discard()}
 			a.View(func(t *Table) { t.Merge(1, hosts[1:]); t.TakeChanged() })
 			hb := Heartbeat{From: hosts[1]}
 			a.View(func(t *Table) { hb.Digest = t.Digest() })
@@ -66,11 +66,11 @@
 	}
 }
 
-// BenchmarkTableMemory gives the bytes that one known host takes.
+// BenchmarkTableMemory measures the bytes that one known host takes.
 func BenchmarkTableMemory(b *testing.B) {
 	for _, n := range []int{90, 930, 9300} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			hosts := hostsOf(n)
+			hosts := makeHosts(n)
 			for b.Loop() {
 				var before, after runtime.MemStats
 				runtime.GC()
@@ -87,11 +87,11 @@
 	}
 }
 
-// BenchmarkSet gives the cost of an address answer's set of three hosts.
-func BenchmarkSet(b *testing.B) {
+// BenchmarkSelectHosts measures the selection of three hosts for an address answer.
+func BenchmarkSelectHosts(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			hosts := hostsOf(n)
+			hosts := makeHosts(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				SelectHosts("workspace", "", hosts, 3)
@@ -100,20 +100,20 @@
 	}
 }
 
-// BenchmarkMoved gives the share of workspaces whose set changes when one of n
-// hosts leaves, beside the least possible share 3/n.
-func BenchmarkMoved(b *testing.B) {
+// BenchmarkSelectHostsChange reports the share of workspaces whose set changes when one of
+// n hosts leaves, and the least possible share 3/n.
+func BenchmarkSelectHostsChange(b *testing.B) {
 	const workspaces = 8300
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			hosts := hostsOf(n)
-			less := append(append([]Host(nil), hosts[:n/2]...), hosts[n/2+1:]...)
+			hosts := makeHosts(n)
+			remaining := append(append([]Host(nil), hosts[:n/2]...), hosts[n/2+1:]...)
 			moved, members := 0, 0
 			for b.Loop() {
 				moved, members = 0, 0
 				for w := range workspaces {
 					name := fmt.Sprint("ws-", w)
-					changed := differ(SelectHosts(name, "", hosts, 3), SelectHosts(name, "", less, 3))
+					changed := countMissing(SelectHosts(name, "", hosts, 3), SelectHosts(name, "", remaining, 3))
 					members += changed
 					if changed > 0 {
 						moved++
@@ -127,8 +127,8 @@
 	}
 }
 
-// differ counts the members of a that are not in b.
-func differ(a, b []Host) int {
+// countMissing counts the members of a that are not in b.
+func countMissing(a, b []Host) int {
 	n := len(a)
 	for _, x := range a {
 		for _, y := range b {
@@ -140,11 +140,11 @@
 	return n
 }
 
-// BenchmarkAnswer gives the cost of picking a witness and making a prefix.
+// BenchmarkAnswer measures the choice of a witness and the making of a prefix.
 func BenchmarkAnswer(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			hosts := hostsOf(n)
+			hosts := makeHosts(n)
 			rnd := rand.New(rand.NewPCG(1, 1))
 			for b.Loop() {
 				w, _ := PickWitness(hosts[0], hosts[0], hosts, rnd)
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -12,27 +12,27 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// Floor is the lowest tier that a host still takes in one pool of endpoints.
+// Floor is the lowest tier that hosts still admit in one pool of endpoints.
 type Floor struct {
 	// Pool is the pool's key.
 	Pool uint64 `json:"pool"`
-	// Rank is the lowest tier taken there, 0 the highest tier.
+	// Rank is the rank of the lowest tier that is admitted; 0 is the highest tier.
 	Rank int `json:"rank"`
-	// AgeMS is how long ago the host that shed set it, in milliseconds.
+	// AgeMS is the time since the shedding host set the floor, in milliseconds.
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Heartbeat is what two hosts tell each other; the answer has the same form.
+// Heartbeat is the message that two hosts exchange; the answer has the same form.
 type Heartbeat struct {
 	// From is the sender's own record.
 	From Host `json:"from"`
-	// Hosts are records that changed, or all with Full.
+	// Hosts are the records that changed, or all records if Full is set.
 	Hosts []Host `json:"hosts,omitempty"`
 	// Digest is the digest of the sender's table.
 	Digest uint64 `json:"digest,string"`
-	// Full asks for all records, and in an answer says that they are there.
+	// Full asks for all records; in an answer it says that Hosts has all records.
 	Full bool `json:"full,omitempty"`
-	// Revision is the settings' revision in force at the sender.
+	// Revision is the revision of the settings in force at the sender.
 	Revision uint64 `json:"rev"`
 	// Floors are the shedding floors that the sender knows of.
 	Floors []Floor `json:"floors,omitempty"`
@@ -40,46 +40,47 @@
 
 // Transport sends a heartbeat to an address and returns the answer.
 type Transport interface {
-	// Heartbeat fails if no answer comes before ctx ends.
+	// Heartbeat returns an error if no answer arrives before ctx ends.
 	Heartbeat(ctx context.Context, address string, hb *Heartbeat) (*Heartbeat, error)
 }
 
-// exchange sends one heartbeat and takes the answer.
+// exchange sends one heartbeat and merges the answer.
 func (a *Agent) exchange(ctx context.Context, to Host) {
-	own := a.local()
+	settings := a.localSettings()
 	a.mu.Lock()
-	hb := a.message(to.Incarnation, own)
-	hb.Full = to.Incarnation == 0 || a.differ[to.Incarnation] >= digestRounds
-	a.sent.Sent++
+	hb := a.takeHeartbeat(to.Incarnation, settings)
+	hb.Full = to.Incarnation == 0 || a.digestMismatches[to.Incarnation] >= fullSyncThreshold
+	a.traffic.Sent++
 	a.mu.Unlock()
 	ans, err := a.Transport.Heartbeat(ctx, to.Address, hb)
 	if err != nil {
-		a.failed(to, hb.Hosts)
+		a.noteFailure(to, hb.Hosts)
 		return
 	}
-	a.take(ans)
+	a.merge(ans)
 	if to.Incarnation != 0 && ans.From.Incarnation != to.Incarnation {
-		a.replaced(to)
+		a.clearMissed(to)
 	}
 }
 
-// replaced notes that another incarnation answers at a host's address.
-func (a *Agent) replaced(to Host) {
+// clearMissed resets the count of unanswered heartbeats of a host, because another
+// incarnation answers at its address.
+func (a *Agent) clearMissed(to Host) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.missed, to.Incarnation)
 }
 
-// local is what a heartbeat tells beside the table.
-type local struct {
+// settingsState is the part of a heartbeat that does not come from the table.
+type settingsState struct {
 	revision uint64
 	floors   []Floor
 }
 
-// local asks for it. It must be called without mu: what it calls may take locks
-// whose holders ask the agent.
-func (a *Agent) local() local {
-	var l local
+// localSettings returns this host's settingsState. The caller must not hold mu: Revision
+// and Floors may take locks whose holders call the agent.
+func (a *Agent) localSettings() settingsState {
+	var l settingsState
 	if a.Revision != nil {
 		l.revision = a.Revision()
 	}
@@ -89,69 +90,71 @@
 	return l
 }
 
-// message makes a heartbeat for a peer and clears its outbox; mu must be held.
-func (a *Agent) message(to once.Incarnation, own local) *Heartbeat {
-	batch := cmp.Or(a.MaxBatch, DefaultMaxBatch)
-	box := a.outbox[to]
-	n := min(batch, len(box))
+// takeHeartbeat makes a heartbeat for a peer and removes from its outbox what the heartbeat
+// carries; mu must be held.
+func (a *Agent) takeHeartbeat(to once.Incarnation, settings settingsState) *Heartbeat {
+	maxBatch := cmp.Or(a.MaxBatch, DefaultMaxBatch)
+	outbox := a.outboxes[to]
+	n := min(maxBatch, len(outbox))
 	hb := &Heartbeat{
-		From: a.table.Self, Hosts: box[:n:n], Digest: a.table.Digest(), Revision: own.revision, Floors: own.floors,
+		From: a.table.Self, Hosts: outbox[:n:n], Digest: a.table.Digest(), Revision: settings.revision, Floors: settings.floors,
 	}
-	a.outbox[to] = box[n:]
-	if n == len(box) {
-		delete(a.outbox, to)
+	a.outboxes[to] = outbox[n:]
+	if n == len(outbox) {
+		delete(a.outboxes, to)
 	}
 	return hb
 }
 
-// failed counts a heartbeat without answer and suspects the peer after some.
-func (a *Agent) failed(to Host, unsent []Host) {
+// noteFailure counts an unanswered heartbeat, puts its records back into the outbox and
+// marks the peer as suspect once MissThreshold is reached.
+func (a *Agent) noteFailure(to Host, unsent []Host) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sent.Failed++
+	a.traffic.Failed++
 	if to.Incarnation == 0 {
 		return
 	}
-	a.outbox[to.Incarnation] = append(unsent, a.outbox[to.Incarnation]...)
+	a.outboxes[to.Incarnation] = append(unsent, a.outboxes[to.Incarnation]...)
 	a.missed[to.Incarnation]++
 	if a.missed[to.Incarnation] < cmp.Or(a.MissThreshold, DefaultMissThreshold) {
 		return
 	}
 	delete(a.missed, to.Incarnation)
-	delete(a.outbox, to.Incarnation)
+	delete(a.outboxes, to.Incarnation)
 	if a.table.MarkSuspect(a.now(), to.Incarnation) {
 		a.Log.Info("peer suspected", "peer", to.Name, "incarnation", to.Incarnation.String())
 		a.distribute()
 	}
 }
 
-// take merges what a peer told, as a heartbeat or as the answer to one.
-func (a *Agent) take(hb *Heartbeat) {
+// merge merges a peer's heartbeat or its answer to one.
+func (a *Agent) merge(hb *Heartbeat) {
 	a.mu.Lock()
 	now := a.now()
 	delete(a.missed, hb.From.Incarnation)
-	before := a.describe(hb.From.Incarnation)
-	news := a.table.MergeDirect(now, hb.From)
-	news = a.table.Merge(now, hb.Hosts) || news
+	before := a.memberState(hb.From.Incarnation)
+	changed := a.table.MergeDirect(now, hb.From)
+	changed = a.table.Merge(now, hb.Hosts) || changed
 	for _, h := range a.table.TakeRejectedSuspicions() {
-		a.outbox[h.Incarnation] = append(a.outbox[h.Incarnation], h)
+		a.outboxes[h.Incarnation] = append(a.outboxes[h.Incarnation], h)
 	}
-	if after := a.describe(hb.From.Incarnation); before != after {
+	if after := a.memberState(hb.From.Incarnation); before != after {
 		a.Log.Info("peer "+after, "peer", hb.From.Name, "incarnation", hb.From.Incarnation.String())
 	}
 	if a.table.Digest() == hb.Digest {
-		delete(a.differ, hb.From.Incarnation)
+		delete(a.digestMismatches, hb.From.Incarnation)
 	} else {
-		a.differ[hb.From.Incarnation]++
+		a.digestMismatches[hb.From.Incarnation]++
 	}
 	if hb.Full && len(hb.Hosts) > 0 {
-		delete(a.differ, hb.From.Incarnation)
+		delete(a.digestMismatches, hb.From.Incarnation)
 	}
-	if news {
+	if changed {
 		a.distribute()
 	}
 	a.mu.Unlock()
-	if news {
+	if changed {
 		a.SendNow()
 	}
 	if a.OnNewerRevision != nil && a.Revision != nil && hb.Revision > a.Revision() {
@@ -162,8 +165,8 @@
 	}
 }
 
-// describe names the state of a member for the log; mu must be held.
-func (a *Agent) describe(id once.Incarnation) string {
+// memberState returns the state of a member for the log; mu must be held.
+func (a *Agent) memberState(id once.Incarnation) string {
 	h, ok := a.table.Find(id)
 	switch {
 	case !ok:
@@ -178,44 +181,45 @@
 	return "live"
 }
 
-// distribute puts changed records into the outbox of every neighbour; mu must be held.
+// distribute adds the changed records to the outbox of every neighbour; mu must be held.
 func (a *Agent) distribute() {
 	changed := a.table.TakeChanged()
 	if len(changed) == 0 {
 		return
 	}
 	for _, h := range a.neighbors() {
-		a.outbox[h.Incarnation] = append(a.outbox[h.Incarnation], changed...)
+		a.outboxes[h.Incarnation] = append(a.outboxes[h.Incarnation], changed...)
 	}
-	// Those that send to this host get the news with its answers.
-	old := a.now() - inboundIntervals*cmp.Or(a.Interval, DefaultInterval)
-	for id, at := range a.inbound {
-		if at < old {
-			delete(a.inbound, id)
+	// Hosts that send heartbeats to this one get the changes with the answers.
+	cutoff := a.now() - senderTTLIntervals*cmp.Or(a.Interval, DefaultInterval)
+	for id, at := range a.lastReceived {
+		if at < cutoff {
+			delete(a.lastReceived, id)
 			continue
 		}
-		if !slices.ContainsFunc(a.peers, func(h Host) bool { return h.Incarnation == id }) {
-			a.outbox[id] = append(a.outbox[id], changed...)
+		if !slices.ContainsFunc(a.neighborCache, func(h Host) bool { return h.Incarnation == id }) {
+			a.outboxes[id] = append(a.outboxes[id], changed...)
 		}
 	}
 }
 
-// inboundIntervals is the number of intervals after which a sender no longer counts as one.
-const inboundIntervals = 4
+// senderTTLIntervals is the number of intervals without a heartbeat after which a host no
+// longer counts as a sender.
+const senderTTLIntervals = 4
 
-// Receive takes a peer's heartbeat and returns the answer.
+// Receive merges a peer's heartbeat and returns the answer.
 func (a *Agent) Receive(hb *Heartbeat) *Heartbeat {
 	a.mu.Lock()
-	a.init()
-	a.sent.Received++
+	a.initialize()
+	a.traffic.Received++
 	_, known := a.table.Find(hb.From.Incarnation)
-	a.inbound[hb.From.Incarnation] = a.now()
+	a.lastReceived[hb.From.Incarnation] = a.now()
 	a.mu.Unlock()
-	a.take(hb)
-	own := a.local()
+	a.merge(hb)
+	settings := a.localSettings()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ans := a.message(hb.From.Incarnation, own)
+	ans := a.takeHeartbeat(hb.From.Incarnation, settings)
 	if hb.Full || !known {
 		ans.Full = true
 		ans.Hosts = a.table.Hosts()
--- a/fleet/neighbors.go
+++ b/fleet/neighbors.go
@@ -13,15 +13,14 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// DefaultFanout is the number of peers that a host sends heartbeats to; as many
-// send to it on average, so that the graph has degree 4.
+// DefaultFanout is the number of peers that a host sends heartbeats to. On average as many
+// send to it, so that the graph has degree 4.
 const DefaultFanout = 2
 
-// Neighbors returns the peers that self sends heartbeats to, at most fanout of
-// them: half are its successors on a ring in hash order, so that everybody is
-// watched and the graph is connected; the others are the best by rendezvous
-// hashing of the pair, in other zones if there are any, so that the diameter is
-// logarithmic. The result does not alias hosts.
+// Neighbors returns the peers that self sends heartbeats to, at most fanout of them. Half
+// are its successors on a ring in hash order, so that every host is monitored and the graph
+// is connected. The others rank highest by rendezvous hashing of the pair, those in other
+// zones first, so that the diameter is logarithmic. The result does not alias hosts.
 func Neighbors(self Host, hosts []Host, fanout int) []Host {
 	others := make([]Host, 0, len(hosts))
 	for _, h := range hosts {
@@ -34,12 +33,12 @@
 	}
 	ring := ringOrder(self, others)
 	out := slices.Clone(ring[:min(fanout/2, len(ring))])
-	byPair := slices.Clone(ring[len(out):])
-	slices.SortFunc(byPair, func(a, b Host) int {
+	byPairHash := slices.Clone(ring[len(out):])
+	slices.SortFunc(byPairHash, func(a, b Host) int {
 		return cmp.Compare(pairHash(self.Incarnation, b.Incarnation), pairHash(self.Incarnation, a.Incarnation))
 	})
-	out = appendFirst(out, byPair, fanout, func(h Host) bool { return h.Zone != self.Zone })
-	return appendFirst(out, byPair, fanout, func(h Host) bool {
+	out = appendMatching(out, byPairHash, fanout, func(h Host) bool { return h.Zone != self.Zone })
+	return appendMatching(out, byPairHash, fanout, func(h Host) bool {
 		return !slices.ContainsFunc(out, func(o Host) bool { return o.Incarnation == h.Incarnation })
 	})
 }
@@ -53,20 +52,20 @@
 	return out
 }
 
-// appendFirst appends hosts that fit until out has n.
-func appendFirst(out, from []Host, n int, fits func(Host) bool) []Host {
+// appendMatching appends matching hosts until out has n.
+func appendMatching(out, from []Host, n int, match func(Host) bool) []Host {
 	for _, h := range from {
 		if len(out) >= n {
 			break
 		}
-		if fits(h) {
+		if match(h) {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// pairHash hashes an unordered pair, so that both ends rank each other alike.
+// pairHash hashes an unordered pair, so that both hosts compute the same value.
 func pairHash(a, b once.Incarnation) uint64 {
 	if a > b {
 		a, b = b, a
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -12,49 +12,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SelectHosts returns the k hosts that serve a workspace: the highest by rendezvous
-// hashing of workspace and host name [Thaler and Ravishankar, "Using
-// name-based mappings to increase hit rates", 1998], taken from region if it
-// has any, and in as many zones as there are. When one of n hosts leaves, a
-// workspace changes at most one member of its set, with probability k/n.
+// SelectHosts returns the k hosts that serve a workspace: those with the highest rendezvous
+// hash of workspace and host name [Thaler and Ravishankar, "Using name-based mappings to
+// increase hit rates", 1998], from region if it has any hosts, spread over as many zones as
+// possible. When one of n hosts leaves, a workspace changes at most one member of its set,
+// with probability k/n.
 func SelectHosts(workspace, region string, live []Host, k int) []Host {
 	prefix := workspace + "\x00"
-	zones := bestOfZones(prefix, live, k, func(h *Host) bool { return h.Region == region })
+	zones := bestPerZone(prefix, live, k, func(h *Host) bool { return h.Region == region })
 	if len(zones) == 0 {
-		zones = bestOfZones(prefix, live, k, func(*Host) bool { return true })
+		zones = bestPerZone(prefix, live, k, func(*Host) bool { return true })
 	}
-	return inTurn(zones, k)
+	return interleave(zones, k)
 }
 
-// scored is a host with its rendezvous score for one workspace.
-type scored struct {
+// scoredHost is a host with its rendezvous hash for one workspace.
+type scoredHost struct {
 	score uint64
 	host  *Host
 }
 
-// before orders scores, the highest first.
-func (a scored) before(b scored) bool {
+// before reports whether a comes before b; the highest score comes first.
+func (a scoredHost) before(b scoredHost) bool {
 	if a.score != b.score {
 		return a.score > b.score
 	}
 	return a.host.Incarnation < b.host.Incarnation
 }
 
-// bestOfZones returns, for each zone, its k best hosts of those that fit, the
-// best first. One pass over the hosts is enough.
-func bestOfZones(prefix string, live []Host, k int, fits func(*Host) bool) [][]scored {
-	var zones [][]scored
+// bestPerZone returns, for each zone, its k best eligible hosts, the best first, in one
+// pass over the hosts.
+func bestPerZone(prefix string, live []Host, k int, eligible func(*Host) bool) [][]scoredHost {
+	var zones [][]scoredHost
 	var buf []byte
 	for i := range live {
 		h := &live[i]
-		if !fits(h) {
+		if !eligible(h) {
 			continue
 		}
 		buf = append(append(buf[:0], prefix...), h.Name...)
-		s := scored{xxhash.Sum64(buf), h}
-		z := slices.IndexFunc(zones, func(z []scored) bool { return z[0].host.Zone == h.Zone })
+		s := scoredHost{xxhash.Sum64(buf), h}
+		z := slices.IndexFunc(zones, func(z []scoredHost) bool { return z[0].host.Zone == h.Zone })
 		if z < 0 {
-			zones = append(zones, append(make([]scored, 0, k+1), s))
+			zones = append(zones, append(make([]scoredHost, 0, k+1), s))
 			continue
 		}
 		zones[z] = insert(zones[z], s, k)
@@ -62,8 +62,8 @@
 	return zones
 }
 
-// insert puts s into a list of at most k, the best first.
-func insert(list []scored, s scored, k int) []scored {
+// insert inserts s into a list of at most k hosts, the best first.
+func insert(list []scoredHost, s scoredHost, k int) []scoredHost {
 	i := len(list)
 	for i > 0 && s.before(list[i-1]) {
 		i--
@@ -75,30 +75,30 @@
 	return list[:min(k, len(list))]
 }
 
-// inTurn takes k hosts: the best of each zone in order of their scores, then the
-// second of each, and so on.
-func inTurn(zones [][]scored, k int) []Host {
+// interleave returns k hosts: the best of each zone in order of their scores, then the
+// second of each zone, and so on.
+func interleave(zones [][]scoredHost, k int) []Host {
 	out := make([]Host, 0, k)
 	for round := 0; len(out) < k; round++ {
-		var row []scored
+		var candidates []scoredHost
 		for _, z := range zones {
 			if round < len(z) {
-				row = append(row, z[round])
+				candidates = append(candidates, z[round])
 			}
 		}
-		if len(row) == 0 {
+		if len(candidates) == 0 {
 			break
 		}
-		slices.SortFunc(row, func(a, b scored) int { return btoi(b.before(a)) - btoi(a.before(b)) })
-		for _, s := range row[:min(len(row), k-len(out))] {
+		slices.SortFunc(candidates, func(a, b scoredHost) int { return btoi(b.before(a)) - btoi(a.before(b)) })
+		for _, s := range candidates[:min(len(candidates), k-len(out))] {
 			out = append(out, *s.host)
 		}
 	}
 	return out
 }
 
-// OrderForZone arranges a set for one caller in place: hosts in the caller's zone
-// first, and random within each group, so that callers spread over the set.
+// OrderForZone reorders a set for one caller in place: hosts of the caller's zone come
+// first, and the order within each group is random, so that callers spread over the set.
 func OrderForZone(set []Host, zone string, rnd *rand.Rand) {
 	rnd.Shuffle(len(set), func(i, j int) { set[i], set[j] = set[j], set[i] })
 	slices.SortStableFunc(set, func(a, b Host) int {
@@ -106,7 +106,7 @@
 	})
 }
 
-// btoi gives 1 for true.
+// btoi returns 1 for true and 0 for false.
 func btoi(b bool) int {
 	if b {
 		return 1
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -14,8 +14,8 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-func TestSet(t *testing.T) {
-	hosts := hostsOf(90)
+func TestSelectHosts(t *testing.T) {
+	hosts := makeHosts(90)
 	for i := range hosts {
 		hosts[i].Region = fmt.Sprint("r", i%3)
 	}
@@ -40,14 +40,14 @@
 		must.Eq(t, c.size, len(names))
 	}
 	must.Len(t, 0, SelectHosts("w", "r0", nil, 3))
-	// The order in which hosts are known does not matter.
+	// The result does not depend on the order of the hosts.
 	shuffled := append([]Host(nil), hosts...)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 	must.Eq(t, SelectHosts("w", "r0", hosts, 5), SelectHosts("w", "r0", shuffled, 5))
 }
 
-func TestOrderPutsTheOwnZoneFirst(t *testing.T) {
-	set := SelectHosts("w", "", hostsOf(90), 5)
+func TestOrderForZoneOwnZoneFirst(t *testing.T) {
+	set := SelectHosts("w", "", makeHosts(90), 5)
 	zone := set[3].Zone
 	OrderForZone(set, zone, rand.New(rand.NewPCG(1, 1)))
 	must.Eq(t, zone, set[0].Zone)
@@ -67,8 +67,8 @@
 		{"self in another zone", h("b", "z2", "r1"), []Host{owner}, "b"},
 		{"another zone of the region", h("c", "z1", "r1"), []Host{owner, h("c", "z1", "r1"), h("d", "z2", "r1"), h("e", "z9", "r2")}, "d"},
 		{"another region", h("c", "z1", "r1"), []Host{owner, h("c", "z1", "r1"), h("e", "z9", "r2")}, "e"},
-		{"the own zone at last", owner, []Host{owner, h("c", "z1", "r1")}, "c"},
-		{"nobody", owner, []Host{owner}, ""},
+		{"the own zone as the last choice", owner, []Host{owner, h("c", "z1", "r1")}, "c"},
+		{"no other host", owner, []Host{owner}, ""},
 	}
 	for _, c := range cases {
 		got, ok := PickWitness(c.self, owner, c.live, rand.New(rand.NewPCG(1, 1)))
@@ -77,9 +77,9 @@
 	}
 }
 
-func TestNeighborsWatchEverybody(t *testing.T) {
+func TestNeighborsCoverAllHosts(t *testing.T) {
 	for _, n := range []int{2, 3, 7, 90, 300} {
-		hosts := hostsOf(n)
+		hosts := makeHosts(n)
 		watched := map[string]int{}
 		for _, h := range hosts {
 			out := Neighbors(h, hosts, DefaultFanout)
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -15,42 +15,45 @@
 	"github.com/heathkeel/heathkeel/once"
 )
 
-// DefaultForgetTimeout is how long a member that is gone or suspect stays in the table.
+// DefaultForgetTimeout is the time for which a member that is gone or suspect stays in the
+// table.
 const DefaultForgetTimeout = 10 * time.Minute
 
-// member is a record and what this host alone knows of it.
+// member is the record of a host and what only this host knows of it.
 type member struct {
 	Host
-	// heard is when the member itself was last heard from.
-	heard time.Duration
-	// downSince is when it stopped being live, valid unless it is live.
+	// lastContact is the time when the member itself was last heard from; 0 means never.
+	lastContact time.Duration
+	// downSince is the time when the member stopped being live; it has no meaning for a
+	// live one.
 	downSince time.Duration
-	// listed says that the platform's list shows it, or none was read yet.
-	listed bool
+	// inList means that the platform's list shows the member, or that no list was read yet.
+	inList bool
 }
 
-// Table is what one host knows of all hosts. It is pure and not safe for
-// concurrent use; times are durations since any fixed start.
+// Table holds what one host knows of all hosts. It does no input or output and is not safe
+// for concurrent use. Times are durations since any fixed start.
 type Table struct {
 	// Self is this host's own record.
 	Self Host
-	// ForgetTimeout is how long a member that is down is remembered; 0 means DefaultForget.
+	// ForgetTimeout is the time for which a member that is down is remembered; 0 means
+	// DefaultForgetTimeout.
 	ForgetTimeout time.Duration
-	// DirectContactTTL is how long after its own word a member is not suspected on
-	// hearsay; 0 means DefaultFresh.
+	// DirectContactTTL is the time after a message of a member itself in which another
+	// host's suspicion of it is not accepted; 0 means DefaultDirectContactTTL.
 	DirectContactTTL time.Duration
 
-	members map[once.Incarnation]*member
-	changed []once.Incarnation
-	accused []Host
-	digest  uint64
-	version uint64
+	members            map[once.Incarnation]*member
+	changed            []once.Incarnation
+	rejectedSuspicions []Host
+	digest             uint64
+	version            uint64
 }
 
-// DefaultDirectContactTTL is the time for which a member's own word outweighs hearsay.
+// DefaultDirectContactTTL is the default of Table.DirectContactTTL.
 const DefaultDirectContactTTL = time.Second
 
-// NewTable returns a table that knows only self.
+// NewTable returns a table that has only the record of self.
 func NewTable(self Host) *Table {
 	t := &Table{Self: self, members: make(map[once.Incarnation]*member)}
 	if t.Self.Seq == 0 {
@@ -60,15 +63,16 @@
 	return t
 }
 
-// Version rises whenever a record changes; it serves to rebuild what is derived.
+// Version increases whenever a record changes, so that users can recompute what they derive
+// from the table.
 func (t *Table) Version() uint64 { return t.version }
 
-// Digest is equal in two tables that hold the same records, with a probability
-// of error of 2^-64.
+// Digest returns a value that is equal for two tables with the same records; tables with
+// different records have equal digests with probability 2^-64.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// digestOf hashes what matters of a record; tables add these up by XOR. One that
-// is gone counts nothing, since tables forget it at different times.
+// digestOf hashes the identity and the state of a record; a table's digest is the XOR over
+// its records. A host that is gone has hash 0, because tables forget it at different times.
 func digestOf(h *Host) uint64 {
 	if h.Gone {
 		return 0
@@ -82,24 +86,24 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Update changes the host's own record under a new sequence number.
+// Update changes this host's own record and increases its sequence number.
 func (t *Table) Update(change func(*Host)) {
 	t.digest ^= digestOf(&t.Self)
 	change(&t.Self)
 	t.Self.Seq++
 	t.digest ^= digestOf(&t.Self)
 	t.version++
-	t.spread(t.Self.Incarnation)
+	t.markChanged(t.Self.Incarnation)
 }
 
-// spread notes that a record must be passed on.
-func (t *Table) spread(id once.Incarnation) {
+// markChanged notes that a record must be sent to peers.
+func (t *Table) markChanged(id once.Incarnation) {
 	if !slices.Contains(t.changed, id) {
 		t.changed = append(t.changed, id)
 	}
 }
 
-// TakeChanged returns the records to pass on and clears the note of them.
+// TakeChanged returns the records to send to peers and clears the list of them.
 func (t *Table) TakeChanged() []Host {
 	out := make([]Host, 0, len(t.changed))
 	for _, id := range t.changed {
@@ -113,26 +117,27 @@
 	return out
 }
 
-// TakeRejectedSuspicions returns suspicions that this host did not believe, to be told to the
-// suspects themselves, and clears the note of them.
+// TakeRejectedSuspicions returns the suspicions that this host did not accept, which must
+// be sent to the suspected members, and clears the list of them.
 func (t *Table) TakeRejectedSuspicions() []Host {
-	out := t.accused
-	t.accused = nil
+	out := t.rejectedSuspicions
+	t.rejectedSuspicions = nil
 	return out
 }
 
-// Merge takes records that another host passed on and reports whether any was news.
+// Merge merges records that another host passed on and reports whether any of them changed
+// the table.
 func (t *Table) Merge(now time.Duration, hosts []Host) bool {
-	news := false
+	changed := false
 	for i := range hosts {
 		if t.mergeOne(now, hosts[i]) {
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// mergeOne takes one record.
+// mergeOne merges one record and reports whether it changed the table.
 func (t *Table) mergeOne(now time.Duration, h Host) bool {
 	if h.Incarnation == t.Self.Incarnation {
 		return t.refute(h)
@@ -142,7 +147,7 @@
 		if h.Gone {
 			return false
 		}
-		m = &member{Host: h, downSince: now, listed: true}
+		m = &member{Host: h, downSince: now, inList: true}
 		m.Seq = 0
 		t.members[h.Incarnation] = m
 		t.digest ^= digestOf(&m.Host)
@@ -150,20 +155,23 @@
 	if !newer(&h, &m.Host) && m.Seq != 0 {
 		return false
 	}
-	if h.Suspect && h.Seq == m.Seq && m.heard > 0 && now-m.heard < t.fresh() {
-		// The member itself must hear of it, or nobody would ever refute it.
-		t.accused = append(t.accused, h)
+	if h.Suspect && h.Seq == m.Seq && m.lastContact > 0 && now-m.lastContact < t.directContactTTL() {
+		// The member itself must learn of the suspicion; otherwise nobody would ever refute
+		// it.
+		t.rejectedSuspicions = append(t.rejectedSuspicions, h)
 		return false
 	}
-	t.set(now, m, h)
+	t.replace(now, m, h)
 	return true
 }
 
-// fresh returns Fresh or its default.
-func (t *Table) fresh() time.Duration { return cmp.Or(t.DirectContactTTL, DefaultDirectContactTTL) }
+// directContactTTL returns DirectContactTTL or its default.
+func (t *Table) directContactTTL() time.Duration {
+	return cmp.Or(t.DirectContactTTL, DefaultDirectContactTTL)
+}
 
-// set replaces a member's record and notes that it must be passed on.
-func (t *Table) set(now time.Duration, m *member, h Host) {
+// replace replaces a member's record and notes that it must be sent to peers.
+func (t *Table) replace(now time.Duration, m *member, h Host) {
 	wasLive := m.Live()
 	t.digest ^= digestOf(&m.Host)
 	m.Host = h
@@ -172,10 +180,10 @@
 		m.downSince = now
 	}
 	t.version++
-	t.spread(m.Incarnation)
+	t.markChanged(m.Incarnation)
 }
 
-// refute answers a suspicion or a wrong end of this host by a higher sequence number.
+// refute answers a claim that this host is suspect or gone by a higher sequence number.
 func (t *Table) refute(h Host) bool {
 	if h.Seq < t.Self.Seq || t.Self.Gone || !(h.Suspect || h.Gone) {
 		return false
@@ -184,37 +192,39 @@
 	return true
 }
 
-// MergeDirect notes that a member itself was heard from with the given record.
+// MergeDirect merges a record that came from the member itself, notes the contact and
+// reports whether the table changed.
 func (t *Table) MergeDirect(now time.Duration, h Host) bool {
 	if h.Incarnation == t.Self.Incarnation {
 		return false
 	}
-	news := t.mergeOne(now, h)
+	changed := t.mergeOne(now, h)
 	if m := t.members[h.Incarnation]; m != nil {
-		m.heard = max(now, 1)
+		m.lastContact = max(now, 1)
 	}
-	if news {
-		t.replaceOthers(now, h)
+	if changed {
+		t.markOthersGone(now, h)
 	}
-	return news
+	return changed
 }
 
-// replaceOthers marks earlier incarnations at the same address as gone: a port
-// has one process at a time.
-func (t *Table) replaceOthers(now time.Duration, h Host) {
+// markOthersGone marks other incarnations at the same address as gone: a port belongs to
+// one process at a time.
+func (t *Table) markOthersGone(now time.Duration, h Host) {
 	for _, m := range t.members {
 		if m.Address != h.Address || m.Incarnation == h.Incarnation || m.Gone {
 			continue
 		}
-		// Of two at one address the one heard from last is there now.
+		// The incarnation heard from last is the one that runs at the address now.
 		old := m.Host
 		old.Gone = true
 		old.Seq++
-		t.set(now, m, old)
+		t.replace(now, m, old)
 	}
 }
 
-// MarkSuspect notes that a member gave no answer and reports whether that is news.
+// MarkSuspect marks a member that gave no answer as suspect and reports whether that is a
+// change.
 func (t *Table) MarkSuspect(now time.Duration, id once.Incarnation) bool {
 	m := t.members[id]
 	if m == nil || m.Suspect || m.Gone {
@@ -222,17 +232,18 @@
 	}
 	h := m.Host
 	h.Suspect = true
-	t.set(now, m, h)
+	t.replace(now, m, h)
 	return true
 }
 
-// ApplyList joins the platform's list: a member that the list does not show and
-// that is not heard from is forgotten after Forget, one that is not live either.
+// ApplyList applies a reading of the platform's list. It removes members that have been
+// down for longer than ForgetTimeout: those that are gone, and suspect ones that the list
+// does not show.
 func (t *Table) ApplyList(now time.Duration, names []string) {
 	for id, m := range t.members {
-		m.listed = slices.Contains(names, m.Name)
+		m.inList = slices.Contains(names, m.Name)
 		down := m.Gone || m.Suspect
-		if down && now-m.downSince > cmp.Or(t.ForgetTimeout, DefaultForgetTimeout) && (m.Gone || !m.listed) {
+		if down && now-m.downSince > cmp.Or(t.ForgetTimeout, DefaultForgetTimeout) && (m.Gone || !m.inList) {
 			t.digest ^= digestOf(&m.Host)
 			delete(t.members, id)
 			t.version++
@@ -240,7 +251,7 @@
 	}
 }
 
-// Find returns the record of an incarnation, this host's own included.
+// Find returns the record of an incarnation, which may be this host's own.
 func (t *Table) Find(id once.Incarnation) (Host, bool) {
 	if id == t.Self.Incarnation {
 		return t.Self, true
@@ -252,8 +263,8 @@
 	return m.Host, true
 }
 
-// Witnesses returns the hosts that may answer for a witness incarnation: itself
-// and those that took its records over, live ones first.
+// Witnesses returns the hosts that can answer for a witness incarnation: the witness itself
+// and those that took over its records, without those that are gone, suspect ones last.
 func (t *Table) Witnesses(id once.Incarnation) []Host {
 	var out []Host
 	for _, h := range t.Hosts() {
@@ -265,7 +276,7 @@
 	return out
 }
 
-// Hosts returns all records, this host's own included, sorted by incarnation.
+// Hosts returns all records, with this host's own, sorted by incarnation.
 func (t *Table) Hosts() []Host {
 	out := make([]Host, 0, len(t.members)+1)
 	out = append(out, t.Self)
@@ -276,7 +287,8 @@
 	return out
 }
 
-// Live returns the records of hosts that may be named, sorted by incarnation.
+// Live returns the records of the hosts that may be named in answers, sorted by
+// incarnation.
 func (t *Table) Live() []Host {
 	return slices.DeleteFunc(t.Hosts(), func(h Host) bool { return !h.Live() })
 }
