--- a/endpoint/checked.go
+++ b/endpoint/checked.go
@@ -6,20 +6,21 @@
 
 import "io"
 
-// CheckedStream passes the pieces of a stream on only if each belongs to the request,
-// follows the one before, and the last one says that it is.
+// CheckedStream passes on the pieces of a stream only if each belongs to the request and
+// follows the one before it, and if the last one is marked as the last.
 type CheckedStream struct {
-	// Stream is the source and ID the stream it must be.
+	// Stream is the source, and ID the ID of the expected stream.
 	Stream Stream
 	ID     string
-	// NextSeq is the number of the next piece.
+	// NextSeq is the expected number of the next piece.
 	NextSeq int
 
 	finished bool
 }
 
-// Next returns the next piece, io.EOF after a whole answer, ErrCrossed or
-// ErrOrder for a piece that does not belong, and ErrLost for an end without finish.
+// Next returns the next piece, io.EOF after a complete answer, ErrWrongStream for a piece
+// of another stream, ErrOutOfOrder for one with an unexpected number, and ErrLost for a
+// stream that ends without a finish reason.
 func (c *CheckedStream) Next() (Piece, error) {
 	p, err := c.Stream.Next()
 	switch {
@@ -39,7 +40,7 @@
 	return p, nil
 }
 
-// More reports whether another piece, or a part of one, is at hand.
+// More reports whether another piece, or a part of one, is buffered.
 func (c *CheckedStream) More() bool { return c.Stream.More() }
 
 // Close closes the source.
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -18,33 +18,34 @@
 	"github.com/heathkeel/heathkeel/internal/jsoncall"
 )
 
-// The paths and fields below are the whole wire format of engines; the stand-in
-// uses them too.
+// The paths and fields below are the whole wire format of engines. The fake engine in
+// internal/fake uses them too.
 const (
-	// PathCompletions takes requests in the customary completion format.
+	// PathCompletions accepts requests in the usual completion format.
 	PathCompletions = "/v1/completions"
-	// PathStreams is followed by a stream's ID: GET resumes, DELETE cancels.
+	// PathStreams is followed by the ID of a stream: GET resumes it, DELETE cancels it.
 	PathStreams = "/v1/streams/"
-	// PathLoad gives the report; the query field "after" numbers the first cache event.
+	// PathLoad returns the report; the query parameter "after" is the number of the first
+	// cache event to return.
 	PathLoad = "/load"
-	// PathOrders takes orders.
+	// PathOrders accepts orders.
 	PathOrders = "/orders"
-	// PathCache exports (GET) and imports (PUT) KV cache.
+	// PathCache exports (POST) and imports (PUT) KV cache.
 	PathCache = "/cache"
-	// HeaderRequestID carries the stream's ID.
+	// HeaderRequestID is the header with the ID of the stream.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderResume carries the number of the last piece received.
+	// HeaderResume is the header with the number of the last piece received.
 	HeaderResume = "Last-Event-ID"
 )
 
-// CompletionBody is a request in the customary completion format.
+// CompletionBody is a request in the usual completion format.
 type CompletionBody struct {
-	// Model, Prompt, MaxTokens and Stream are the customary fields.
+	// Model, Prompt, MaxTokens and Stream are the usual fields.
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens,omitempty"`
 	Stream    bool   `json:"stream,omitempty"`
-	// Adapter and Priority are extensions that engines honour.
+	// Adapter and Priority are extensions that engines support.
 	Adapter  string `json:"adapter,omitempty"`
 	Priority int    `json:"priority,omitempty"`
 }
@@ -53,9 +54,9 @@
 type Choice struct {
 	// Index is always 0.
 	Index int `json:"index"`
-	// Text is the token's text or the whole answer.
+	// Text is the text of the token, or the whole answer.
 	Text string `json:"text"`
-	// FinishReason is null until the end.
+	// FinishReason is null except at the end of the answer.
 	FinishReason *string `json:"finish_reason"`
 }
 
@@ -67,36 +68,38 @@
 	Object string `json:"object"`
 	// Model is the model that answers.
 	Model string `json:"model,omitempty"`
-	// Choices has one member.
+	// Choices has exactly one element.
 	Choices []Choice `json:"choices"`
 }
 
-// DoneData ends a stream.
+// DoneData is the data of the last event of a stream.
 const DoneData = "[DONE]"
 
-// maxLine is the longest line of a stream, in bytes; it bounds what one stream may hold.
-const maxLine = 64 << 10
+// maxLineBytes is the largest length of a line of a stream; it limits the memory of a
+// stream.
+const maxLineBytes = 64 << 10
 
-// Client speaks to one engine.
+// Client is the HTTP client of one engine.
 type Client struct {
-	// Base is the engine's address, such as "http://127.0.0.1:9000".
+	// Base is the base URL of the engine, such as "http://127.0.0.1:9000".
 	Base string
-	// HTTP does the calls; nil means http.DefaultClient.
+	// HTTP sends the requests; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// do sends a request; a failure to connect is ErrNotSent, any other ErrLost.
-func (c *Client) do(req *http.Request) (*http.Response, error) {
-	hc := c.HTTP
-	if hc == nil {
-		hc = http.DefaultClient
+// send sends a request. It returns ErrNotSent if it cannot connect, and ErrLost for any
+// other failure.
+func (c *Client) send(req *http.Request) (*http.Response, error) {
+	httpClient := c.HTTP
+	if httpClient == nil {
+		httpClient = http.DefaultClient
 	}
-	resp, err := hc.Do(req)
+	resp, err := httpClient.Do(req)
 	if err == nil {
 		return resp, nil
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return nil, ErrNotSent
 	}
 	return nil, ErrLost
@@ -117,7 +120,7 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderRequestID, call.ID)
-	return c.stream(req, call.ID)
+	return c.openStream(req, call.ID)
 }
 
 // Resume implements Engine.
@@ -127,12 +130,12 @@
 		return nil, err
 	}
 	req.Header.Set(HeaderResume, strconv.Itoa(from-1))
-	return c.stream(req, id)
+	return c.openStream(req, id)
 }
 
-// stream sends a request whose answer is a stream.
-func (c *Client) stream(req *http.Request, id string) (Stream, error) {
-	resp, err := c.do(req)
+// openStream sends a request whose answer is a stream.
+func (c *Client) openStream(req *http.Request, id string) (Stream, error) {
+	resp, err := c.send(req)
 	if err != nil {
 		return nil, err
 	}
@@ -150,40 +153,40 @@
 	return nil, err
 }
 
-// eventStream reads server-sent events.
+// eventStream reads a stream of server-sent events.
 type eventStream struct {
-	body io.ReadCloser
-	buf  *bufio.Reader
-	id   string
-	head []byte // how the data of an ordinary piece begins
-	long []byte // a line that is longer than the buffer
+	body     io.ReadCloser
+	buf      *bufio.Reader
+	id       string
+	prefix   []byte // first bytes of the data of each piece but the last
+	longLine []byte // buffer for lines longer than buf
 }
 
-// streamBuffer is the memory that a stream holds for reading, in bytes.
-const streamBuffer = 4 << 10
+// streamBufferSize is the size of the read buffer of a stream, in bytes.
+const streamBufferSize = 4 << 10
 
-// newEventStream returns the stream of a request.
+// newEventStream returns a stream that reads the answer to the request with an ID.
 func newEventStream(body io.ReadCloser, id string) *eventStream {
-	quoted, _ := json.Marshal(id)
+	quotedID, _ := json.Marshal(id)
 	return &eventStream{
-		body: body, buf: bufio.NewReaderSize(body, streamBuffer), id: id,
-		head: append(append([]byte(`{"id":`), quoted...), ','),
+		body: body, buf: bufio.NewReaderSize(body, streamBufferSize), id: id,
+		prefix: append(append([]byte(`{"id":`), quotedID...), ','),
 	}
 }
 
-// Parts of a stream's lines.
+// Parts of the lines of a stream.
 var (
-	idField   = []byte("id: ")
-	dataField = []byte("data: ")
-	doneData  = []byte(DoneData)
-	unended   = []byte(`"finish_reason":null`)
+	idField    = []byte("id: ")
+	dataField  = []byte("data: ")
+	doneData   = []byte(DoneData)
+	unfinished = []byte(`"finish_reason":null`)
 )
 
 // Next implements Stream.
 func (s *eventStream) Next() (Piece, error) {
 	seq := -1
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return Piece{}, ErrLost
 		}
@@ -202,49 +205,50 @@
 		if bytes.Equal(data, doneData) {
 			return Piece{}, io.EOF
 		}
-		return s.piece(seq, data)
+		return s.parsePiece(seq, data)
 	}
 }
 
-// piece reads the data of one event. An ordinary piece, of this stream and not
-// the last, is known by its begin and its null finish reason and not decoded: a
-// quote inside a text is escaped, so that no text can look like that field.
-func (s *eventStream) piece(seq int, data []byte) (Piece, error) {
-	if bytes.HasPrefix(data, s.head) && bytes.Contains(data, unended) {
+// parsePiece parses the data of one event. It does not decode a piece of this stream that
+// is not the last one: it recognizes such a piece by its first bytes and its null finish
+// reason. Quotes in a text are escaped, so that no text can look like that field.
+func (s *eventStream) parsePiece(seq int, data []byte) (Piece, error) {
+	if bytes.HasPrefix(data, s.prefix) && bytes.Contains(data, unfinished) {
 		return Piece{ID: s.id, Seq: seq, Data: data}, nil
 	}
 	return parseChunk(seq, data)
 }
 
-// line reads a line of at most maxLine bytes, without its end, valid until the next.
-func (s *eventStream) line() ([]byte, error) {
+// readLine returns a line of at most maxLineBytes without its line end. The line is valid
+// until the next call.
+func (s *eventStream) readLine() ([]byte, error) {
 	line, err := s.buf.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		s.long = s.long[:0]
-		for errors.Is(err, bufio.ErrBufferFull) && len(s.long) <= maxLine {
-			s.long = append(s.long, line...)
+		s.longLine = s.longLine[:0]
+		for errors.Is(err, bufio.ErrBufferFull) && len(s.longLine) <= maxLineBytes {
+			s.longLine = append(s.longLine, line...)
 			line, err = s.buf.ReadSlice('\n')
 		}
-		s.long = append(s.long, line...)
-		line = s.long
+		s.longLine = append(s.longLine, line...)
+		line = s.longLine
 	}
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// More implements Stream. The empty line that ends an event does not count.
+// More implements Stream. It ignores the empty line that ends an event.
 func (s *eventStream) More() bool {
 	b, _ := s.buf.Peek(s.buf.Buffered())
 	return len(bytes.Trim(b, "\r\n")) > 0
 }
 
-// parseChunk reads the data of one event.
+// parseChunk decodes the data of one event.
 func parseChunk(seq int, data []byte) (Piece, error) {
-	var ch Chunk
-	if err := json.Unmarshal(data, &ch); err != nil || len(ch.Choices) != 1 {
+	var chunk Chunk
+	if err := json.Unmarshal(data, &chunk); err != nil || len(chunk.Choices) != 1 {
 		return Piece{}, ErrOutOfOrder
 	}
-	p := Piece{ID: ch.ID, Seq: seq, Data: data}
-	if f := ch.Choices[0].FinishReason; f != nil {
+	p := Piece{ID: chunk.ID, Seq: seq, Data: data}
+	if f := chunk.Choices[0].FinishReason; f != nil {
 		p.Finish = *f
 	}
 	return p, nil
@@ -253,8 +257,8 @@
 // Close implements Stream.
 func (s *eventStream) Close() error { return s.body.Close() }
 
-// AppendEvent appends p as a server-sent event to b, as the engine sent it if it
-// did.
+// AppendEvent appends p to b as a server-sent event, with the engine's own data if p has
+// it.
 func AppendEvent(b []byte, p Piece, model string) []byte {
 	data := p.Data
 	if data == nil {
@@ -268,50 +272,50 @@
 	return append(b, "\n\n"...)
 }
 
-// encodeChunk gives the JSON of one piece.
+// encodeChunk returns the JSON of one piece.
 func encodeChunk(id, text, finish, model string) []byte {
-	ch := Chunk{ID: id, Object: "text_completion", Model: model, Choices: []Choice{{Text: text}}}
+	chunk := Chunk{ID: id, Object: "text_completion", Model: model, Choices: []Choice{{Text: text}}}
 	if finish != "" {
-		ch.Choices[0].FinishReason = &finish
+		chunk.Choices[0].FinishReason = &finish
 	}
-	data, _ := json.Marshal(ch)
+	data, _ := json.Marshal(chunk)
 	return data
 }
 
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return c.plain(ctx, http.MethodDelete, PathStreams+id, nil, nil)
+	return c.callJSON(ctx, http.MethodDelete, PathStreams+id, nil, nil)
 }
 
 // Report implements Engine.
 func (c *Client) Report(ctx context.Context, after uint64) (Report, error) {
 	var r Report
-	return r, c.plain(ctx, http.MethodGet, PathLoad+"?after="+strconv.FormatUint(after, 10), nil, &r)
+	return r, c.callJSON(ctx, http.MethodGet, PathLoad+"?after="+strconv.FormatUint(after, 10), nil, &r)
 }
 
 // Order implements Engine.
 func (c *Client) Order(ctx context.Context, o Order) error {
-	return c.plain(ctx, http.MethodPost, PathOrders, o, nil)
+	return c.callJSON(ctx, http.MethodPost, PathOrders, o, nil)
 }
 
 // Export implements Engine.
 func (c *Client) Export(ctx context.Context, blocks []uint64) ([]uint64, error) {
 	var out []uint64
-	return out, c.plain(ctx, http.MethodPost, PathCache, blocks, &out)
+	return out, c.callJSON(ctx, http.MethodPost, PathCache, blocks, &out)
 }
 
 // Import implements Engine.
 func (c *Client) Import(ctx context.Context, blocks []uint64) error {
-	return c.plain(ctx, http.MethodPut, PathCache, blocks, nil)
+	return c.callJSON(ctx, http.MethodPut, PathCache, blocks, nil)
 }
 
-// plain sends a request with JSON in and out.
-func (c *Client) plain(ctx context.Context, method, path string, in, out any) error {
+// callJSON sends a request with an optional JSON body and decodes the JSON answer.
+func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	req, err := jsoncall.Request(ctx, method, c.Base+path, in)
 	if err != nil {
 		return err
 	}
-	resp, err := c.do(req)
+	resp, err := c.send(req)
 	if err != nil {
 		return err
 	}
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -12,49 +12,50 @@
 	"net/http"
 )
 
-// Service is a plain service behind an address.
+// Service is a plain service at an address.
 type Service struct {
-	// Base is the service's address, such as "http://127.0.0.1:9100".
+	// Base is the base URL of the service, such as "http://127.0.0.1:9100".
 	Base string
-	// Transport does the calls; it must not reuse connections, because a
-	// transport that does may send a request twice without telling.
+	// Transport sends the requests. It must not reuse connections: a transport that does
+	// may silently send a request twice.
 	Transport http.RoundTripper
 }
 
-// NewServiceTransport returns a transport that opens a connection for each call.
+// NewServiceTransport returns a transport that opens a new connection for each request.
 func NewServiceTransport() *http.Transport {
 	return &http.Transport{DisableKeepAlives: true, DisableCompression: true, Proxy: nil}
 }
 
-// hopHeaders are the headers that concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that apply to one connection only (RFC 9110, section
+// 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// DropHopHeaders removes the headers that concern one connection only.
+// DropHopHeaders removes the headers that apply to one connection only.
 func DropHopHeaders(h http.Header) {
 	for _, name := range h.Values("Connection") {
 		h.Del(name)
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
 // PlainCall is a call to a plain service.
 type PlainCall struct {
-	// Method and Path are passed on; Path includes the query.
+	// Method and Path are forwarded; Path includes the query.
 	Method, Path string
-	// Header is passed on without hop-by-hop headers; it is not changed.
+	// Header is forwarded without hop-by-hop headers; it is not modified.
 	Header http.Header
-	// Body is the content, of the given length in bytes, or -1 if not known.
+	// Body is the content of Length bytes; a Length of -1 means that it is unknown.
 	Body   io.Reader
 	Length int64
 }
 
-// Send sends the call: ErrNotSent means that no byte went out, ErrLost that it
-// may have run. The body of the response must be closed.
+// Send sends the call. ErrNotSent means that no byte was sent, ErrLost that the call may
+// have run. The caller must close the body of the response.
 func (s *Service) Send(ctx context.Context, call PlainCall) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, s.Base+call.Path, call.Body)
 	if err != nil {
@@ -68,14 +69,14 @@
 		DropHopHeaders(resp.Header)
 		return resp, nil
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return nil, ErrNotSent
 	}
 	return nil, ErrLost
 }
 
-// Report returns the service's load report.
+// Report returns the load report of the service.
 func (s *Service) Report(ctx context.Context) (Report, error) {
 	c := Client{Base: s.Base, HTTP: &http.Client{Transport: s.Transport}}
 	return c.Report(ctx, 0)
