--- a/placer/demand.go
+++ b/placer/demand.go
@@ -4,55 +4,57 @@
 
 package placer
 
-// Figures of demand. Engines that no placement needs are given to models that are
-// short, slowly, and taken back more slowly still, so that lagged reports do not
+// Constants of demand. A model whose engines are overloaded slowly gets engines that no
+// placement needs. They are taken back more slowly still, so that reports that lag do not
 // make models flap.
 const (
-	// highLoad and lowLoad are the busy requests over slots of a model's engines
-	// above which it is short and below which it has too many.
+	// highLoad and lowLoad are thresholds of the load of a model's engines, which is the
+	// number of requests running or waiting there divided by the number of slots. Above
+	// highLoad a model has too few engines, below lowLoad too many.
 	highLoad = 0.9
 	lowLoad  = 0.4
-	// highSweeps and lowSweeps are the sweeps in a row that it must last.
-	highSweeps = 5
-	lowSweeps  = 60
+	// highLoadSweeps and lowLoadSweeps are the numbers of sweeps in a row for which a load
+	// must last before the number of engines changes.
+	highLoadSweeps = 5
+	lowLoadSweeps  = 60
 )
 
-// demand follows how busy one model of a zone is.
-type demand struct {
-	extra     int
-	high, low int
+// modelDemand tracks the load of one model of a zone and the extra replicas that it gets.
+type modelDemand struct {
+	extraReplicas         int
+	highSweeps, lowSweeps int
 }
 
-// note takes the load of one sweep.
-func (d *demand) note(load float64) {
-	d.high++
-	d.low++
+// noteLoad updates the demand with the load of one sweep.
+func (d *modelDemand) noteLoad(load float64) {
+	d.highSweeps++
+	d.lowSweeps++
 	if load < highLoad {
-		d.high = 0
+		d.highSweeps = 0
 	}
 	if load > lowLoad {
-		d.low = 0
+		d.lowSweeps = 0
 	}
-	if d.high >= highSweeps {
-		d.extra++
-		d.high = 0
+	if d.highSweeps >= highLoadSweeps {
+		d.extraReplicas++
+		d.highSweeps = 0
 	}
-	if d.low >= lowSweeps {
-		d.extra = max(0, d.extra-1)
-		d.low = 0
+	if d.lowSweeps >= lowLoadSweeps {
+		d.extraReplicas = max(0, d.extraReplicas-1)
+		d.lowSweeps = 0
 	}
 }
 
-// demands follows all models of a zone.
-type demands map[string]*demand
+// zoneDemand holds the demand of each placement of a zone, by its name.
+type zoneDemand map[string]*modelDemand
 
-// note takes the reports of one sweep.
-func (ds demands) note(wishes []DesiredPlacement, engines []Engine) {
-	for i := range wishes {
-		w := &wishes[i]
+// noteReports updates the demand of all placements with the reports of one sweep.
+func (ds zoneDemand) noteReports(placements []DesiredPlacement, engines []Engine) {
+	for i := range placements {
+		w := &placements[i]
 		busy, slots := 0, 0
 		for _, e := range engines {
-			if e.Reachable && same(e.Loaded, w.holding()) && e.Role != RoleDrain {
+			if e.Reachable && sameModel(e.Loaded, w.modelSpec()) && e.Role != RoleDrain {
 				busy += e.Busy
 				slots += e.Slots
 			}
@@ -62,29 +64,31 @@
 		}
 		d := ds[w.Name]
 		if d == nil {
-			d = &demand{}
+			d = &modelDemand{}
 			ds[w.Name] = d
 		}
-		d.note(float64(busy) / float64(slots))
-		d.extra = min(d.extra, len(engines))
+		d.noteLoad(float64(busy) / float64(slots))
+		d.extraReplicas = min(d.extraReplicas, len(engines))
 	}
 }
 
-// extraRank comes after the ranks of all declared replicas.
-const extraRank = 1000
+// extraRankOffset is added to the ranks of extra replicas. It is larger than the rank of
+// any declared replica.
+const extraRankOffset = 1000
 
-// extras returns wishes for what demand adds to the declared replicas. They come
-// last, so that they get only engines that no placement needs.
-func (ds demands) extras(wishes []DesiredPlacement) []DesiredPlacement {
+// extraPlacements returns placements for the extra replicas that demand adds to the
+// declared ones. They have the lowest urgency, so that they get only engines that no
+// declared placement needs.
+func (ds zoneDemand) extraPlacements(placements []DesiredPlacement) []DesiredPlacement {
 	var out []DesiredPlacement
-	for _, w := range wishes {
+	for _, w := range placements {
 		d := ds[w.Name]
-		if d == nil || d.extra == 0 || w.Replicas == 0 {
+		if d == nil || d.extraReplicas == 0 || w.Replicas == 0 {
 			continue
 		}
 		w.Name += " (demand)"
-		w.Replicas = d.extra
-		w.Rank += extraRank
+		w.Replicas = d.extraReplicas
+		w.Rank += extraRankOffset
 		out = append(out, w)
 	}
 	return out
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -24,90 +24,91 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// bay is one zone with engines, placers and a check that no model loses its last
-// serving engine.
-type bay struct {
-	t       *testing.T
-	ctx     context.Context
-	kv      *fake.KV
-	store   *fake.WeightStore
-	engines map[string]*fake.Engine
-	net     fake.Transport
-	snap    atomic.Pointer[settings.Snapshot]
-	lost    atomic.Int64 // answers of orders still to be lost
-	n       int
-	placers []*Placer
-	stops   []context.CancelFunc
+// testZone is a zone with engines and placers. Its waitForVersion checks that the model
+// never loses its last serving engine.
+type testZone struct {
+	t           *testing.T
+	ctx         context.Context
+	kv          *fake.KV
+	store       *fake.WeightStore
+	engines     map[string]*fake.Engine
+	net         fake.Transport
+	snap        atomic.Pointer[settings.Snapshot]
+	loseAnswers atomic.Int64 // number of answers to orders that will be lost
+	placerCount int
+	placers     []*Placer
+	cancels     []context.CancelFunc
 }
 
-// newBay starts n engines that all hold version 1, or nothing.
-func newBay(t *testing.T, ctx context.Context, n int, held, fenced bool) *bay {
-	b := &bay{t: t, ctx: ctx, kv: &fake.KV{}, store: &fake.WeightStore{LoadTime: 3 * time.Second}, engines: map[string]*fake.Engine{}, net: fake.Transport{}}
+// newTestZone starts n engines, which all hold version 1 if held is set and nothing
+// otherwise.
+func newTestZone(t *testing.T, ctx context.Context, n int, held, fenced bool) *testZone {
+	z := &testZone{t: t, ctx: ctx, kv: &fake.KV{}, store: &fake.WeightStore{LoadTime: 3 * time.Second}, engines: map[string]*fake.Engine{}, net: fake.Transport{}}
 	for i := range n {
 		name := fmt.Sprintf("e%02d", i)
-		e := &fake.Engine{Core: fake.EngineCore{Slots: 4, PrefillPerStep: 512, CacheBlocks: 10}, StepTime: 5 * time.Millisecond, Store: b.store, Unfenced: !fenced}
+		e := &fake.Engine{Core: fake.EngineCore{Slots: 4, PrefillPerStep: 512, CacheBlocks: 10}, StepTime: 5 * time.Millisecond, Store: z.store, Unfenced: !fenced}
 		if held {
-			e.Hold(*holds("m", "1"))
+			e.Hold(*spec("m", "1"))
 		}
-		b.engines[name] = e
-		b.net[name] = e.Handler()
+		z.engines[name] = e
+		z.net[name] = e.Handler()
 	}
-	b.declare("1", n, fenced)
-	return b
+	z.setPlacement("1", n, fenced)
+	return z
 }
 
-// declare puts a placement of one model in force.
-func (b *bay) declare(version string, replicas int, fenced bool) {
+// setPlacement puts settings with a placement of one model in force.
+func (z *testZone) setPlacement(version string, replicas int, fenced bool) {
 	text := fmt.Sprintf("models: {m: {}}\nplacements: {m: {model: m, version: %q, replicas: %d}}\nendpoints:\n", version, replicas)
 	i := 0
-	for name := range b.engines {
+	for name := range z.engines {
 		i++
 		text += fmt.Sprintf("  %s: {address: \"10.0.0.1:%d\", zone: z, fenced: %v}\n", name, i, fenced)
 	}
 	p := settings.Parse([]settings.File{{Name: "t.yaml", Data: []byte(text)}})
-	must.Len(b.t, 0, p.Faults, must.Sprint(p.Faults))
-	b.snap.Store(settings.NewSnapshot(1, p.Declaration))
+	must.Len(z.t, 0, p.Faults, must.Sprint(p.Faults))
+	z.snap.Store(settings.NewSnapshot(1, p.Declaration))
 }
 
-// lossy loses the answers of orders.
-type lossy struct {
+// lossyEngine is an engine that loses the answers to some orders.
+type lossyEngine struct {
 	endpoint.Engine
-	b *bay
+	zone *testZone
 }
 
-func (l lossy) Order(ctx context.Context, o endpoint.Order) error {
+func (l lossyEngine) Order(ctx context.Context, o endpoint.Order) error {
 	err := l.Engine.Order(ctx, o)
-	if l.b.lost.Add(-1) >= 0 {
+	if l.zone.loseAnswers.Add(-1) >= 0 {
 		return errors.New("answer lost")
 	}
 	return err
 }
 
-// reach gives the way to an engine.
-func (b *bay) reach(e settings.Endpoint) endpoint.Engine {
-	return lossy{&endpoint.Client{Base: "http://" + e.Name, HTTP: &http.Client{Transport: b.net}}, b}
+// engine returns the connection to an engine.
+func (z *testZone) engine(e settings.Endpoint) endpoint.Engine {
+	return lossyEngine{&endpoint.Client{Base: "http://" + e.Name, HTTP: &http.Client{Transport: z.net}}, z}
 }
 
-// add starts a placer with a key-value service of its own view.
-func (b *bay) add(kv keyval.KV) *Placer {
-	b.n++
+// addPlacer starts a placer that uses the given key-value service.
+func (z *testZone) addPlacer(kv keyval.KV) *Placer {
+	z.placerCount++
 	p := &Placer{
 		Clock: clock.NewSteady(),
-		Name:  fmt.Sprint("p", b.n), Zone: "z", KV: kv, Weights: b.store, Settings: b.snap.Load,
-		Engine: b.reach, Log: logr.Discard(),
+		Name:  fmt.Sprint("p", z.placerCount), Zone: "z", KV: kv, Weights: z.store, Settings: z.snap.Load,
+		Engine: z.engine, Log: logr.Discard(),
 	}
-	ctx, cancel := context.WithCancel(b.ctx)
+	ctx, cancel := context.WithCancel(z.ctx)
 	go p.Run(ctx)
-	b.placers = append(b.placers, p)
-	b.stops = append(b.stops, cancel)
+	z.placers = append(z.placers, p)
+	z.cancels = append(z.cancels, cancel)
 	return p
 }
 
-// serving counts the engines that serve a version; with an empty one, any.
-func (b *bay) serving(version string) int {
+// countServing counts the engines that serve a version, or any version if it is empty.
+func (z *testZone) countServing(version string) int {
 	n := 0
-	for name := range b.engines {
-		rep, err := b.reach(settings.Endpoint{Name: name}).Report(b.ctx, noEvents)
+	for name := range z.engines {
+		rep, err := z.engine(settings.Endpoint{Name: name}).Report(z.ctx, noCacheEvents)
 		if err == nil && rep.Loaded != nil && rep.Role != RoleDrain && (version == "" || rep.Loaded.Version == version) {
 			n++
 		}
@@ -115,32 +116,32 @@
 	return n
 }
 
-// until waits until all engines serve a version, with one serving at all times,
-// and returns how long it took.
-func (b *bay) until(version string) time.Duration {
+// waitForVersion waits until all engines serve a version and returns how long that took. It
+// fails the test if at some time no engine serves any version.
+func (z *testZone) waitForVersion(version string) time.Duration {
 	start := time.Now()
-	had := b.serving("") > 0
+	had := z.countServing("") > 0
 	for range 3600 {
-		if n := b.serving(""); had && n == 0 {
-			b.t.Fatal("no engine serves the model")
+		if n := z.countServing(""); had && n == 0 {
+			z.t.Fatal("no engine serves the model")
 		} else if n > 0 {
 			had = true
 		}
-		if b.serving(version) == len(b.engines) {
+		if z.countServing(version) == len(z.engines) {
 			return time.Since(start)
 		}
 		time.Sleep(time.Second)
 	}
-	b.t.Fatalf("only %d of %d engines ever served version %s; loads %d", b.serving(version), len(b.engines), version, b.store.Loads())
+	z.t.Fatalf("only %d of %d engines ever served version %s; loads %d", z.countServing(version), len(z.engines), version, z.store.Loads())
 	return 0
 }
 
-// inBay runs a test on injected time.
-func inBay(t *testing.T, engines int, held, fenced bool, run func(b *bay)) {
+// runInZone runs a test in a new zone on fake time.
+func runInZone(t *testing.T, engines int, held, fenced bool, run func(b *testZone)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		run(newBay(t, ctx, engines, held, fenced))
+		run(newTestZone(t, ctx, engines, held, fenced))
 	})
 }
 
@@ -149,107 +150,107 @@
 	cases := []struct {
 		name     string
 		maxLoads int
-		run      func(b *bay) time.Duration
+		run      func(z *testZone) time.Duration
 	}{
-		{"empty engines are filled", engines, func(b *bay) time.Duration {
-			for _, e := range b.engines {
-				e.Hold(*holds("other", "9"))
+		{"empty engines are filled", engines, func(z *testZone) time.Duration {
+			for _, e := range z.engines {
+				e.Hold(*spec("other", "9"))
 			}
-			b.add(b.kv)
-			return b.until("1")
+			z.addPlacer(z.kv)
+			return z.waitForVersion("1")
 		}},
-		{"a new version rolls out", engines, func(b *bay) time.Duration {
-			b.add(b.kv)
-			b.add(b.kv)
-			b.declare("2", engines, true)
-			return b.until("2")
+		{"a new version rolls out", engines, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
+			return z.waitForVersion("2")
 		}},
-		{"renewal answers lost", engines, func(b *bay) time.Duration {
-			b.add(b.kv)
+		{"renewal answers lost", engines, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
 			time.Sleep(20 * time.Second)
-			b.kv.SetFaults(fake.KVFaults{LoseAnswer: 4})
-			b.declare("2", engines, true)
-			return b.until("2")
+			z.kv.SetFaults(fake.KVFaults{LoseAnswer: 4})
+			z.setPlacement("2", engines, true)
+			return z.waitForVersion("2")
 		}},
-		{"claim answer lost", engines, func(b *bay) time.Duration {
-			b.kv.SetFaults(fake.KVFaults{LoseAnswer: 2})
-			b.add(b.kv)
-			b.declare("2", engines, true)
-			return b.until("2")
+		{"claim answer lost", engines, func(z *testZone) time.Duration {
+			z.kv.SetFaults(fake.KVFaults{LoseAnswer: 2})
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
+			return z.waitForVersion("2")
 		}},
-		{"KV down for an hour", engines, func(b *bay) time.Duration {
-			b.add(b.kv)
+		{"KV down for an hour", engines, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
 			time.Sleep(time.Minute)
-			b.kv.SetFaults(fake.KVFaults{Down: true})
+			z.kv.SetFaults(fake.KVFaults{Down: true})
 			time.Sleep(time.Minute)
-			b.declare("2", engines, true)
+			z.setPlacement("2", engines, true)
 			time.Sleep(time.Hour)
-			must.Eq(b.t, engines, b.serving("1"))
-			must.Zero(b.t, b.store.Loads())
-			b.kv.SetFaults(fake.KVFaults{})
-			return b.until("2")
+			must.Eq(z.t, engines, z.countServing("1"))
+			must.Zero(z.t, z.store.Loads())
+			z.kv.SetFaults(fake.KVFaults{})
+			return z.waitForVersion("2")
 		}},
-		{"order taken and answer lost", engines, func(b *bay) time.Duration {
-			b.lost.Store(5)
-			b.add(b.kv)
-			b.declare("2", engines, true)
-			return b.until("2")
+		{"order taken and answer lost", engines, func(z *testZone) time.Duration {
+			z.loseAnswers.Store(5)
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
+			return z.waitForVersion("2")
 		}},
-		{"weight store refuses for two minutes", engines + 16, func(b *bay) time.Duration {
-			b.add(b.kv)
-			b.store.SetFaults(fake.WeightFaults{Corrupt: true})
-			b.declare("2", engines, true)
+		{"weight store refuses for two minutes", engines + 16, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
+			z.store.SetFaults(fake.WeightFaults{Corrupt: true})
+			z.setPlacement("2", engines, true)
 			time.Sleep(2 * time.Minute)
-			must.Positive(b.t, b.serving("1"))
-			b.store.SetFaults(fake.WeightFaults{})
-			return b.until("2")
+			must.Positive(z.t, z.countServing("1"))
+			z.store.SetFaults(fake.WeightFaults{})
+			return z.waitForVersion("2")
 		}},
-		{"weight store ten times slower", engines, func(b *bay) time.Duration {
-			b.store.SetFaults(fake.WeightFaults{SlowBy: 10})
-			b.add(b.kv)
-			b.declare("2", engines, true)
-			return b.until("2")
+		{"weight store ten times slower", engines, func(z *testZone) time.Duration {
+			z.store.SetFaults(fake.WeightFaults{SlowBy: 10})
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
+			return z.waitForVersion("2")
 		}},
-		{"engine restarts while it loads", engines + 1, func(b *bay) time.Duration {
-			b.add(b.kv)
-			b.declare("2", engines, true)
-			for b.store.Loads() == 0 {
+		{"engine restarts while it loads", engines + 1, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
+			for z.store.Loads() == 0 {
 				time.Sleep(time.Second)
 			}
-			for _, e := range b.engines {
+			for _, e := range z.engines {
 				e.Restart()
 			}
-			return b.until("2")
+			return z.waitForVersion("2")
 		}},
-		{"every host replaced one after the other", engines, func(b *bay) time.Duration {
-			b.add(b.kv)
-			b.declare("2", engines, true)
+		{"every host replaced one after the other", engines, func(z *testZone) time.Duration {
+			z.addPlacer(z.kv)
+			z.setPlacement("2", engines, true)
 			for i := range 5 {
 				time.Sleep(20 * time.Second)
-				b.stops[i]()
-				b.add(b.kv)
+				z.cancels[i]()
+				z.addPlacer(z.kv)
 			}
-			return b.until("2")
+			return z.waitForVersion("2")
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inBay(t, engines, true, true, func(b *bay) {
-				took := c.run(b)
-				must.LessEq(t, c.maxLoads, b.store.Loads())
-				t.Logf("agreed %v after the last event; %d loads", took, b.store.Loads())
+			runInZone(t, engines, true, true, func(z *testZone) {
+				took := c.run(z)
+				must.LessEq(t, c.maxLoads, z.store.Loads())
+				t.Logf("agreed %v after the last event; %d loads", took, z.store.Loads())
 			})
 		})
 	}
 }
 
-// pausable lets a test hold up all calls of one host.
-type pausable struct {
+// pausableKV lets a test block all lease renewals of one host.
+type pausableKV struct {
 	keyval.KV
 	paused atomic.Bool
 }
 
-func (p *pausable) Renew(ctx context.Context, l keyval.Lease) error {
+func (p *pausableKV) Renew(ctx context.Context, l keyval.Lease) error {
 	if p.paused.Load() {
 		<-ctx.Done()
 		return keyval.ErrUnavailable
@@ -257,12 +258,12 @@
 	return p.KV.Renew(ctx, l)
 }
 
-func TestHolderPausedPastItsLease(t *testing.T) {
+func TestPausedLeaseHolder(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		t.Run(fmt.Sprint("fenced=", fenced), func(t *testing.T) {
-			inBay(t, 2, true, fenced, func(b *bay) {
-				kv := &pausable{KV: b.kv}
-				old := b.add(kv)
+			runInZone(t, 2, true, fenced, func(z *testZone) {
+				kv := &pausableKV{KV: z.kv}
+				old := z.addPlacer(kv)
 				time.Sleep(40 * time.Second)
 				must.True(t, old.Counts().Held)
 				stale := old.Counts().Token
@@ -270,27 +271,28 @@
 				before := old.lease
 				old.mu.Unlock()
 				kv.paused.Store(true)
-				next := b.add(b.kv)
+				next := z.addPlacer(z.kv)
 				time.Sleep(60 * time.Second)
 				must.True(t, next.Counts().Held)
 				must.Greater(t, stale, next.Counts().Token)
 				must.False(t, old.Counts().Held)
-				// Going on, the old holder would order the zone as it saw it. Its own
-				// clock forbids that; the engine that checks refuses it besides.
+				// If it resumed, the old holder would order the engines by its stale view
+				// of the zone. Its own clock forbids that, and an engine that checks tokens
+				// refuses the order, too.
 				must.False(t, before.MayOrder(fenced))
-				b.declare("2", 2, fenced)
-				b.until("2")
+				z.setPlacement("2", 2, fenced)
+				z.waitForVersion("2")
 				if fenced {
-					err := b.reach(settings.Endpoint{Name: "e00"}).Order(b.ctx, endpoint.Order{Token: stale, Want: holds("m", "1"), Role: "both"})
+					err := z.engine(settings.Endpoint{Name: "e00"}).Order(z.ctx, endpoint.Order{Token: stale, Want: spec("m", "1"), Role: "both"})
 					must.ErrorIs(t, err, endpoint.ErrStaleToken)
-					must.Eq(t, 2, b.serving("2"))
+					must.Eq(t, 2, z.countServing("2"))
 				}
 			})
 		})
 	}
 }
 
-func TestGuardTimeOfUnfencedEngines(t *testing.T) {
+func TestUnfencedEngineGuardTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: clock.NewSteady()}
 		must.NoError(t, l.RenewOrAcquire(t.Context()))
@@ -309,39 +311,39 @@
 	})
 }
 
-// TestHolderSuspendedPastItsLease checks that a holder whose host was suspended knows that its lease may be over, although no time has
-// passed for its process.
-func TestHolderSuspendedPastItsLease(t *testing.T) {
+// TestSuspendedLeaseHolder checks that a holder whose host was suspended takes its lease as
+// expired, although the process's own clock did not advance during the suspension.
+func TestSuspendedLeaseHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		c := clock.NewSteady().Skewed(func() time.Duration { return asleep })
+		var suspended time.Duration
+		c := clock.NewSteady().Skewed(func() time.Duration { return suspended })
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: c}
 		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(DefaultTTL - time.Second)
 		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(time.Second)
 		must.True(t, l.MayOrder(false))
-		asleep = DefaultTTL / 2
+		suspended = DefaultTTL / 2
 		must.True(t, l.Held())
 		must.False(t, l.MayOrder(false))
-		asleep = DefaultTTL
+		suspended = DefaultTTL
 		must.False(t, l.Held())
 		must.False(t, l.MayOrder(true))
 	})
 }
 
-func TestSettingsChangeReachesEighteenEngines(t *testing.T) {
-	inBay(t, 18, true, true, func(b *bay) {
-		b.add(b.kv)
-		b.add(b.kv)
+func TestRolloutToEighteenEngines(t *testing.T) {
+	runInZone(t, 18, true, true, func(z *testZone) {
+		z.addPlacer(z.kv)
+		z.addPlacer(z.kv)
 		time.Sleep(time.Minute)
-		before := b.kv.Calls()
+		before := z.kv.Calls()
 		time.Sleep(time.Minute)
-		after := b.kv.Calls()
+		after := z.kv.Calls()
 		t.Logf("leases of one zone: %.2f writes/s, %.2f reads/s", float64(after.Writes-before.Writes)/60, float64(after.Reads-before.Reads)/60)
-		b.declare("2", 18, true)
-		took := b.until("2")
-		t.Logf("18 engines of one zone agree %v after the change; loads of 3 s, two at a time; %d loads", took, b.store.Loads())
-		must.Eq(t, 18, b.store.Loads())
+		z.setPlacement("2", 18, true)
+		took := z.waitForVersion("2")
+		t.Logf("18 engines of one zone agree %v after the change; loads of 3 s, two at a time; %d loads", took, z.store.Loads())
+		must.Eq(t, 18, z.store.Loads())
 	})
 }
--- a/placer/guard.go
+++ b/placer/guard.go
@@ -6,19 +6,20 @@
 
 import "time"
 
-// Engines that do not check the fencing token obey whoever speaks last. For them
-// the holder acts only in the early part of its lease, and a new holder waits a
-// guard time first. What remains possible is said in docs/OPERATIONS.md: an
-// order that the network holds back for longer than the guard time.
+// Engines that do not check the fencing token obey the last order that they receive,
+// whoever sent it. For them the holder sends orders only in the first part of its lease,
+// and a new holder first waits for a guard time. One fault remains possible, as
+// docs/OPERATIONS.md says: an order that the network delays for longer than the guard time.
 
-// earlyPart is the part of a lease's time in which unfenced engines are ordered.
-const earlyPart = 1.0 / 2
+// unfencedShare is the first part of a lease's TTL, as a share, in which unfenced engines
+// may be ordered.
+const unfencedShare = 1.0 / 2
 
-// guardTimes is the number of lease times that a new holder waits before it
-// orders an unfenced engine.
-const guardTimes = 1
+// guardTTLs is the time that a new holder waits before it orders an unfenced engine, in
+// TTLs of the lease.
+const guardTTLs = 1
 
-// MayOrder reports whether the holder may order an engine now.
+// MayOrder reports whether the holder may send an order to an engine now.
 func (l *Lease) MayOrder(fenced bool) bool {
 	if !l.Held() {
 		return false
@@ -27,6 +28,6 @@
 		return true
 	}
 	now := l.Clock.Now()
-	early := now-l.renewed < time.Duration(earlyPart*float64(l.ttl()))
-	return early && now-l.since >= guardTimes*l.ttl()
+	early := now-l.renewed < time.Duration(unfencedShare*float64(l.ttl()))
+	return early && now-l.acquired >= guardTTLs*l.ttl()
 }
--- a/placer/lease.go
+++ b/placer/lease.go
@@ -13,33 +13,35 @@
 	"github.com/heathkeel/heathkeel/keyval"
 )
 
-// Timing of leases.
+// Times of leases.
 const (
-	// DefaultTTL is the time after which a lease lapses without a renewal.
+	// DefaultTTL is the time after which a lease expires without a renewal.
 	DefaultTTL = 15 * time.Second
-	// renewals is the number of renewals in a TTL.
-	renewals = 3
+	// renewalsPerTTL is the number of renewals in one TTL.
+	renewalsPerTTL = 3
 )
 
-// ShardKeyPrefix is followed by the zone.
+// ShardKeyPrefix is the prefix of the key of a shard; the name of the zone follows.
 const ShardKeyPrefix = "placement/"
 
-// Lease is one host's claim on a shard. Its fields are exported for read-outs.
+// Lease is one host's lease of a shard. Its fields are exported so that they can be
+// displayed.
 type Lease struct {
-	// KV is the key-value service, Key the shard's key and Holder the name that
-	// is written to it, which must be unique to the process.
+	// KV is the key-value service and Key the key of the shard. Holder is the name that is
+	// written to the key; it must be unique to the process.
 	KV     keyval.KV
 	Key    string
 	Holder string
-	// TTL is the time to live; 0 means DefaultTTL.
+	// TTL is the time to live of the lease; 0 means DefaultTTL.
 	TTL time.Duration
-	// Clock is the host's clock. It counts suspensions, as the key-value service does.
+	// Clock is the host's clock. Like the clock of the key-value service, it counts the
+	// time in which the host was suspended.
 	Clock *clock.Clock
 
-	id      keyval.Lease
-	token   uint64
-	renewed time.Duration // when the last renewal that was answered was sent
-	since   time.Duration // when the shard was acquired
+	leaseID  keyval.Lease
+	token    uint64
+	renewed  time.Duration // time when the last successful renewal was sent
+	acquired time.Duration // time when the shard was acquired
 }
 
 // ttl returns TTL or its default.
@@ -50,14 +52,15 @@
 	return l.TTL
 }
 
-// Held reports whether the host may believe that it holds the shard, by its own
-// clock, counted from when the last answered renewal was sent.
+// Held reports whether this host holds the shard by its own clock: the TTL counts from the
+// time when the last successful renewal was sent.
 func (l *Lease) Held() bool { return l.token != 0 && l.Clock.Now()-l.renewed < l.ttl() }
 
-// Token is the fencing token: the version of the key's write, which only rises.
+// Token returns the fencing token, which is the version of the key's write and only
+// increases.
 func (l *Lease) Token() uint64 { return l.token }
 
-// RenewOrAcquire renews the lease if it is held, or tries to acquire it.
+// RenewOrAcquire renews the lease if the host holds it, and otherwise tries to acquire it.
 func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	if l.token != 0 {
 		return l.renew(ctx)
@@ -65,57 +68,57 @@
 	return l.acquire(ctx)
 }
 
-// renew extends the lease. An answer that was lost changes nothing: the holder
-// counts on the last answered renewal only.
+// renew extends the lease. A renewal whose answer is lost does not extend it: only answered
+// renewals count for the holder.
 func (l *Lease) renew(ctx context.Context) error {
 	sent := l.Clock.Now()
-	err := l.KV.Renew(ctx, l.id)
+	err := l.KV.Renew(ctx, l.leaseID)
 	switch {
 	case err == nil:
 		l.renewed = sent
 	case errors.Is(err, keyval.ErrLeaseGone), l.Clock.Now()-l.renewed >= l.ttl():
-		l.token, l.id = 0, 0
+		l.token, l.leaseID = 0, 0
 	}
 	return err
 }
 
-// acquire takes the shard if nobody holds it.
+// acquire acquires the shard if no host holds it.
 func (l *Lease) acquire(ctx context.Context) error {
-	it, err := l.KV.Get(ctx, l.Key)
+	item, err := l.KV.Get(ctx, l.Key)
 	if err == nil {
-		return l.recover(it)
+		return l.recoverClaim(item)
 	}
 	if !errors.Is(err, keyval.ErrNotFound) {
 		return err
 	}
 	sent := l.Clock.Now()
-	if l.id == 0 {
-		if l.id, err = l.KV.Grant(ctx, l.ttl()); err != nil {
+	if l.leaseID == 0 {
+		if l.leaseID, err = l.KV.Grant(ctx, l.ttl()); err != nil {
 			return err
 		}
-	} else if err = l.KV.Renew(ctx, l.id); err != nil {
-		l.id = 0
+	} else if err = l.KV.Renew(ctx, l.leaseID); err != nil {
+		l.leaseID = 0
 		return err
 	}
-	token, err := l.KV.Swap(ctx, l.Key, 0, []byte(l.Holder), l.id)
+	token, err := l.KV.Swap(ctx, l.Key, 0, []byte(l.Holder), l.leaseID)
 	if err != nil {
-		// With a lost answer the next step finds the key with this holder's name.
+		// If only the answer was lost, the next call finds the key with this holder's name.
 		return err
 	}
-	l.token, l.renewed, l.since = token, sent, l.Clock.Now()
+	l.token, l.renewed, l.acquired = token, sent, l.Clock.Now()
 	return nil
 }
 
-// errHeld means that another host holds the shard.
-var errHeld = errors.New("placer: another host holds the shard")
+// errHeldElsewhere means that another host holds the shard.
+var errHeldElsewhere = errors.New("placer: another host holds the shard")
 
-// recover takes up a claim of its own whose answer was lost. Its lease may be
-// about to lapse, so nothing counts before a renewal was answered.
-func (l *Lease) recover(it keyval.Item) error {
-	if string(it.Value) != l.Holder || l.id == 0 {
-		return errHeld
+// recoverClaim continues an own acquisition whose answer was lost. The lease may be about
+// to expire, so that it does not count as held before a renewal has been answered.
+func (l *Lease) recoverClaim(item keyval.Item) error {
+	if string(item.Value) != l.Holder || l.leaseID == 0 {
+		return errHeldElsewhere
 	}
 	now := l.Clock.Now()
-	l.token, l.since, l.renewed = it.Version, now, now-l.ttl()
+	l.token, l.acquired, l.renewed = item.Version, now, now-l.ttl()
 	return nil
 }
--- a/placer/manager.go
+++ b/placer/manager.go
@@ -15,34 +15,34 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Manager runs a Placer for each zone that has engines; which of the hosts holds
-// a zone is decided by its lease. Set the exported fields, then call Run.
+// Manager runs a Placer for each zone that has engines. The zone's lease decides which of
+// the hosts places its engines. Set the exported fields, then call Run.
 type Manager struct {
-	// Name identifies the process; it must be unique to this run of it.
+	// Name identifies the process; it must be unique to each run of the process.
 	Name string
-	// KV and Weights are the platform's.
+	// KV and Weights are services of the platform.
 	KV      keyval.KV
 	Weights keyval.WeightStore
-	// Settings gives the settings in force, or nil.
+	// Settings returns the settings in force, or nil.
 	Settings func() *settings.Snapshot
-	// Candidate says whether this host should try to hold a zone.
+	// Candidate reports whether this host should try to acquire the lease of a zone.
 	Candidate func(zone string) bool
-	// Engine gives the means to reach an engine.
+	// Engine returns the connection to an engine.
 	Engine func(settings.Endpoint) endpoint.Engine
-	// Limits, TTL and Sweep are those of each Placer.
+	// Limits, TTL and SweepInterval are copied to each Placer.
 	Limits        Limits
 	TTL           time.Duration
 	SweepInterval time.Duration
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
 	placers map[string]*Placer
 }
 
-// zoneCheck is the time between looks for new zones.
-const zoneCheck = time.Second
+// zoneCheckInterval is the time between two checks for new zones.
+const zoneCheckInterval = time.Second
 
-// Run runs placers until ctx ends.
+// Run starts a placer for each zone with engines, until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	m.placers = make(map[string]*Placer)
 	for ctx.Err() == nil {
@@ -55,7 +55,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(zoneCheck):
+		case <-time.After(zoneCheckInterval):
 		}
 	}
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -18,74 +18,76 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Defaults of a Placer.
+// Default values of a Placer's fields, and its other constants.
 const (
-	// DefaultSweepInterval is the time between readings of all engines of the zone.
+	// DefaultSweepInterval is the time between two readings of all engines of the zone.
 	DefaultSweepInterval = 2 * time.Second
-	// callTimeout bounds one call to an engine.
+	// callTimeout is the timeout of one call to an engine.
 	callTimeout = 2 * time.Second
-	// firstBackoff is the time after a failed load, doubled with each failure up
-	// to maxBackoff.
+	// firstBackoff is the backoff after a failed load. It doubles with each failure up to
+	// maxBackoff.
 	firstBackoff = 5 * time.Second
 	maxBackoff   = 5 * time.Minute
-	// parallel bounds the calls to engines at once.
-	parallel = 16
+	// maxConcurrentCalls is the largest number of concurrent calls to engines.
+	maxConcurrentCalls = 16
 )
 
-// Placer orders the engines of one zone while it holds the zone's lease. Set the
+// Placer sends orders to the engines of one zone while it holds the zone's lease. Set the
 // exported fields, then call Run.
 type Placer struct {
-	// Name identifies the process; it must be unique to this run of it.
+	// Name identifies the process; it must be unique to each run of the process.
 	Name string
 	// Zone is the availability zone.
 	Zone string
-	// KV and Weights are the platform's.
+	// KV and Weights are services of the platform.
 	KV      keyval.KV
 	Weights keyval.WeightStore
-	// Settings gives the settings in force, or nil.
+	// Settings returns the settings in force, or nil.
 	Settings func() *settings.Snapshot
-	// Candidate says whether this host should try to hold the zone; nil means always.
+	// Candidate reports whether this host should try to acquire the lease of the zone; nil
+	// means always.
 	Candidate func() bool
-	// Engine gives the means to reach an engine.
+	// Engine returns the connection to an engine.
 	Engine func(settings.Endpoint) endpoint.Engine
-	// Limits bound what changes at once.
+	// Limits are the limits of changes at once.
 	Limits Limits
-	// TTL and Sweep default to the constants above.
+	// TTL and SweepInterval default to the constants of this package.
 	TTL           time.Duration
 	SweepInterval time.Duration
-	// Clock is the host's clock; nil means one that counts suspensions.
+	// Clock is the host's clock; nil means one that counts the time in which the host was
+	// suspended.
 	Clock *clock.Clock
-	// Log takes changes of state.
+	// Log receives changes of state.
 	Log logr.Logger
 
-	mu      sync.Mutex
-	lease   Lease
-	failed  map[string]failure
-	loading map[string]*endpoint.ModelSpec
-	drains  map[string]time.Duration // when an engine was first seen to drain
-	demand  demands
-	counts  Counts
+	mu           sync.Mutex
+	lease        Lease
+	loadFailures map[string]loadFailure
+	orderedLoads map[string]*endpoint.ModelSpec
+	drainStarts  map[string]time.Duration // time when an engine first reported that it drains
+	demand       zoneDemand
+	counts       Counts
 }
 
-// failure is what is remembered of the failed loads of a version.
-type failure struct {
+// loadFailure holds the backoff after the failed loads of a model version.
+type loadFailure struct {
 	backoff time.Duration
-	until   time.Duration
+	retryAt time.Duration
 }
 
-// Counts are what a Placer did since its start.
+// Counts are the counters of a Placer since its start, and its state.
 type Counts struct {
-	// Orders and Loads count orders sent and those that load weights.
+	// Orders counts the orders sent, Loads those among them that load weights.
 	Orders int64 `json:"orders"`
 	Loads  int64 `json:"loads"`
-	// Stale counts orders refused for an older token, Failed loads that failed.
+	// Stale counts the orders refused for a stale token, Failed the loads that failed.
 	Stale  int64 `json:"stale"`
 	Failed int64 `json:"failed"`
-	// Held says whether the zone's lease is held now.
+	// Held means that this host holds the zone's lease now.
 	Held bool `json:"held"`
-	// Token is its fencing token.
+	// Token is the fencing token of the lease.
 	Token uint64 `json:"token"`
-	// Unplaced is the number of replicas missing at the last sweep.
+	// Unplaced is the number of missing replicas at the last sweep.
 	Unplaced int `json:"unplaced"`
 }
 
@@ -98,25 +100,25 @@
 	return c
 }
 
-// Run holds the lease and orders engines until ctx ends.
+// Run maintains the lease and sends orders to engines until ctx ends.
 func (p *Placer) Run(ctx context.Context) {
 	p.mu.Lock()
 	if p.Clock == nil {
 		p.Clock = clock.New()
 	}
-	p.failed = make(map[string]failure)
-	p.loading = make(map[string]*endpoint.ModelSpec)
-	p.drains = make(map[string]time.Duration)
-	p.demand = make(demands)
+	p.loadFailures = make(map[string]loadFailure)
+	p.orderedLoads = make(map[string]*endpoint.ModelSpec)
+	p.drainStarts = make(map[string]time.Duration)
+	p.demand = make(zoneDemand)
 	p.lease = Lease{KV: p.KV, Key: ShardKeyPrefix + p.Zone, Holder: p.Name, TTL: p.TTL, Clock: p.Clock}
 	if p.SweepInterval == 0 {
 		p.SweepInterval = DefaultSweepInterval
 	}
-	renew := p.lease.ttl() / renewals
+	renew := p.lease.ttl() / renewalsPerTTL
 	p.mu.Unlock()
-	go p.sweeps(ctx)
+	go p.sweepLoop(ctx)
 	for ctx.Err() == nil {
-		p.step(ctx, renew)
+		p.updateLease(ctx, renew)
 		select {
 		case <-ctx.Done():
 		case <-time.After(renew):
@@ -124,9 +126,9 @@
 	}
 }
 
-// step renews or acquires the lease. The call is made on a copy, so that sweeps
-// are not held up by a slow key-value service.
-func (p *Placer) step(ctx context.Context, timeout time.Duration) {
+// updateLease renews or acquires the lease. It calls the key-value service on a copy of the
+// lease, so that a slow service does not block sweeps.
+func (p *Placer) updateLease(ctx context.Context, timeout time.Duration) {
 	p.mu.Lock()
 	l := p.lease
 	p.mu.Unlock()
@@ -138,23 +140,23 @@
 	held, had := l.Held(), l.token != 0
 	err := l.RenewOrAcquire(ctx)
 	if err == nil && !l.Held() {
-		// A claim taken up again counts from its first answered renewal.
+		// A recovered lease counts as held only from its first answered renewal.
 		_ = l.RenewOrAcquire(ctx)
 	}
 	p.mu.Lock()
 	if had && p.lease.token == 0 {
-		// A sweep learnt meanwhile that another host holds a newer token.
+		// A sweep has learnt in the meantime that another host holds a newer token.
 		l.token = 0
 	}
 	p.lease = l
 	p.mu.Unlock()
 	if held != l.Held() {
-		p.Log.Info("zone lease", "zone", p.Zone, "held", l.Held(), "token", l.Token())
+		p.Log.Info("zone lease changed", "zone", p.Zone, "held", l.Held(), "token", l.Token())
 	}
 }
 
-// sweeps reads and orders the engines again and again.
-func (p *Placer) sweeps(ctx context.Context) {
+// sweepLoop does a sweep every SweepInterval until ctx ends.
+func (p *Placer) sweepLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.sweep(ctx)
 		select {
@@ -164,7 +166,7 @@
 	}
 }
 
-// sweep reads all engines of the zone, plans and sends the orders.
+// sweep reads all engines of the zone, makes a plan and sends its orders.
 func (p *Placer) sweep(ctx context.Context) {
 	p.mu.Lock()
 	held := p.lease.Held()
@@ -173,16 +175,16 @@
 	if !held || snap == nil {
 		return
 	}
-	specs := zoneEngines(snap, p.Zone)
-	states := p.read(ctx, specs)
-	wishes := DesiredPlacements(snap, p.Zone)
-	p.holdBack(wishes)
-	p.demand.note(wishes, states)
-	orders := Plan(p.Clock.Now(), append(wishes, p.demand.extras(wishes)...), states, p.Limits)
-	p.noteUnplaced(wishes, states)
+	endpoints := zoneEngines(snap, p.Zone)
+	engines := p.readEngines(ctx, endpoints)
+	placements := DesiredPlacements(snap, p.Zone)
+	p.setRetryTimes(placements)
+	p.demand.noteReports(placements, engines)
+	orders := Plan(p.Clock.Now(), append(placements, p.demand.extraPlacements(placements)...), engines, p.Limits)
+	p.countUnplaced(placements, engines)
 	for _, o := range orders {
-		i := slices.IndexFunc(specs, func(e settings.Endpoint) bool { return e.Name == o.Engine })
-		p.send(ctx, specs[i], o)
+		i := slices.IndexFunc(endpoints, func(e settings.Endpoint) bool { return e.Name == o.Engine })
+		p.sendOrder(ctx, endpoints[i], o)
 	}
 }
 
@@ -197,7 +199,7 @@
 	return out
 }
 
-// DesiredPlacements returns the placements of a zone, each with the rank of the highest tier
+// DesiredPlacements returns the placements of a zone. Each has the rank of the highest tier
 // that may use its model.
 func DesiredPlacements(s *settings.Snapshot, zone string) []DesiredPlacement {
 	ranks := make(map[string]int)
@@ -229,106 +231,107 @@
 	return out
 }
 
-// read asks all engines for their reports.
-func (p *Placer) read(ctx context.Context, specs []settings.Endpoint) []Engine {
-	out := make([]Engine, len(specs))
+// readEngines reads the reports of all engines.
+func (p *Placer) readEngines(ctx context.Context, endpoints []settings.Endpoint) []Engine {
+	out := make([]Engine, len(endpoints))
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, parallel)
-	for i, e := range specs {
+	sem := make(chan struct{}, maxConcurrentCalls)
+	for i, e := range endpoints {
 		wg.Add(1)
-		slots <- struct{}{}
+		sem <- struct{}{}
 		go func() {
 			defer wg.Done()
-			out[i] = p.readOne(ctx, e)
-			<-slots
+			out[i] = p.readEngine(ctx, e)
+			<-sem
 		}()
 	}
 	wg.Wait()
 	return out
 }
 
-// noEvents asks for no cache events: none has so high a number.
-const noEvents = 1 << 62
+// noCacheEvents as the first event of a report asks for no cache events, because no event
+// has so high a number.
+const noCacheEvents = 1 << 62
 
-// readOne asks one engine for its report.
-func (p *Placer) readOne(ctx context.Context, e settings.Endpoint) Engine {
+// readEngine reads the report of one engine.
+func (p *Placer) readEngine(ctx context.Context, e settings.Endpoint) Engine {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rep, err := p.Engine(e).Report(ctx, noEvents)
-	st := Engine{Name: e.Name, Reachable: err == nil, Leaving: e.Leaving}
+	report, err := p.Engine(e).Report(ctx, noCacheEvents)
+	state := Engine{Name: e.Name, Reachable: err == nil, Leaving: e.Leaving}
 	if err != nil {
-		return st
+		return state
 	}
-	st.Loaded, st.Loading, st.Role = rep.Loaded, rep.Loading, rep.Role
-	st.Busy, st.Slots = rep.Running+rep.Waiting, rep.Slots
-	st.Served, st.Errors = rep.Served, rep.Errors
-	p.noteLoad(e.Name, rep)
-	st.DrainTime = p.noteDrain(e.Name, rep.Role == RoleDrain)
-	return st
+	state.Loaded, state.Loading, state.Role = report.Loaded, report.Loading, report.Role
+	state.Busy, state.Slots = report.Running+report.Waiting, report.Slots
+	state.Served, state.Errors = report.Served, report.Errors
+	p.noteLoad(e.Name, report)
+	state.DrainTime = p.noteDrain(e.Name, report.Role == RoleDrain)
+	return state
 }
 
-// noteDrain returns how long an engine has been seen to drain. A new holder
-// begins to count anew, which only delays a reload.
-func (p *Placer) noteDrain(name string, drains bool) time.Duration {
+// noteDrain returns for how long an engine has reported that it drains. A new lease holder
+// counts from 0 again, which only delays a reload.
+func (p *Placer) noteDrain(name string, draining bool) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !drains {
-		delete(p.drains, name)
+	if !draining {
+		delete(p.drainStarts, name)
 		return 0
 	}
 	now := p.Clock.Now()
-	if _, known := p.drains[name]; !known {
-		p.drains[name] = now
+	if _, known := p.drainStarts[name]; !known {
+		p.drainStarts[name] = now
 	}
-	return now - p.drains[name]
+	return now - p.drainStarts[name]
 }
 
-// noteLoad compares a report with the load ordered before. A failed load holds
-// the version back at all engines for a time that doubles.
-func (p *Placer) noteLoad(name string, rep endpoint.Report) {
+// noteLoad compares a report with the load that was ordered. After a failed load no engine
+// loads the version for a backoff that doubles with each failure.
+func (p *Placer) noteLoad(name string, report endpoint.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	want := p.loading[name]
+	want := p.orderedLoads[name]
 	if want == nil {
 		return
 	}
 	key := want.Model + "@" + want.Version
 	now := p.Clock.Now()
 	switch {
-	case same(rep.Loaded, want):
-		delete(p.loading, name)
-		delete(p.failed, key)
-	case rep.Loading == nil:
-		delete(p.loading, name)
+	case sameModel(report.Loaded, want):
+		delete(p.orderedLoads, name)
+		delete(p.loadFailures, key)
+	case report.Loading == nil:
+		delete(p.orderedLoads, name)
 		p.counts.Failed++
-		f := p.failed[key]
-		if now < f.until {
-			return // one of several that failed together
+		f := p.loadFailures[key]
+		if now < f.retryAt {
+			return // one of several loads that failed at the same time
 		}
 		f.backoff = min(max(2*f.backoff, firstBackoff), maxBackoff)
-		f.until = now + f.backoff
-		p.failed[key] = f
+		f.retryAt = now + f.backoff
+		p.loadFailures[key] = f
 		p.Log.Info("load failed", "endpoint", name, "model", want.Model, "version", want.Version, "again_after", f.backoff.String())
 	}
 }
 
-// holdBack sets when the wishes whose loads failed may be tried again.
-func (p *Placer) holdBack(wishes []DesiredPlacement) {
+// setRetryTimes sets the time when placements whose loads failed may be tried again.
+func (p *Placer) setRetryTimes(placements []DesiredPlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := range wishes {
-		wishes[i].RetryAt = p.failed[wishes[i].Model+"@"+wishes[i].Version].until
+	for i := range placements {
+		placements[i].RetryAt = p.loadFailures[placements[i].Model+"@"+placements[i].Version].retryAt
 	}
 }
 
-// noteUnplaced counts the replicas that are missing.
-func (p *Placer) noteUnplaced(wishes []DesiredPlacement, states []Engine) {
+// countUnplaced counts the missing replicas.
+func (p *Placer) countUnplaced(placements []DesiredPlacement, engines []Engine) {
 	n := 0
-	for i := range wishes {
-		w := &wishes[i]
+	for i := range placements {
+		w := &placements[i]
 		have := 0
-		for _, e := range states {
-			if e.Reachable && same(e.Loaded, w.holding()) && e.Role == w.Role {
+		for _, e := range engines {
+			if e.Reachable && sameModel(e.Loaded, w.modelSpec()) && e.Role == w.Role {
 				have++
 			}
 		}
@@ -342,36 +345,36 @@
 	p.counts.Unplaced = n
 }
 
-// send sends one order, if the lease still allows it.
-func (p *Placer) send(ctx context.Context, e settings.Endpoint, o Order) {
+// sendOrder sends one order if the lease still allows it.
+func (p *Placer) sendOrder(ctx context.Context, e settings.Endpoint, o Order) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	eo := endpoint.Order{Want: o.Want, Role: o.Role}
+	engineOrder := endpoint.Order{Want: o.Want, Role: o.Role}
 	if o.Load {
 		w, err := p.Weights.Describe(ctx, o.Want.Model, o.Want.Version)
 		if err != nil {
 			return
 		}
-		eo.Digest = w.Digest
+		engineOrder.Digest = w.Digest
 	}
 	p.mu.Lock()
-	may := p.lease.MayOrder(e.Fenced)
-	eo.Token = p.lease.Token()
+	allowed := p.lease.MayOrder(e.Fenced)
+	engineOrder.Token = p.lease.Token()
 	p.mu.Unlock()
-	if !may {
+	if !allowed {
 		return
 	}
-	err := p.Engine(e).Order(ctx, eo)
+	err := p.Engine(e).Order(ctx, engineOrder)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Orders++
 	if o.Load {
 		p.counts.Loads++
-		p.loading[o.Engine] = o.Want
+		p.orderedLoads[o.Engine] = o.Want
 	}
 	if err == endpoint.ErrStaleToken {
 		p.counts.Stale++
 		p.lease.token = 0
-		p.Log.Info("order refused for an older token", "zone", p.Zone, "endpoint", o.Engine)
+		p.Log.Info("order refused for a stale fencing token", "zone", p.Zone, "endpoint", o.Engine)
 	}
 }
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -13,59 +13,59 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// RoleDrain is the role of an engine that takes no new requests, so that it can be
-// reloaded when those it has are done.
+// RoleDrain is the role of an engine that takes no new requests, so that it can be reloaded
+// when its requests are done.
 const RoleDrain = "drain"
 
-// Engine is what the planner knows of an engine.
+// Engine is the state of an engine that the planner uses.
 type Engine struct {
-	// Name identifies it.
+	// Name is the name of the engine.
 	Name string
-	// Reachable says whether it reported of late.
+	// Reachable means that the engine answered the last request for its report.
 	Reachable bool
-	// Leaving says that it gets no new work.
+	// Leaving means that the engine gets no new work.
 	Leaving bool
-	// Loaded and Loading are from its report; Role too.
+	// Loaded, Loading and Role are copied from the engine's report.
 	Loaded, Loading *endpoint.ModelSpec
 	Role            string
-	// Busy is the number of requests running or waiting there.
+	// Busy is the number of requests running or waiting at the engine.
 	Busy int
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the engine runs at once.
 	Slots int
-	// Served and Errors count requests since it started.
+	// Served and Errors count requests since the start of the engine.
 	Served, Errors int64
-	// DrainTime is how long its reports have said that it drains.
+	// DrainTime is the time for which the engine's reports have said that it drains.
 	DrainTime time.Duration
 }
 
-// Order is what an engine shall be.
+// Order is the desired state of an engine.
 type Order struct {
-	// Engine is its name.
+	// Engine is the name of the engine.
 	Engine string
-	// Want is what it shall hold and Role what it shall do.
+	// Want is the model that the engine must load, Role its role.
 	Want *endpoint.ModelSpec
 	Role string
-	// Load says that obeying it means loading weights.
+	// Load means that the engine must load weights to obey the order.
 	Load bool
 }
 
-// Limits bound what a plan changes at once; a zero field means the default named.
+// Limits are limits of what a plan changes at once. A field that is 0 means its default.
 type Limits struct {
-	// MaxLoads is the number of engines of a zone that load at once; default 2.
+	// MaxLoads is the largest number of engines of a zone that load at once; default 2.
 	MaxLoads int
-	// MaxShare is the largest part of a model's engines that a new version takes out
-	// at once; default 0.25, but one at least.
+	// MaxShare is the largest share of a model's engines that a new version takes out of
+	// service at once; default 0.25. One engine is always allowed.
 	MaxShare float64
-	// MaxErrorRatio stops a version whose engines fail more than that part of their
-	// requests; default 0.05, and ErrorLeast is the least number; default 5.
+	// A version is not placed any further if the share of failed requests at its engines
+	// exceeds MaxErrorRatio and at least MinErrors requests failed; defaults 0.05 and 5.
 	MaxErrorRatio float64
 	MinErrors     int64
-	// MinDrainTime is how long an engine must have drained before it is reloaded: until
-	// every host has read a report that says so; default 6 s.
+	// MinDrainTime is the time for which an engine must have drained before it is reloaded,
+	// so that every host has read a report that says so; default 6 s.
 	MinDrainTime time.Duration
 }
 
-// withDefaults fills in the fields that are zero.
+// withDefaults sets the fields that are 0 to their defaults.
 func (l Limits) withDefaults() Limits {
 	l.MaxLoads = cmp.Or(l.MaxLoads, 2)
 	l.MaxShare = cmp.Or(l.MaxShare, 0.25)
@@ -78,90 +78,91 @@
 // DesiredPlacement is a placement of one zone with its urgency.
 type DesiredPlacement struct {
 	settings.Placement
-	// Rank is that of the highest tier that uses the model, 0 the most urgent.
+	// Rank is the rank of the highest tier that uses the model; 0 is the most urgent.
 	Rank int
-	// RetryAt is when a load may be tried again after one failed: a version that
-	// fails at one engine is held back at all, so that it cannot empty a zone.
+	// RetryAt is the time when the version may be loaded again after a load failed. A
+	// version that fails at one engine is not loaded at any engine until then, so that it
+	// cannot take all engines of a zone out of service.
 	RetryAt time.Duration
 }
 
-// holding is what an engine of the wish holds.
-func (w *DesiredPlacement) holding() *endpoint.ModelSpec {
+// modelSpec returns the model that an engine of the placement holds.
+func (w *DesiredPlacement) modelSpec() *endpoint.ModelSpec {
 	return &endpoint.ModelSpec{Model: w.Model, Version: w.Version, Adapters: w.Adapters}
 }
 
-// same compares two holdings.
-func same(a, b *endpoint.ModelSpec) bool {
+// sameModel reports whether a and b are the same model, version and adapters.
+func sameModel(a, b *endpoint.ModelSpec) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// planner makes one plan.
+// planner holds the state of one call of Plan.
 type planner struct {
-	now    time.Duration
-	limits Limits
-	wishes []DesiredPlacement
-	list   []Engine
-	taken  map[string]int // engine to index of its wish
-	orders []Order
-	loads  int
+	now        time.Duration
+	limits     Limits
+	placements []DesiredPlacement
+	engines    []Engine
+	assigned   map[string]int // index of the placement by name of the engine
+	orders     []Order
+	loads      int
 }
 
-// Plan returns the orders for the engines of one zone, the same for the same
-// input. Engines that already are what a wish needs stay; others are taken for
-// missing replicas, the most urgent model first: idle ones, then those with
-// another version, then those no wish needs. An engine is drained before it is
-// reloaded, and no order takes a model's last serving engine while the model
-// is wished for.
-func Plan(now time.Duration, wishes []DesiredPlacement, engines []Engine, l Limits) []Order {
-	p := &planner{now: now, limits: l.withDefaults(), wishes: slices.Clone(wishes), taken: make(map[string]int)}
-	slices.SortStableFunc(p.wishes, func(a, b DesiredPlacement) int { return cmp.Or(a.Rank-b.Rank, cmp.Compare(a.Name, b.Name)) })
+// Plan returns the orders for the engines of one zone; equal inputs give equal orders.
+// Engines that already match a placement stay as they are. Others are assigned to missing
+// replicas, the most urgent model first: idle engines, then those with another version of
+// the model, then those that no placement needs. An engine is drained before it is
+// reloaded, and no order takes away the last engine that serves a model while a placement
+// of that model exists.
+func Plan(now time.Duration, placements []DesiredPlacement, engines []Engine, limits Limits) []Order {
+	p := &planner{now: now, limits: limits.withDefaults(), placements: slices.Clone(placements), assigned: make(map[string]int)}
+	slices.SortStableFunc(p.placements, func(a, b DesiredPlacement) int { return cmp.Or(a.Rank-b.Rank, cmp.Compare(a.Name, b.Name)) })
 	for _, e := range engines {
 		if e.Reachable && !e.Leaving {
-			p.list = append(p.list, e)
+			p.engines = append(p.engines, e)
 		}
 		if e.Loading != nil {
 			p.loads++
 		}
 	}
-	slices.SortFunc(p.list, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
-	p.keep()
-	for i := range p.wishes {
-		p.fill(i)
+	slices.SortFunc(p.engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
+	p.assignCurrent()
+	for i := range p.placements {
+		p.assignMissing(i)
 	}
 	return p.orders
 }
 
-// keep leaves engines that are, or are becoming, what a wish needs.
-func (p *planner) keep() {
-	for i := range p.wishes {
-		w := &p.wishes[i]
-		left := w.Replicas
+// assignCurrent assigns engines that hold or are loading what a placement needs.
+func (p *planner) assignCurrent() {
+	for i := range p.placements {
+		w := &p.placements[i]
+		missing := w.Replicas
 		for _, loading := range []bool{false, true} {
-			for _, e := range p.list {
+			for _, e := range p.engines {
 				h := e.Loaded
 				if loading {
 					h = e.Loading
 				}
-				if _, used := p.taken[e.Name]; used || left == 0 || !same(h, w.holding()) {
+				if _, used := p.assigned[e.Name]; used || missing == 0 || !sameModel(h, w.modelSpec()) {
 					continue
 				}
-				left--
-				p.taken[e.Name] = i
+				missing--
+				p.assigned[e.Name] = i
 				if !loading && e.Role != w.Role {
-					p.orders = append(p.orders, Order{Engine: e.Name, Want: w.holding(), Role: w.Role})
+					p.orders = append(p.orders, Order{Engine: e.Name, Want: w.modelSpec(), Role: w.Role})
 				}
 			}
 		}
 	}
 }
 
-// have counts the engines taken for a wish.
-func (p *planner) have(i int) int {
+// countAssigned counts the engines assigned to a placement.
+func (p *planner) countAssigned(i int) int {
 	n := 0
-	for _, w := range p.taken {
+	for _, w := range p.assigned {
 		if w == i {
 			n++
 		}
@@ -169,14 +170,14 @@
 	return n
 }
 
-// fill takes engines for the missing replicas of a wish.
-func (p *planner) fill(i int) {
-	w := &p.wishes[i]
-	if p.now < w.RetryAt || p.failing(w) {
+// assignMissing assigns engines to the missing replicas of a placement.
+func (p *planner) assignMissing(i int) {
+	w := &p.placements[i]
+	if p.now < w.RetryAt || p.tooManyErrors(w) {
 		return
 	}
-	missing := w.Replicas - p.have(i)
-	allowed := p.rolling(w)
+	missing := w.Replicas - p.countAssigned(i)
+	allowed := p.replaceable(w)
 	for _, e := range p.candidates(w) {
 		if missing <= 0 || p.loads >= p.limits.MaxLoads {
 			return
@@ -185,32 +186,33 @@
 		if p.lastServing(e) || (older && allowed <= 0) {
 			continue
 		}
-		p.taken[e.Name] = i
+		p.assigned[e.Name] = i
 		missing--
 		if older {
 			allowed--
 		}
-		p.change(e, w)
+		p.drainOrLoad(e, w)
 	}
 }
 
-// change drains an engine or, once it is idle, orders the load.
-func (p *planner) change(e Engine, w *DesiredPlacement) {
+// drainOrLoad orders an engine to drain or, once it is idle and drained for long enough, to
+// load.
+func (p *planner) drainOrLoad(e Engine, w *DesiredPlacement) {
 	p.loads++
 	if e.Loaded != nil && (e.Busy > 0 || e.Role != RoleDrain || e.DrainTime < p.limits.MinDrainTime) {
 		p.orders = append(p.orders, Order{Engine: e.Name, Want: e.Loaded, Role: RoleDrain})
 		return
 	}
-	p.orders = append(p.orders, Order{Engine: e.Name, Want: w.holding(), Role: w.Role, Load: true})
+	p.orders = append(p.orders, Order{Engine: e.Name, Want: w.modelSpec(), Role: w.Role, Load: true})
 }
 
-// candidates are the engines that may be taken for a wish, the best first:
-// draining ones go on, idle ones cost nothing, an older version of the model
-// is to be replaced, and what no wish needs comes last.
+// candidates returns the engines that may be assigned to a placement, the best first:
+// engines that drain already, then empty ones, which cost nothing, then those with another
+// version of the model, which is to be replaced, then the others.
 func (p *planner) candidates(w *DesiredPlacement) []Engine {
 	var out []Engine
-	for _, e := range p.list {
-		if _, used := p.taken[e.Name]; used || e.Loading != nil {
+	for _, e := range p.engines {
+		if _, used := p.assigned[e.Name]; used || e.Loading != nil {
 			continue
 		}
 		out = append(out, e)
@@ -230,17 +232,17 @@
 	return out
 }
 
-// lastServing reports whether an engine is the only one that serves a model
-// which a wish needs; an engine that drains already serves no more.
+// lastServing reports whether an engine is the only one that serves a model that a
+// placement needs. An engine that drains does not serve.
 func (p *planner) lastServing(e Engine) bool {
 	if e.Loaded == nil || e.Role == RoleDrain {
 		return false
 	}
-	wanted := slices.ContainsFunc(p.wishes, func(w DesiredPlacement) bool { return w.Model == e.Loaded.Model && w.Replicas > 0 })
+	wanted := slices.ContainsFunc(p.placements, func(w DesiredPlacement) bool { return w.Model == e.Loaded.Model && w.Replicas > 0 })
 	if !wanted {
 		return false
 	}
-	for _, o := range p.list {
+	for _, o := range p.engines {
 		if o.Name != e.Name && o.Loaded != nil && o.Loaded.Model == e.Loaded.Model && o.Role != RoleDrain && !p.draining(o.Name) {
 			return false
 		}
@@ -253,10 +255,11 @@
 	return slices.ContainsFunc(p.orders, func(o Order) bool { return o.Engine == name && (o.Role == RoleDrain || o.Load) })
 }
 
-// rolling is how many serving engines of a wish's model may be taken out now.
-func (p *planner) rolling(w *DesiredPlacement) int {
+// replaceable returns how many more engines that serve a placement's model may be taken out
+// of service now.
+func (p *planner) replaceable(w *DesiredPlacement) int {
 	n, out := 0, 0
-	for _, e := range p.list {
+	for _, e := range p.engines {
 		if e.Loading != nil && e.Loading.Model == w.Model {
 			out++
 		}
@@ -267,11 +270,12 @@
 	return max(1, int(p.limits.MaxShare*float64(n+out))) - out
 }
 
-// failing reports whether the engines that hold a wish's version fail too much.
-func (p *planner) failing(w *DesiredPlacement) bool {
+// tooManyErrors reports whether the engines that hold a placement's version fail more
+// requests than the limits allow.
+func (p *planner) tooManyErrors(w *DesiredPlacement) bool {
 	var served, failed int64
-	for _, e := range p.list {
-		if same(e.Loaded, w.holding()) {
+	for _, e := range p.engines {
+		if sameModel(e.Loaded, w.modelSpec()) {
 			served += e.Served
 			failed += e.Errors
 		}
