--- a/client/call.go
+++ b/client/call.go
@@ -18,85 +18,86 @@
 
 // Call is a call to a plain service.
 type Call struct {
-	// Service and Tier say what it belongs to; an empty tier is the service's own.
+	// Service and Tier are the service to call and the tier of the call; an empty tier
+	// means the service's own.
 	Service, Tier string
-	// Method, Path, Header and Body are passed on; Path begins with a slash.
+	// Method, Path, Header and Body are forwarded; Path begins with a slash.
 	Method, Path string
 	Header       http.Header
 	Body         []byte
-	// NoRepeat says that the call must not be run twice: one whose outcome is
-	// unknown is reported and not made again.
+	// NoRepeat means that the call must not be run twice: a call with an unknown outcome is
+	// reported and not sent again.
 	NoRepeat bool
-	// NoWitness leaves the witness out, for services set witness: false: then
-	// nobody knows what became of a call whose host died.
+	// NoWitness leaves out the witness, for services with witness: false in the settings.
+	// Then the outcome of a call is unknown if its host dies.
 	NoWitness bool
 }
 
 // CallAnswer is the answer of a plain service.
 type CallAnswer struct {
-	// ID is the call's last ID and Endpoint where it ran.
+	// ID is the last ID of the call, Endpoint the endpoint where it ran.
 	ID, Endpoint string
-	// Status, Header and Body are the service's.
+	// Status, Header and Body are those of the service's response.
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do makes a call and returns its whole answer, or a *problem.Problem that says
-// what became of it. With NoRepeat the service runs it at most once.
-func (c *Client) Do(ctx context.Context, q Call) (CallAnswer, error) {
-	var last error
-	var old string
-	for n := range c.tries() {
-		list, err := c.Addresses(ctx)
+// Do makes a call and returns its whole answer, or a *problem.Problem with the outcome.
+// With NoRepeat the service runs the call at most once.
+func (c *Client) Do(ctx context.Context, call Call) (CallAnswer, error) {
+	var lastErr error
+	var resubmits string
+	for n := range c.maxAttempts() {
+		addrs, err := c.Addresses(ctx)
 		if err != nil {
 			return CallAnswer{}, err
 		}
-		at := pick(list, n)
-		id := newID(at, q.NoRepeat && !q.NoWitness)
-		ans, err := c.callOnce(ctx, at.Address, id, old, q)
+		addr := pickAddress(addrs, n)
+		id := newID(addr, call.NoRepeat && !call.NoWitness)
+		ans, err := c.callOnce(ctx, addr.Address, id, resubmits, call)
 		if err == nil {
 			return ans, nil
 		}
-		last = err
+		lastErr = err
 		p := problem.Of(err)
-		if !resubmit(p, q.NoRepeat) || ctx.Err() != nil {
+		if !mayResubmit(p, call.NoRepeat) || ctx.Err() != nil {
 			return CallAnswer{ID: id}, err
 		}
-		old = id
-		if rest(ctx, p) != nil {
+		resubmits = id
+		if waitBeforeRetry(ctx, p) != nil {
 			break
 		}
 	}
-	return CallAnswer{}, last
+	return CallAnswer{}, lastErr
 }
 
-// callOnce makes a call under one ID; if the connection breaks it asks what became of it.
-func (c *Client) callOnce(ctx context.Context, host, id, old string, q Call) (CallAnswer, error) {
-	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+host+router.PathCall+q.Service+q.Path, bytes.NewReader(q.Body))
+// callOnce makes a call under one ID. If the connection breaks, it asks for the outcome.
+func (c *Client) callOnce(ctx context.Context, host, id, resubmits string, call Call) (CallAnswer, error) {
+	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+host+router.PathCall+call.Service+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return CallAnswer{}, err
 	}
-	for k, v := range q.Header {
+	for k, v := range call.Header {
 		req.Header[k] = v
 	}
 	req.Header.Set(router.HeaderID, id)
 	req.Header.Set(router.HeaderWorkspace, c.Workspace)
-	if q.Tier != "" {
-		req.Header.Set(router.HeaderTier, q.Tier)
+	if call.Tier != "" {
+		req.Header.Set(router.HeaderTier, call.Tier)
 	}
-	if old != "" {
-		req.Header.Set(router.HeaderResubmits, old)
+	if resubmits != "" {
+		req.Header.Set(router.HeaderResubmits, resubmits)
 	}
 	resp, err := c.httpClient().Do(req)
-	var op *net.OpError
+	var opErr *net.OpError
 	switch {
 	case err == nil:
-	case errors.As(err, &op) && op.Op == "dial":
+	case errors.As(err, &opErr) && opErr.Op == "dial":
 		c.InvalidateAddresses()
 		return CallAnswer{}, errNotSent
 	default:
-		return CallAnswer{}, c.settle(ctx, id)
+		return CallAnswer{}, c.resolveOutcome(ctx, id)
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(problem.OutcomeHeader) != "" {
@@ -104,7 +105,7 @@
 	}
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return CallAnswer{}, c.settle(ctx, id)
+		return CallAnswer{}, c.resolveOutcome(ctx, id)
 	}
 	return CallAnswer{
 		ID: id, Endpoint: resp.Header.Get(router.HeaderEndpoint),
@@ -112,11 +113,12 @@
 	}, nil
 }
 
-// settle finds what became of a call whose connection broke.
-func (c *Client) settle(ctx context.Context, id string) error {
+// resolveOutcome asks for the outcome of a call whose connection broke and returns it as a
+// problem.
+func (c *Client) resolveOutcome(ctx context.Context, id string) error {
 	c.InvalidateAddresses()
 	last := problem.Lost(problem.OwnerLost, "", "ask again with Outcome", "no host told what became of the call")
-	for range c.tries() {
+	for range c.maxAttempts() {
 		p, err := c.Outcome(ctx, id)
 		if err == nil {
 			p.RequestID = id
@@ -125,7 +127,7 @@
 				return p
 			}
 		}
-		if rest(ctx, nil) != nil {
+		if waitBeforeRetry(ctx, nil) != nil {
 			break
 		}
 	}
--- a/client/client.go
+++ b/client/client.go
@@ -20,33 +20,34 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// Defaults of a Client.
+// Default values of a Client's fields, and its other constants.
 const (
-	// DefaultMaxAttempts bounds the tries of one request.
+	// DefaultMaxAttempts is the default of Client.MaxAttempts.
 	DefaultMaxAttempts = 4
-	// pause is the time between tries that the answer does not set.
-	pause = 100 * time.Millisecond
+	// defaultRetryDelay is the time between attempts when the answer gives none.
+	defaultRetryDelay = 100 * time.Millisecond
 )
 
 // Client sends the requests of one workspace. Set the exported fields before use.
 type Client struct {
-	// Seeds are the addresses of some hosts, asked until the first answer.
+	// Seeds are addresses of some hosts, which are asked until the first answer arrives.
 	Seeds []string
 	// Workspace is the full name of the workspace.
 	Workspace string
-	// HTTP does the calls; nil means a client of its own. Its transport must not
-	// be shared with calls that may be repeated silently.
+	// HTTP sends the requests; nil means a client of its own. Its transport must not be one
+	// that silently repeats requests.
 	HTTP *http.Client
-	// MaxAttempts bounds the tries of one request; 0 means DefaultTries.
+	// MaxAttempts is the largest number of attempts for one request; 0 means
+	// DefaultMaxAttempts.
 	MaxAttempts int
 
-	once   sync.Once
-	mu     sync.Mutex
-	answer fleet.Answer
-	until  time.Time
+	once    sync.Once
+	mu      sync.Mutex
+	cached  fleet.Answer
+	expires time.Time
 }
 
-// httpClient returns the client that does the calls.
+// httpClient returns the client that sends the requests.
 func (c *Client) httpClient() *http.Client {
 	c.once.Do(func() {
 		if c.HTTP == nil {
@@ -56,67 +57,68 @@
 	return c.HTTP
 }
 
-// tries returns the bound on tries.
-func (c *Client) tries() int {
+// maxAttempts returns MaxAttempts or its default.
+func (c *Client) maxAttempts() int {
 	if c.MaxAttempts == 0 {
 		return DefaultMaxAttempts
 	}
 	return c.MaxAttempts
 }
 
-// Addresses returns the hosts to use, asking anew when the answer is too old. If
-// no host answers, an answer that is too old is better than none.
+// Addresses returns the hosts to use. It asks a host when the cached answer has expired. If
+// no host answers, it returns the expired answer, which is better than none.
 func (c *Client) Addresses(ctx context.Context) ([]fleet.Address, error) {
 	c.mu.Lock()
-	ans, fresh := c.answer, time.Now().Before(c.until)
+	cached, fresh := c.cached, time.Now().Before(c.expires)
 	c.mu.Unlock()
 	if fresh {
-		return ans.Addresses, nil
+		return cached.Addresses, nil
 	}
-	var hosts []string
-	for _, a := range ans.Addresses {
-		hosts = append(hosts, a.Address)
+	var candidates []string
+	for _, a := range cached.Addresses {
+		candidates = append(candidates, a.Address)
 	}
-	var last error = problem.New(problem.NotReady, "set Seeds", "no host to ask")
-	for _, h := range append(hosts, c.Seeds...) {
-		got, err := c.ask(ctx, h)
+	var lastErr error = problem.New(problem.NotReady, "set Seeds", "no host to ask")
+	for _, h := range append(candidates, c.Seeds...) {
+		answer, err := c.askHost(ctx, h)
 		if err == nil {
-			c.keep(got)
-			return got.Addresses, nil
+			c.store(answer)
+			return answer.Addresses, nil
 		}
-		last = err
+		lastErr = err
 	}
-	if len(ans.Addresses) > 0 {
-		return ans.Addresses, nil
+	if len(cached.Addresses) > 0 {
+		return cached.Addresses, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// keep stores an answer for its age.
-func (c *Client) keep(ans fleet.Answer) {
+// store caches an answer for its maximum age.
+func (c *Client) store(ans fleet.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answer = ans
-	c.until = time.Now().Add(time.Duration(ans.MaxAgeMS) * time.Millisecond)
+	c.cached = ans
+	c.expires = time.Now().Add(time.Duration(ans.MaxAgeMS) * time.Millisecond)
 }
 
-// InvalidateAddresses drops the answer, so that the next request asks anew.
+// InvalidateAddresses expires the cached answer, so that the next request asks a host for
+// addresses.
 func (c *Client) InvalidateAddresses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expires = time.Time{}
 }
 
-// askTimeout bounds the question to one host.
-const askTimeout = 2 * time.Second
+// addressTimeout is the timeout of an address request to one host.
+const addressTimeout = 2 * time.Second
 
-// ask asks one host for addresses.
-func (c *Client) ask(ctx context.Context, host string) (fleet.Answer, error) {
+// askHost asks one host for addresses.
+func (c *Client) askHost(ctx context.Context, host string) (fleet.Answer, error) {
 	var ans fleet.Answer
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
-	u := "http://" + host + router.PathAddress + "?workspace=" + url.QueryEscape(c.Workspace)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+	target := "http://" + host + router.PathAddress + "?workspace=" + url.QueryEscape(c.Workspace)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return ans, err
 	}
@@ -137,7 +139,7 @@
 	return ans, nil
 }
 
-// readProblem reads the problem in an answer.
+// readProblem reads the problem in a response.
 func readProblem(resp *http.Response) *problem.Problem {
 	var p problem.Problem
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
@@ -147,36 +149,38 @@
 	return &p
 }
 
-// pick returns the address to use for try number n, the preferred one first.
-func pick(list []fleet.Address, n int) fleet.Address { return list[n%len(list)] }
+// pickAddress returns the address to use for attempt n; the first attempt uses the
+// preferred one.
+func pickAddress(addrs []fleet.Address, n int) fleet.Address { return addrs[n%len(addrs)] }
 
-// newID makes an ID for a host: with a witness, if there is one, for what may not
-// be repeated.
-func newID(at fleet.Address, once bool) string {
-	if once && at.OncePrefix != "" {
-		return at.OncePrefix + rand.Text()
+// newID makes an ID for a request to a host. A witnessed ID names a witness if the host has
+// one; it is for requests that may not be repeated.
+func newID(addr fleet.Address, witnessed bool) string {
+	if witnessed && addr.OncePrefix != "" {
+		return addr.OncePrefix + rand.Text()
 	}
-	return at.Prefix + rand.Text()
+	return addr.Prefix + rand.Text()
 }
 
-// Outcome asks any host that answers what became of a request.
+// Outcome asks the known hosts in turn for the outcome of a request and returns the first
+// answer.
 func (c *Client) Outcome(ctx context.Context, id string) (*problem.Problem, error) {
-	list, err := c.Addresses(ctx)
+	addrs, err := c.Addresses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	for _, a := range list {
+	for _, a := range addrs {
 		var p *problem.Problem
 		if p, err = c.outcomeAt(ctx, a.Address, id); err == nil {
 			return p, nil
 		}
 	}
-	return nil, fmt.Errorf("no host told the outcome of %s: %w; ask again", id, err)
+	return nil, fmt.Errorf("no host returned the outcome of request %s: %w; ask again", id, err)
 }
 
-// outcomeAt asks one host what became of a request.
+// outcomeAt asks one host for the outcome of a request.
 func (c *Client) outcomeAt(ctx context.Context, host, id string) (*problem.Problem, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*addressTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+router.PathOutcome+id, nil)
 	if err != nil {
@@ -190,9 +194,9 @@
 	return readProblem(resp), nil
 }
 
-// rest waits as long as a problem asks, or a short while.
-func rest(ctx context.Context, p *problem.Problem) error {
-	d := pause
+// waitBeforeRetry waits for the time that a problem asks for, or for defaultRetryDelay.
+func waitBeforeRetry(ctx context.Context, p *problem.Problem) error {
+	d := defaultRetryDelay
 	if p != nil && p.RetryAfterMS > 0 {
 		d = time.Duration(p.RetryAfterMS) * time.Millisecond
 	}
--- a/client/complete.go
+++ b/client/complete.go
@@ -25,76 +25,78 @@
 
 // Completion is a request to an engine.
 type Completion struct {
-	// Service and Tier say what it belongs to; an empty tier is the service's own.
+	// Service and Tier are the service to call and the tier of the request; an empty tier
+	// means the service's own.
 	Service, Tier string
-	// Model, Prompt and MaxTokens are the customary fields.
+	// Model, Prompt and MaxTokens are the usual fields of a completion request.
 	Model, Prompt string
 	MaxTokens     int
-	// NoRepeat says that the request must not be run twice: one whose outcome is
-	// unknown is reported and not resubmitted.
+	// NoRepeat means that the request must not be run twice: a request with an unknown
+	// outcome is reported and not resubmitted.
 	NoRepeat bool
 }
 
-// Answer is a whole answer and how it came.
+// Answer is a whole answer, with how it was obtained.
 type Answer struct {
-	// ID is the request's last ID and Endpoint where it ran.
+	// ID is the last ID of the request, Endpoint the endpoint where it ran.
 	ID, Endpoint string
-	// Text is the answer and Tokens the number of its pieces.
+	// Text is the text of the answer, Tokens the number of its pieces.
 	Text   string
 	Tokens int
-	// FirstToken is the time to the first token.
+	// FirstToken is the time from the start of the request to the first token.
 	FirstToken time.Duration
-	// Resumed and Resubmitted count what it took.
+	// Resumed and Resubmitted count how often the request was resumed and resubmitted.
 	Resumed, Resubmitted int
 }
 
-// attempt is one ID's way to an answer.
+// attempt is one attempt to complete a request, under one ID.
 type attempt struct {
-	c     *Client
-	q     Completion
-	id    string
-	old   string
-	start time.Time
-	text  strings.Builder
-	ans   Answer
+	client     *Client
+	completion Completion
+	id         string
+	resubmits  string
+	start      time.Time
+	text       strings.Builder
+	ans        Answer
 }
 
-// Complete sends a request and returns the whole answer, or a *problem.Problem
-// that says what became of it.
-func (c *Client) Complete(ctx context.Context, q Completion) (Answer, error) {
+// Complete sends a request and returns the whole answer, or a *problem.Problem with the
+// outcome.
+func (c *Client) Complete(ctx context.Context, completion Completion) (Answer, error) {
 	start := time.Now()
-	var last error
-	var old string
-	for n := range c.tries() {
-		list, err := c.Addresses(ctx)
+	var lastErr error
+	var resubmits string
+	for n := range c.maxAttempts() {
+		addrs, err := c.Addresses(ctx)
 		if err != nil {
 			return Answer{}, err
 		}
-		at := pick(list, n)
-		a := &attempt{c: c, q: q, id: newID(at, q.NoRepeat), old: old, start: start}
-		err = a.run(ctx, at.Address)
+		addr := pickAddress(addrs, n)
+		a := &attempt{client: c, completion: completion, id: newID(addr, completion.NoRepeat), resubmits: resubmits, start: start}
+		err = a.run(ctx, addr.Address)
 		if err == nil {
 			a.ans.Text, a.ans.ID, a.ans.Resubmitted = a.text.String(), a.id, n
 			return a.ans, nil
 		}
-		last = err
+		lastErr = err
 		p := problem.Of(err)
-		if !resubmit(p, q.NoRepeat) || ctx.Err() != nil {
+		if !mayResubmit(p, completion.NoRepeat) || ctx.Err() != nil {
 			return a.ans, err
 		}
 		if p.Outcome == problem.Unknown {
 			c.InvalidateAddresses()
 		}
-		old = a.id
-		if err := rest(ctx, p); err != nil {
-			return a.ans, last
+		resubmits = a.id
+		if err := waitBeforeRetry(ctx, p); err != nil {
+			return a.ans, lastErr
 		}
 	}
-	return Answer{}, last
+	return Answer{}, lastErr
 }
 
-// resubmit reports whether a request that ended with p may go out under a new ID.
-func resubmit(p *problem.Problem, noRepeat bool) bool {
+// mayResubmit reports whether a request that ended with p may be resubmitted under a new
+// ID.
+func mayResubmit(p *problem.Problem, noRepeat bool) bool {
 	if p.Outcome == problem.Unknown {
 		return !noRepeat
 	}
@@ -106,48 +108,48 @@
 	return p.Outcome == problem.NotRun
 }
 
-// errNotSent means that the host was not reached, so that the ID was never used.
+// errNotSent means that the host could not be reached, so that the ID was never used.
 var errNotSent = problem.New(problem.OwnerLost, "ask another host", "the host cannot be reached")
 
-// run sends the request and follows its stream over hosts until it ends.
+// run sends the request and reads its stream until the end, resuming it at other hosts.
 func (a *attempt) run(ctx context.Context, host string) error {
 	err := a.submit(ctx, host)
-	for n := range a.c.tries() {
-		if err == nil || !errors.Is(err, errBroken) || ctx.Err() != nil {
+	for n := range a.client.maxAttempts() {
+		if err == nil || !errors.Is(err, errConnBroken) || ctx.Err() != nil {
 			return err
 		}
-		if rest(ctx, nil) != nil {
+		if waitBeforeRetry(ctx, nil) != nil {
 			return ctx.Err()
 		}
 		err = a.resume(ctx, n)
 	}
-	if errors.Is(err, errBroken) {
+	if errors.Is(err, errConnBroken) {
 		return problem.Lost(problem.OwnerLost, a.ans.Endpoint, "resubmit if running twice does no harm", "the stream broke too often")
 	}
 	return err
 }
 
-// errBroken means that the connection broke with the request possibly on its way.
-var errBroken = errors.New("client: the connection broke")
+// errConnBroken means that the connection broke when the request may have been sent.
+var errConnBroken = errors.New("client: connection broke before the answer was complete")
 
 // submit sends the request for the first time.
 func (a *attempt) submit(ctx context.Context, host string) error {
 	resp, err := a.post(ctx, host)
 	if err != nil {
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
-			a.c.InvalidateAddresses()
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
+			a.client.InvalidateAddresses()
 			return errNotSent
 		}
-		return errBroken
+		return errConnBroken
 	}
-	return a.read(resp)
+	return a.readStream(resp)
 }
 
 // post sends the request to a host.
 func (a *attempt) post(ctx context.Context, host string) (*http.Response, error) {
 	b, err := json.Marshal(endpoint.CompletionBody{
-		Model: a.q.Model, Prompt: a.q.Prompt, MaxTokens: a.q.MaxTokens, Stream: true,
+		Model: a.completion.Model, Prompt: a.completion.Prompt, MaxTokens: a.completion.MaxTokens, Stream: true,
 	})
 	if err != nil {
 		return nil, err
@@ -158,34 +160,35 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(router.HeaderID, a.id)
-	req.Header.Set(router.HeaderWorkspace, a.c.Workspace)
-	req.Header.Set(router.HeaderService, a.q.Service)
-	req.Header.Set(router.HeaderTier, a.q.Tier)
-	if a.old != "" {
-		req.Header.Set(router.HeaderResubmits, a.old)
+	req.Header.Set(router.HeaderWorkspace, a.client.Workspace)
+	req.Header.Set(router.HeaderService, a.completion.Service)
+	req.Header.Set(router.HeaderTier, a.completion.Tier)
+	if a.resubmits != "" {
+		req.Header.Set(router.HeaderResubmits, a.resubmits)
 	}
-	return a.c.httpClient().Do(req)
+	return a.client.httpClient().Do(req)
 }
 
-// resume goes on after a break: from the last piece if the endpoint is known,
+// resume continues after a broken connection: from the last piece if the endpoint is known,
 // otherwise by sending the same ID again, which no host will run twice.
 func (a *attempt) resume(ctx context.Context, n int) error {
-	a.c.InvalidateAddresses()
-	list, err := a.c.Addresses(ctx)
+	a.client.InvalidateAddresses()
+	addrs, err := a.client.Addresses(ctx)
 	if err != nil {
-		return errBroken
+		return errConnBroken
 	}
-	host := pick(list, n).Address
+	host := pickAddress(addrs, n).Address
 	if a.ans.Endpoint == "" {
 		resp, err := a.post(ctx, host)
 		if err != nil {
-			return errBroken
+			return errConnBroken
 		}
-		err = a.read(resp)
-		// It runs, or it ran and the answer got lost on the way: the engine has it.
+		err = a.readStream(resp)
+		// The request runs, or it ran and its answer was lost on the way: the engine has
+		// the stream.
 		if p := new(problem.Problem); errors.As(err, &p) && (p.Outcome == problem.Pending || p.Kind == problem.AlreadyRun) {
 			a.ans.Endpoint = p.Endpoint
-			return errBroken
+			return errConnBroken
 		}
 		return err
 	}
@@ -195,29 +198,30 @@
 		return err
 	}
 	req.Header.Set(endpoint.HeaderResume, strconv.Itoa(a.ans.Tokens-1))
-	resp, err := a.c.httpClient().Do(req)
+	resp, err := a.client.httpClient().Do(req)
 	if err != nil {
-		return errBroken
+		return errConnBroken
 	}
 	a.ans.Resumed++
-	return a.read(resp)
+	return a.readStream(resp)
 }
 
-// maxEvent bounds a line of a stream, in bytes.
-const maxEvent = 128 << 10
+// maxLineBytes is the largest length of a line of a stream.
+const maxLineBytes = 128 << 10
 
-// read takes the pieces of a stream, each checked to be the request's own and the next one.
-func (a *attempt) read(resp *http.Response) error {
+// readStream reads the pieces of a stream and checks that each belongs to the request and
+// is the next one.
+func (a *attempt) readStream(resp *http.Response) error {
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return readProblem(resp)
 	}
 	a.ans.Endpoint = resp.Header.Get(router.HeaderEndpoint)
-	sc := bufio.NewScanner(resp.Body)
-	sc.Buffer(nil, maxEvent)
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(nil, maxLineBytes)
 	seq, failed, finished := -1, false, false
-	for sc.Scan() {
-		line := sc.Text()
+	for scanner.Scan() {
+		line := scanner.Text()
 		data, isData := strings.CutPrefix(line, "data: ")
 		switch {
 		case strings.HasPrefix(line, "event: error"):
@@ -227,38 +231,38 @@
 		case isData && failed:
 			var p problem.Problem
 			if json.Unmarshal([]byte(data), &p) != nil {
-				return errBroken
+				return errConnBroken
 			}
 			return &p
 		case isData && data == endpoint.DoneData && finished:
 			return nil
 		case isData && data != endpoint.DoneData:
-			fin, err := a.piece(seq, data)
+			isLast, err := a.addPiece(seq, data)
 			if err != nil {
 				return err
 			}
-			finished = finished || fin
+			finished = finished || isLast
 		}
 	}
-	if err := sc.Err(); err != nil && errors.Is(err, io.EOF) {
-		return errBroken
+	if err := scanner.Err(); err != nil && errors.Is(err, io.EOF) {
+		return errConnBroken
 	}
-	return errBroken
+	return errConnBroken
 }
 
-// piece takes one piece and reports whether it is the last.
-func (a *attempt) piece(seq int, data string) (bool, error) {
-	var ch endpoint.Chunk
-	if err := json.Unmarshal([]byte(data), &ch); err != nil || len(ch.Choices) != 1 {
-		return false, errBroken
+// addPiece checks and adds one piece, and reports whether it is the last.
+func (a *attempt) addPiece(seq int, data string) (bool, error) {
+	var chunk endpoint.Chunk
+	if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) != 1 {
+		return false, errConnBroken
 	}
-	if ch.ID != a.id || seq != a.ans.Tokens {
+	if chunk.ID != a.id || seq != a.ans.Tokens {
 		return false, problem.Lost(problem.BadAnswer, a.ans.Endpoint, "resubmit if running twice does no harm", "a piece of another answer came")
 	}
 	if a.ans.Tokens == 0 {
 		a.ans.FirstToken = time.Since(a.start)
 	}
 	a.ans.Tokens++
-	a.text.WriteString(ch.Choices[0].Text)
-	return ch.Choices[0].FinishReason != nil, nil
+	a.text.WriteString(chunk.Choices[0].Text)
+	return chunk.Choices[0].FinishReason != nil, nil
 }
