--- a/fleet/agent.go
+++ b/fleet/agent.go
@@ -223,7 +223,7 @@
 	}()
 }
 
-// neighbors returns the neighbours of this host, computed anew when the table has changed;
+// neighbors returns the neighbours of this host, recomputed when the table has changed;
 // mu must be held.
 func (a *Agent) neighbors() []Host {
 	if a.neighborVersion != a.table.Version() || a.neighborCache == nil {
