--- a/client/call.go
+++ b/client/call.go
@@ -60,7 +60,7 @@
 			return ans, nil
 		}
 		lastErr = err
-		p := problem.Of(err)
+		p := problem.FromError(err)
 		if !mayResubmit(p, call.NoRepeat) || ctx.Err() != nil {
 			return CallAnswer{ID: id}, err
 		}
--- a/client/complete.go
+++ b/client/complete.go
@@ -79,7 +79,7 @@
 			return a.ans, nil
 		}
 		lastErr = err
-		p := problem.Of(err)
+		p := problem.FromError(err)
 		if !mayResubmit(p, completion.NoRepeat) || ctx.Err() != nil {
 			return a.ans, err
 		}
@@ -102,7 +102,7 @@
 	}
 	switch p.Kind {
 	case problem.BadRequest, problem.BadID, problem.BodyTooLarge, problem.UnknownModel,
-		problem.UnknownWorkspace, problem.MissingID, problem.Cancelled:
+		problem.UnknownWorkspace, problem.MissingID, problem.Canceled:
 		return false
 	}
 	return p.Outcome == problem.NotRun
--- a/cmd/hkdev/check.go
+++ b/cmd/hkdev/check.go
@@ -86,7 +86,7 @@
 		outcome := string(problem.Answered)
 		if err != nil {
 			code = 1
-			outcome = problem.Of(err).Error()
+			outcome = problem.FromError(err).Error()
 		}
 		fmt.Printf("%-8s %-7s %-24s %-16s %-11s %s\n", t.Tier, kind, t.Workspace+"/"+t.Service, endpoint, took.Round(10*time.Microsecond), outcome)
 	}
--- a/edge/host.go
+++ b/edge/host.go
@@ -241,12 +241,12 @@
 		return err
 	}
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: h.Boot.Host, Life: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Check,
+		Table: &peers.Table{Host: h.Boot.Host, Incarnation: h.life}, Conn: conn, Seeds: h.seeds(h.Boot.Seeds), Host: h, Now: h.now, CheckGap: h.watch.Check,
 		Rand: rand.New(rand.NewPCG(h.life, 1)), Log: h.Log.WithName("peers"),
 	}
-	h.agent.Places = h.ingress
+	h.agent.Slots = h.ingress
 	h.agent.Init()
-	h.ingress.SetRequestSlots(h.agent.TriggerAsks)
+	h.ingress.SetRequestSlots(h.agent.TriggerSlotRequests)
 	h.ingress.SetCrashNotifier(h.agent.TriggerHeartbeat)
 	return nil
 }
--- a/edge/join_test.go
+++ b/edge/join_test.go
@@ -26,7 +26,7 @@
 	h := &Host{Boot: boot, Log: logr.Discard(), Clock: clock.NewSteady(), stopping: make(chan struct{})}
 	h.build()
 	h.agent = &peers.Agent{
-		Table: &peers.Table{Host: boot.Host, Life: 1}, Host: h, Now: h.now, Rand: rand.New(rand.NewPCG(1, 2)), Log: logr.Discard(),
+		Table: &peers.Table{Host: boot.Host, Incarnation: 1}, Host: h, Now: h.now, Rand: rand.New(rand.NewPCG(1, 2)), Log: logr.Discard(),
 	}
 	h.agent.Init()
 	return h
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -311,7 +311,7 @@
 
 // callJSON sends a request with an optional JSON body and decodes the JSON answer.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
-	req, err := jsoncall.Request(ctx, method, c.Base+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, c.Base+path, in)
 	if err != nil {
 		return err
 	}
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -48,7 +48,7 @@
 		name := fmt.Sprintf("e%02d", i)
 		e := &fake.Engine{Core: fake.EngineCore{Slots: 4, PrefillPerStep: 512, CacheBlocks: 10}, StepTime: 5 * time.Millisecond, Store: z.store, Unfenced: !fenced}
 		if held {
-			e.Hold(*spec("m", "1"))
+			e.SetLoaded(*spec("m", "1"))
 		}
 		z.engines[name] = e
 		z.net[name] = e.Handler()
@@ -154,7 +154,7 @@
 	}{
 		{"empty engines are filled", engines, func(z *testZone) time.Duration {
 			for _, e := range z.engines {
-				e.Hold(*spec("other", "9"))
+				e.SetLoaded(*spec("other", "9"))
 			}
 			z.addPlacer(z.kv)
 			return z.waitForVersion("1")
@@ -206,7 +206,7 @@
 			return z.waitForVersion("2")
 		}},
 		{"weight store ten times slower", engines, func(z *testZone) time.Duration {
-			z.store.SetFaults(fake.WeightFaults{SlowBy: 10})
+			z.store.SetFaults(fake.WeightFaults{Slowdown: 10})
 			z.addPlacer(z.kv)
 			z.setPlacement("2", engines, true)
 			return z.waitForVersion("2")
--- a/placer/lease.go
+++ b/placer/lease.go
@@ -76,7 +76,7 @@
 	switch {
 	case err == nil:
 		l.renewed = sent
-	case errors.Is(err, keyval.ErrLeaseGone), l.Clock.Now()-l.renewed >= l.ttl():
+	case errors.Is(err, keyval.ErrLeaseExpired), l.Clock.Now()-l.renewed >= l.ttl():
 		l.token, l.leaseID = 0, 0
 	}
 	return err
--- a/router/completions.go
+++ b/router/completions.go
@@ -160,7 +160,7 @@
 		r.metrics.Record(a.j.key(), metrics.FirstToken, since)
 		return
 	}
-	r.metrics.Record(a.j.key(), metrics.BetweenTokens, since)
+	r.metrics.Record(a.j.key(), metrics.InterToken, since)
 }
 
 // Figures of resuming.
--- a/router/drain.go
+++ b/router/drain.go
@@ -79,7 +79,7 @@
 // several may answer, and the loss of one loses nothing.
 func (r *Router) handOn(ctx context.Context) {
 	r.onceMu.Lock()
-	h := r.witness.Leave()
+	h := r.witness.PrepareHandover()
 	r.onceMu.Unlock()
 	if len(h.Recorded) == 0 {
 		return
--- a/router/serve.go
+++ b/router/serve.go
@@ -58,7 +58,7 @@
 		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", ws))
 		return
 	}
-	writeJSON(w, r.address(ws, s.Hosts(ws), s.Revision))
+	writeJSON(w, r.address(ws, s.HostCount(ws), s.Revision))
 }
 
 // address makes the answer for a workspace.
