--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -98,7 +98,7 @@
 func (c *Cluster) Start() error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	if c.Platform.KV == nil {
-		c.Platform = fake.Platform{KV: &fake.KV{Writes: 100, Reads: 2000}, Hosts: &fake.HostList{}, Weights: &fake.WeightStore{}}
+		c.Platform = fake.Platform{KV: &fake.KV{MaxWriteRate: 100, MaxReadRate: 2000}, Hosts: &fake.HostList{}, Weights: &fake.WeightStore{}}
 	}
 	s, err := c.serve(c.Platform.Handler())
 	if err != nil {
@@ -156,7 +156,7 @@
 		if e.Engine {
 			eng := c.newEngine(i, e)
 			if m, ok := held[e.Name]; ok {
-				eng.Hold(m)
+				eng.SetLoaded(m)
 			}
 			c.Engines[e.Name] = eng
 			h = eng.Handler()
@@ -187,11 +187,11 @@
 		step = 3 * time.Millisecond
 	}
 	return &fake.Engine{
-		Core:     fake.EngineCore{Slots: e.Slots, PrefillPerStep: 512, CacheBlocks: 4096},
-		StepTime: step * time.Duration(2+i%3) / 2,
-		Lag:      200 * time.Millisecond,
-		Store:    c.Platform.Weights,
-		Unfenced: !e.Fenced,
+		Core:      fake.EngineCore{Slots: e.Slots, PrefillPerStep: 512, CacheBlocks: 4096},
+		StepTime:  step * time.Duration(2+i%3) / 2,
+		ReportLag: 200 * time.Millisecond,
+		Store:     c.Platform.Weights,
+		Unfenced:  !e.Fenced,
 	}
 }
 
--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -177,7 +177,7 @@
 
 // checkRuns holds the promises of calls that may not be repeated.
 func (f *fleet) checkRuns() {
-	most, _ := f.Services["s1"].Most()
+	most, _ := f.Services["s1"].RunStats()
 	must.LessEq(f.t, 1, most)
 	f.ids.Range(func(name, out any) bool {
 		runs := f.Services["s1"].Runs(name.(string))
@@ -190,7 +190,7 @@
 		return true
 	})
 	for name, e := range f.Engines {
-		_, n := e.TotalRuns()
+		_, n := e.RunStats()
 		must.LessEq(f.t, 1, n, must.Sprint(name))
 	}
 }
@@ -204,7 +204,7 @@
 	must.NoError(t, err)
 	f.until("all engines hold version 2", func() bool {
 		for _, e := range f.Engines {
-			if h := e.Held(); h == nil || h.Version != "2" {
+			if h := e.Loaded(); h == nil || h.Version != "2" {
 				return false
 			}
 		}
--- a/internal/fake/contract_test.go
+++ b/internal/fake/contract_test.go
@@ -76,7 +76,7 @@
 		must.Eq(t, "2", string(it.Value))
 	}},
 	{"a watch without change ends", func(t *testing.T, kv keyval.KV, stand *KV) {
-		stand.WatchTime = 20 * time.Millisecond
+		stand.WatchTimeout = 20 * time.Millisecond
 		_, err := kv.Watch(t.Context(), "a", 0)
 		must.ErrorIs(t, err, keyval.ErrNotFound)
 	}},
@@ -113,7 +113,7 @@
 		must.NoError(t, err)
 	}},
 	{"calls over the rate are refused and write nothing", func(t *testing.T, kv keyval.KV, stand *KV) {
-		stand.Writes = 2
+		stand.MaxWriteRate = 2
 		var limited int
 		for range 5 {
 			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrLimited) {
@@ -170,7 +170,7 @@
 // newEngine makes an engine that holds model m.
 func newEngine() *Engine {
 	e := &Engine{Core: EngineCore{Slots: 2, PrefillPerStep: 512, CacheBlocks: 8}, StepTime: time.Millisecond}
-	e.Hold(endpoint.Holding{Model: "m", Version: "1"})
+	e.SetLoaded(endpoint.Holding{Model: "m", Version: "1"})
 	return e
 }
 
@@ -191,7 +191,7 @@
 		srv := httptest.NewServer(e.Handler())
 		cl := &endpoint.Client{Base: srv.URL}
 		for i, tok := range c.tokens {
-			err := cl.Order(t.Context(), endpoint.Order{Token: tok, Want: e.Held(), Role: "both"})
+			err := cl.Order(t.Context(), endpoint.Order{Token: tok, Want: e.Loaded(), Role: "both"})
 			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStale), must.Sprint(c.name, i))
 		}
 		srv.Close()
@@ -217,13 +217,13 @@
 		}
 	}
 	must.Eq(t, []string{"first", "urgent", "patient"}, order)
-	must.Eq(t, 2, c.Holds([]uint64{1, 2, 9}))
+	must.Eq(t, 2, c.PeekPrefix([]uint64{1, 2, 9}))
 	again := &Job{ID: "again", Blocks: []uint64{1, 2, 3, 4}, PromptTokens: 256, OutputTokens: 1}
 	c.Add(again)
 	for !c.Idle() {
 		c.Step()
 	}
-	must.Eq(t, 128, again.Computed)
+	must.Eq(t, 128, again.ComputedTokens)
 	// The cache holds three blocks: one of four was evicted, and told so.
 	gone := 0
 	for _, e := range c.Events(0) {
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -47,7 +47,7 @@
 		name := fmt.Sprintf("e%02d", i)
 		e := &fake.Engine{Core: fake.EngineCore{Slots: 4, PrefillPerStep: 512, CacheBlocks: 10}, StepTime: 5 * time.Millisecond, Store: b.store, Unfenced: !fenced}
 		if held {
-			e.Hold(*holds("m", "1"))
+			e.SetLoaded(*holds("m", "1"))
 		}
 		b.engines[name] = e
 		b.net[name] = e.Handler()
@@ -153,7 +153,7 @@
 	}{
 		{"empty engines are filled", engines, func(b *bay) time.Duration {
 			for _, e := range b.engines {
-				e.Hold(*holds("other", "9"))
+				e.SetLoaded(*holds("other", "9"))
 			}
 			b.add(b.kv)
 			return b.until("1")
@@ -205,7 +205,7 @@
 			return b.until("2")
 		}},
 		{"weight store ten times slower", engines, func(b *bay) time.Duration {
-			b.store.SetFaults(fake.WeightFaults{SlowBy: 10})
+			b.store.SetFaults(fake.WeightFaults{Slowdown: 10})
 			b.add(b.kv)
 			b.declare("2", engines, true)
 			return b.until("2")
