--- a/internal/fake/contract_test.go
+++ b/internal/fake/contract_test.go
@@ -18,12 +18,12 @@
 	"github.com/heathkeel/heathkeel/keyval"
 )
 
-// kvPromises name what the key-value service promises; each case gets an empty one.
-var kvPromises = []struct {
+// kvContract lists the guarantees of the key-value service; each case gets an empty one.
+var kvContract = []struct {
 	name string
-	run  func(t *testing.T, kv keyval.KV, stand *KV)
+	run  func(t *testing.T, kv keyval.KV, fakeKV *KV)
 }{
-	{"a key that is not there is not found", func(t *testing.T, kv keyval.KV, _ *KV) {
+	{"a missing key is not found", func(t *testing.T, kv keyval.KV, _ *KV) {
 		_, err := kv.Get(t.Context(), "a")
 		must.ErrorIs(t, err, keyval.ErrNotFound)
 	}},
@@ -36,7 +36,7 @@
 			must.Eq(t, keyval.Item{Key: key, Value: []byte("1\x00"), Version: v}, it)
 		}
 	}},
-	{"a swap of another version conflicts and writes nothing", func(t *testing.T, kv keyval.KV, _ *KV) {
+	{"a swap with a wrong version conflicts and writes nothing", func(t *testing.T, kv keyval.KV, _ *KV) {
 		v, _ := kv.Swap(t.Context(), "a", 0, []byte("1"), 0)
 		for _, wrong := range []uint64{0, v + 1} {
 			_, err := kv.Swap(t.Context(), "a", wrong, []byte("2"), 0)
@@ -45,7 +45,7 @@
 		it, _ := kv.Get(t.Context(), "a")
 		must.Eq(t, "1", string(it.Value))
 	}},
-	{"versions rise over deletions", func(t *testing.T, kv keyval.KV, _ *KV) {
+	{"versions increase across deletions", func(t *testing.T, kv keyval.KV, _ *KV) {
 		v, _ := kv.Swap(t.Context(), "a", 0, nil, 0)
 		must.ErrorIs(t, kv.Delete(t.Context(), "a", v+1), keyval.ErrConflict)
 		must.NoError(t, kv.Delete(t.Context(), "a", v))
@@ -61,26 +61,26 @@
 		must.NoError(t, err)
 		must.Eq(t, []string{"b/1", "b/2"}, keys)
 	}},
-	{"a value over the limit is refused", func(t *testing.T, kv keyval.KV, _ *KV) {
+	{"a value above the size limit is refused", func(t *testing.T, kv keyval.KV, _ *KV) {
 		_, err := kv.Swap(t.Context(), "a", 0, make([]byte, keyval.MaxValue+1), 0)
 		must.ErrorIs(t, err, keyval.ErrTooLarge)
 	}},
-	{"a watch returns a change that came before or comes during it", func(t *testing.T, kv keyval.KV, stand *KV) {
+	{"a watch returns a change made before or during it", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
 		v, _ := kv.Swap(t.Context(), "a", 0, []byte("1"), 0)
 		it, err := kv.Watch(t.Context(), "a", v-1)
 		must.NoError(t, err)
 		must.Eq(t, v, it.Version)
-		go func() { _, _ = stand.Swap(context.Background(), "a", v, []byte("2"), 0) }()
+		go func() { _, _ = fakeKV.Swap(context.Background(), "a", v, []byte("2"), 0) }()
 		it, err = kv.Watch(t.Context(), "a", v)
 		must.NoError(t, err)
 		must.Eq(t, "2", string(it.Value))
 	}},
-	{"a watch without change ends", func(t *testing.T, kv keyval.KV, stand *KV) {
-		stand.WatchTimeout = 20 * time.Millisecond
+	{"a watch without a change times out", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
+		fakeKV.WatchTimeout = 20 * time.Millisecond
 		_, err := kv.Watch(t.Context(), "a", 0)
 		must.ErrorIs(t, err, keyval.ErrNotFound)
 	}},
-	{"a key goes with its lease", func(t *testing.T, kv keyval.KV, _ *KV) {
+	{"a key expires with its lease", func(t *testing.T, kv keyval.KV, _ *KV) {
 		l, err := kv.Grant(t.Context(), 30*time.Millisecond)
 		must.NoError(t, err)
 		_, err = kv.Swap(t.Context(), "a", 0, nil, l)
@@ -93,27 +93,27 @@
 		_, err = kv.Swap(t.Context(), "a", 0, nil, l)
 		must.ErrorIs(t, err, keyval.ErrLeaseGone)
 	}},
-	{"an answer may be lost after the write", func(t *testing.T, kv keyval.KV, stand *KV) {
-		stand.SetFaults(KVFaults{LoseAnswer: 1})
+	{"an answer may be lost after the write", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
+		fakeKV.SetFaults(KVFaults{LoseAnswer: 1})
 		_, err := kv.Swap(t.Context(), "a", 0, []byte("1"), 0)
 		must.ErrorIs(t, err, keyval.ErrUnavailable)
 		it, err := kv.Get(t.Context(), "a")
 		must.NoError(t, err)
 		must.Eq(t, "1", string(it.Value))
 	}},
-	{"an outage makes every call unavailable and loses nothing", func(t *testing.T, kv keyval.KV, stand *KV) {
+	{"an outage makes every call unavailable and loses nothing", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
 		_, _ = kv.Swap(t.Context(), "a", 0, []byte("1"), 0)
-		stand.SetFaults(KVFaults{Down: true})
+		fakeKV.SetFaults(KVFaults{Down: true})
 		_, err := kv.Get(t.Context(), "a")
 		must.ErrorIs(t, err, keyval.ErrUnavailable)
 		_, err = kv.Grant(t.Context(), time.Second)
 		must.ErrorIs(t, err, keyval.ErrUnavailable)
-		stand.SetFaults(KVFaults{})
+		fakeKV.SetFaults(KVFaults{})
 		_, err = kv.Get(t.Context(), "a")
 		must.NoError(t, err)
 	}},
-	{"calls over the rate are refused and write nothing", func(t *testing.T, kv keyval.KV, stand *KV) {
-		stand.MaxWriteRate = 2
+	{"calls above the rate limit are refused and write nothing", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
+		fakeKV.MaxWriteRate = 2
 		var limited int
 		for range 5 {
 			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrLimited) {
@@ -124,8 +124,8 @@
 	}},
 }
 
-func TestKVPromises(t *testing.T) {
-	for _, c := range kvPromises {
+func TestKVContract(t *testing.T) {
+	for _, c := range kvContract {
 		t.Run(c.name+"/direct", func(t *testing.T) {
 			kv := &KV{}
 			c.run(t, kv, kv)
@@ -167,14 +167,14 @@
 	must.Eq(t, "b", names())
 }
 
-// newEngine makes an engine that holds model m.
+// newEngine returns an engine with model m loaded.
 func newEngine() *Engine {
 	e := &Engine{Core: EngineCore{Slots: 2, PrefillPerStep: 512, CacheBlocks: 8}, StepTime: time.Millisecond}
 	e.SetLoaded(endpoint.Holding{Model: "m", Version: "1"})
 	return e
 }
 
-func TestEngineRefusesOlderTokens(t *testing.T) {
+func TestEngineRefusesStaleTokens(t *testing.T) {
 	cases := []struct {
 		name     string
 		unfenced bool
@@ -183,15 +183,15 @@
 	}{
 		{"rising", false, []uint64{1, 2, 2, 5}, []bool{false, false, false, false}},
 		{"older after newer", false, []uint64{5, 4, 6}, []bool{false, true, false}},
-		{"unfenced obeys anybody", true, []uint64{5, 4}, []bool{false, false}},
+		{"unfenced accepts any token", true, []uint64{5, 4}, []bool{false, false}},
 	}
 	for _, c := range cases {
 		e := newEngine()
 		e.Unfenced = c.unfenced
 		srv := httptest.NewServer(e.Handler())
-		cl := &endpoint.Client{Base: srv.URL}
-		for i, tok := range c.tokens {
-			err := cl.Order(t.Context(), endpoint.Order{Token: tok, Want: e.Loaded(), Role: "both"})
+		client := &endpoint.Client{Base: srv.URL}
+		for i, token := range c.tokens {
+			err := client.Order(t.Context(), endpoint.Order{Token: token, Want: e.Loaded(), Role: "both"})
 			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStale), must.Sprint(c.name, i))
 		}
 		srv.Close()
@@ -218,18 +218,18 @@
 	}
 	must.Eq(t, []string{"first", "urgent", "patient"}, order)
 	must.Eq(t, 2, c.PeekPrefix([]uint64{1, 2, 9}))
-	again := &Job{ID: "again", Blocks: []uint64{1, 2, 3, 4}, PromptTokens: 256, OutputTokens: 1}
-	c.Add(again)
+	cached := &Job{ID: "again", Blocks: []uint64{1, 2, 3, 4}, PromptTokens: 256, OutputTokens: 1}
+	c.Add(cached)
 	for !c.Idle() {
 		c.Step()
 	}
-	must.Eq(t, 128, again.ComputedTokens)
-	// The cache holds three blocks: one of four was evicted, and told so.
-	gone := 0
+	must.Eq(t, 128, cached.ComputedTokens)
+	// The cache holds three of the four blocks, so that one eviction must be reported.
+	evictions := 0
 	for _, e := range c.Events(0) {
 		if e.Gone {
-			gone++
+			evictions++
 		}
 	}
-	must.Eq(t, 1, gone)
+	must.Eq(t, 1, evictions)
 }
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -15,131 +15,134 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// EngineFaults are the faults of an engine; the zero value has none.
+// EngineFaults selects the faults that an Engine injects; the zero value has none.
 type EngineFaults struct {
 	// Slowdown multiplies the time of a step; 0 means 1.
 	Slowdown float64
 	// Dead breaks every connection.
 	Dead bool
-	// StopReports makes reports fail.
+	// StopReports makes the load report fail with status 503.
 	StopReports bool
-	// DroppedEventsPerTen is the number of cache events lost of each ten.
+	// DroppedEventsPerTen is the number of cache events that reports omit of every ten.
 	DroppedEventsPerTen int
-	// BreakAfter breaks a stream after that many pieces, once for each stream; 0 never.
+	// BreakAfter breaks the connection of a stream after this number of pieces, once
+	// for each stream; 0 never does.
 	BreakAfter int
-	// WrongIDAt gives the piece of that number another request's ID, RepeatAt sends
-	// it twice and SkipAt leaves it out; 0 never.
+	// WrongIDAt sends the piece of that number with another request's ID, DuplicateAt
+	// sends it twice and SkipAt omits it; 0 never does.
 	WrongIDAt, DuplicateAt, SkipAt int
-	// ServerErrors makes new requests fail with a server error.
+	// ServerErrors makes new requests fail with status 500.
 	ServerErrors bool
 }
 
-// Engine is a stand-in model engine, served over HTTP.
+// Engine is a fake model engine, served over HTTP.
 type Engine struct {
-	// Core is the batching engine; set its sizes before use.
+	// Core does the batching; set its sizes before use.
 	Core EngineCore
-	// StepTime is the time of one step.
+	// StepTime is the duration of one step.
 	StepTime time.Duration
-	// ReportLag is the age of reports.
+	// ReportLag is the minimum age of the load reports that the engine serves; 0
+	// serves current ones.
 	ReportLag time.Duration
-	// OutputTokens gives the number of tokens of an answer; nil means as many as asked.
+	// OutputTokens returns the number of tokens of an answer; nil generates maxTokens.
 	OutputTokens func(prompt string, maxTokens int) int
-	// Store is where weights come from; nil means that loading takes no time.
+	// Store is where the engine loads weights from; nil loads them instantly.
 	Store *WeightStore
-	// Unfenced makes the engine obey any order.
+	// Unfenced makes the engine accept orders with stale fencing tokens.
 	Unfenced bool
 
-	mu      sync.Mutex
-	faults  EngineFaults
-	streams map[string]*engineStream
-	past    []agedReport
-	holding *endpoint.Holding
-	loading *endpoint.Holding
-	role    string
-	token   uint64
-	runs    map[string]int
-	orders  int
-	wake    chan struct{}
+	mu            sync.Mutex
+	faults        EngineFaults
+	streams       map[string]*engineStream
+	pastReports   []timedReport
+	loaded        *endpoint.Holding
+	loading       *endpoint.Holding
+	role          string
+	token         uint64
+	runs          map[string]int
+	appliedOrders int
+	wake          chan struct{}
 }
 
-// engineStream keeps what was generated, so that it can be resumed.
+// engineStream keeps the generated pieces of a request, so that its stream can be resumed.
 type engineStream struct {
-	job    *Job
-	pieces []endpoint.Piece
-	more   chan struct{}
-	cut    bool
+	job     *Job
+	pieces  []endpoint.Piece
+	updated chan struct{}
+	broken  bool
 }
 
-// agedReport is a report and when it was taken.
-type agedReport struct {
-	at time.Time
+// timedReport is a report and the time at which it was taken.
+type timedReport struct {
+	takenAt time.Time
 	endpoint.Report
 }
 
-// maxPast bounds the reports kept for lagging readers.
-const maxPast = 256
+// maxPastReports is the maximum number of reports kept to serve lagging ones.
+const maxPastReports = 256
 
-// SetLoaded sets what the engine holds at the start.
-func (e *Engine) SetLoaded(h endpoint.Holding) {
+// SetLoaded sets the model that is loaded at the start.
+func (e *Engine) SetLoaded(model endpoint.Holding) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.holding = &h
+	e.loaded = &model
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// SetStepTime changes the time of a step while the engine runs.
+// SetStepTime changes the duration of a step; the engine may be running.
 func (e *Engine) SetStepTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.StepTime = d
 }
 
-// Runs returns how often a request was run under an ID.
+// Runs returns the number of times that the request with an ID was started.
 func (e *Engine) Runs(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// RunStats returns the number of IDs run and the largest count of one.
-func (e *Engine) RunStats() (ids, most int) {
+// RunStats returns the number of IDs that were started and the maximum number of
+// runs of one ID.
+func (e *Engine) RunStats() (ids, maxRuns int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, n := range e.runs {
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 	}
-	return len(e.runs), most
+	return len(e.runs), maxRuns
 }
 
-// AppliedOrders returns the number of orders obeyed that changed something.
+// AppliedOrders returns the number of accepted orders that changed the model.
 func (e *Engine) AppliedOrders() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.orders
+	return e.appliedOrders
 }
 
-// Active returns the number of requests in the engine.
+// Active returns the number of running and waiting requests.
 func (e *Engine) Active() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.Core.Jobs())
 }
 
-// Restart drops all requests, streams and cache, as a new process would.
+// Restart drops all requests, streams and the cache, as a restart of the process does.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Core.Clear()
 	e.loading = nil
 	for _, s := range e.streams {
-		close(s.more)
-		s.more = nil
+		close(s.updated)
+		s.updated = nil
 	}
 	e.streams = nil
 }
@@ -175,43 +178,43 @@
 	}
 }
 
-// step runs one step and hands its tokens to the streams.
+// step runs one step and appends its tokens to the streams.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, em := range e.Core.Step() {
-		s := e.streams[em.Job.ID]
+	for _, tok := range e.Core.Step() {
+		s := e.streams[tok.Job.ID]
 		if s == nil {
 			continue
 		}
 		n := len(s.pieces)
-		p := endpoint.Piece{ID: em.Job.ID, Seq: n, Text: "t" + strconv.Itoa(n) + " "}
-		if em.Last {
+		p := endpoint.Piece{ID: tok.Job.ID, Seq: n, Text: "t" + strconv.Itoa(n) + " "}
+		if tok.Last {
 			p.Finish = "stop"
 		}
 		s.pieces = append(s.pieces, p)
-		close(s.more)
-		s.more = make(chan struct{})
+		close(s.updated)
+		s.updated = make(chan struct{})
 	}
-	e.past = append(e.past, agedReport{time.Now(), e.report()})
-	if len(e.past) > maxPast {
-		e.past = slices.Delete(e.past, 0, len(e.past)-maxPast/2)
+	e.pastReports = append(e.pastReports, timedReport{time.Now(), e.report()})
+	if len(e.pastReports) > maxPastReports {
+		e.pastReports = slices.Delete(e.pastReports, 0, len(e.pastReports)-maxPastReports/2)
 	}
 }
 
-// report returns the account now; mu must be held.
+// report returns a current report; the caller must hold mu.
 func (e *Engine) report() endpoint.Report {
 	r := e.Core.Report()
 	r.StepUS = e.StepTime.Microseconds()
-	r.Holding, r.Loading, r.Role, r.Token = e.holding, e.loading, e.role, e.token
+	r.Holding, r.Loading, r.Role, r.Token = e.loaded, e.loading, e.role, e.token
 	if r.Role == "" {
 		r.Role = "both"
 	}
 	return r
 }
 
-// admit adds a request to the core; mu must be held.
-func (e *Engine) admit(id string, body endpoint.CompletionBody) {
+// addRequest adds a request to the core; the caller must hold mu.
+func (e *Engine) addRequest(id string, body endpoint.CompletionBody) {
 	if e.runs == nil {
 		e.runs = make(map[string]int)
 	}
@@ -219,15 +222,15 @@
 		e.streams = make(map[string]*engineStream)
 	}
 	e.runs[id]++
-	out := max(body.MaxTokens, 1)
+	outputTokens := max(body.MaxTokens, 1)
 	if e.OutputTokens != nil {
-		out = e.OutputTokens(body.Prompt, out)
+		outputTokens = e.OutputTokens(body.Prompt, outputTokens)
 	}
 	j := &Job{
 		ID: id, Blocks: sched.Blocks(body.Prompt), PromptTokens: sched.Tokens(len(body.Prompt)),
-		OutputTokens: out, Priority: body.Priority,
+		OutputTokens: outputTokens, Priority: body.Priority,
 	}
-	e.streams[id] = &engineStream{job: j, more: make(chan struct{})}
+	e.streams[id] = &engineStream{job: j, updated: make(chan struct{})}
 	e.Core.Add(j)
 	if e.wake != nil {
 		select {
@@ -237,8 +240,9 @@
 	}
 }
 
-// fetch loads weights and holds them if nothing else was ordered meanwhile.
-func (e *Engine) fetch(o endpoint.Order) {
+// loadWeights loads the weights of an order and makes its model the loaded one,
+// unless another order came in the meantime, the load failed or the digest differs.
+func (e *Engine) loadWeights(o endpoint.Order) {
 	var digest string
 	var err error
 	if e.Store != nil {
@@ -246,27 +250,28 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !sameHolding(e.loading, o.Want) {
+	if !sameModel(e.loading, o.Want) {
 		return
 	}
 	e.loading = nil
 	if err != nil || (o.Digest != "" && digest != o.Digest) {
 		return
 	}
-	e.holding = o.Want
+	e.loaded = o.Want
 }
 
-// sameHolding compares two holdings.
-func sameHolding(a, b *endpoint.Holding) bool {
+// sameModel reports whether a and b are both nil or have the same model, version
+// and adapters.
+func sameModel(a, b *endpoint.Holding) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Adapters, b.Adapters)
 }
 
-// Loaded returns what the engine holds, or nil.
+// Loaded returns the loaded model, or nil.
 func (e *Engine) Loaded() *endpoint.Holding {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.holding
+	return e.loaded
 }
--- a/internal/fake/enginecore.go
+++ b/internal/fake/enginecore.go
@@ -12,41 +12,42 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// Job is a request at a stand-in engine.
+// Job is a request in a fake engine.
 type Job struct {
-	// ID names it.
+	// ID identifies the request.
 	ID string
-	// Blocks are the prompt's cache blocks.
+	// Blocks are the hashes of the prompt's cache blocks.
 	Blocks []uint64
-	// PromptTokens and OutputTokens are its lengths.
+	// PromptTokens and OutputTokens are the lengths of the prompt and the answer.
 	PromptTokens, OutputTokens int
-	// Priority is 0 for the most urgent.
+	// Priority orders requests; 0 is the most urgent.
 	Priority int
 
-	// ComputedTokens counts prompt tokens computed, without those found in the cache.
+	// ComputedTokens counts the prompt tokens computed, without those found in the cache.
 	ComputedTokens int
-	// GeneratedTokens counts tokens generated.
+	// GeneratedTokens counts the tokens generated so far.
 	GeneratedTokens int
 
-	left int // prompt tokens still to compute
+	remaining int // prompt tokens still to compute
 }
 
 // GeneratedToken is a token that a step generated.
 type GeneratedToken struct {
-	// Job is the request that it belongs to.
+	// Job is the request that the token belongs to.
 	Job *Job
-	// Last is true for the final token.
+	// Last is true for the last token of the answer.
 	Last bool
 }
 
-// EngineCore is the pure heart of a stand-in engine: continuous batching with
-// priorities and a prefix cache of limited size. One call of Step is one step.
+// EngineCore is the batching of a fake engine, without I/O and clock: continuous
+// batching with priorities and a prefix cache of limited size. Each call of Step
+// is one step.
 type EngineCore struct {
-	// Slots is the number of requests that run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// PrefillPerStep is the number of prompt tokens computed in a step.
+	// PrefillPerStep is the maximum number of prompt tokens computed in a step.
 	PrefillPerStep int
-	// CacheBlocks is the number of prompt blocks that the cache holds.
+	// CacheBlocks is the number of prompt blocks that the cache can hold.
 	CacheBlocks int
 
 	running, waiting []*Job
@@ -55,34 +56,35 @@
 	events           []endpoint.CacheEvent
 	nextEvent        uint64
 	served, failed   int64
-	emits            []GeneratedToken
+	generated        []GeneratedToken
 }
 
-// maxEvents bounds the cache events kept for readers.
+// maxEvents is the maximum number of cache events kept for Events.
 const maxEvents = 4096
 
-// Add accepts a request.
+// Add appends a request to the queue of its priority.
 func (c *EngineCore) Add(j *Job) {
 	i, _ := slices.BinarySearchFunc(c.waiting, j.Priority+1, func(w *Job, p int) int { return w.Priority - p })
 	c.waiting = slices.Insert(c.waiting, i, j)
 }
 
-// Cancel drops a request and reports whether it was there.
+// Cancel drops a request and reports whether it was running or waiting.
 func (c *EngineCore) Cancel(id string) bool {
 	n := len(c.running) + len(c.waiting)
-	gone := func(j *Job) bool { return j.ID == id }
-	c.running = slices.DeleteFunc(c.running, gone)
-	c.waiting = slices.DeleteFunc(c.waiting, gone)
+	matches := func(j *Job) bool { return j.ID == id }
+	c.running = slices.DeleteFunc(c.running, matches)
+	c.waiting = slices.DeleteFunc(c.waiting, matches)
 	return len(c.running)+len(c.waiting) < n
 }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no request is running or waiting.
 func (c *EngineCore) Idle() bool { return len(c.running)+len(c.waiting) == 0 }
 
-// Jobs returns all requests in the engine.
+// Jobs returns the running and then the waiting requests.
 func (c *EngineCore) Jobs() []*Job { return append(slices.Clone(c.running), c.waiting...) }
 
-// Clear drops all requests and the cache, as a restart does.
+// Clear drops all requests and the cache, as a restart does. The dropped requests
+// count as failed.
 func (c *EngineCore) Clear() {
 	c.failed += int64(len(c.running) + len(c.waiting))
 	c.running, c.waiting = nil, nil
@@ -90,27 +92,28 @@
 	c.lru.Init()
 }
 
-// Step runs one step; the result is valid until the next.
+// Step runs one step and returns the tokens that it generated; the slice is valid
+// until the next call.
 func (c *EngineCore) Step() []GeneratedToken {
 	c.admit()
 	budget := c.PrefillPerStep
-	c.emits = c.emits[:0]
+	c.generated = c.generated[:0]
 	for _, j := range c.running {
-		if j.left == 0 {
+		if j.remaining == 0 {
 			c.decode(j)
 			continue
 		}
-		n := min(budget, j.left)
-		j.left -= n
+		n := min(budget, j.remaining)
+		j.remaining -= n
 		j.ComputedTokens += n
 		budget -= n
-		if j.left == 0 {
-			c.remember(j.Blocks)
+		if j.remaining == 0 {
+			c.insertBlocks(j.Blocks)
 			c.decode(j)
 		}
 	}
-	c.running = slices.DeleteFunc(c.running, func(j *Job) bool { return j.left == 0 && j.GeneratedTokens >= j.OutputTokens })
-	return c.emits
+	c.running = slices.DeleteFunc(c.running, func(j *Job) bool { return j.remaining == 0 && j.GeneratedTokens >= j.OutputTokens })
+	return c.generated
 }
 
 // admit moves waiting requests into free slots, the most urgent first.
@@ -118,23 +121,24 @@
 	for len(c.waiting) > 0 && len(c.running) < c.Slots {
 		j := c.waiting[0]
 		c.waiting = c.waiting[1:]
-		j.left = max(1, j.PromptTokens-c.LookupPrefix(j.Blocks)*sched.BlockTokens)
+		j.remaining = max(1, j.PromptTokens-c.LookupPrefix(j.Blocks)*sched.BlockTokens)
 		i, _ := slices.BinarySearchFunc(c.running, j.Priority+1, func(w *Job, p int) int { return w.Priority - p })
 		c.running = slices.Insert(c.running, i, j)
 	}
 }
 
-// decode generates one token.
+// decode generates one token of a request.
 func (c *EngineCore) decode(j *Job) {
 	j.GeneratedTokens++
 	last := j.GeneratedTokens >= j.OutputTokens
 	if last {
 		c.served++
 	}
-	c.emits = append(c.emits, GeneratedToken{j, last})
+	c.generated = append(c.generated, GeneratedToken{j, last})
 }
 
-// LookupPrefix returns the number of leading blocks in the cache.
+// LookupPrefix returns the number of leading blocks in the cache and marks them as
+// recently used.
 func (c *EngineCore) LookupPrefix(blocks []uint64) int {
 	for i, b := range blocks {
 		e, ok := c.cache[b]
@@ -146,7 +150,8 @@
 	return len(blocks)
 }
 
-// PeekPrefix returns the number of leading blocks in the cache without using them.
+// PeekPrefix returns the number of leading blocks in the cache without marking them
+// as used.
 func (c *EngineCore) PeekPrefix(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.cache[b]; !ok {
@@ -156,11 +161,11 @@
 	return len(blocks)
 }
 
-// Import puts blocks into the cache, as if computed here.
-func (c *EngineCore) Import(blocks []uint64) { c.remember(blocks) }
+// Import inserts blocks into the cache, as if they had been computed here.
+func (c *EngineCore) Import(blocks []uint64) { c.insertBlocks(blocks) }
 
-// remember puts blocks into the cache and evicts the least recently used.
-func (c *EngineCore) remember(blocks []uint64) {
+// insertBlocks inserts blocks into the cache and evicts the least recently used ones.
+func (c *EngineCore) insertBlocks(blocks []uint64) {
 	if c.cache == nil {
 		c.cache = make(map[uint64]*list.Element)
 	}
@@ -170,26 +175,26 @@
 			continue
 		}
 		c.cache[b] = c.lru.PushFront(b)
-		c.event(b, false)
+		c.addEvent(b, false)
 	}
 	for c.lru.Len() > c.CacheBlocks {
 		e := c.lru.Back()
 		b := c.lru.Remove(e).(uint64)
 		delete(c.cache, b)
-		c.event(b, true)
+		c.addEvent(b, true)
 	}
 }
 
-// event notes a cache event.
-func (c *EngineCore) event(block uint64, gone bool) {
-	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Gone: gone})
+// addEvent appends a cache event and drops the oldest ones above maxEvents.
+func (c *EngineCore) addEvent(block uint64, evicted bool) {
+	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Gone: evicted})
 	c.nextEvent++
 	if len(c.events) > maxEvents {
 		c.events = slices.Clone(c.events[len(c.events)-maxEvents/2:])
 	}
 }
 
-// Events returns the cache events from number after on.
+// Events returns the cache events whose sequence number is at least after.
 func (c *EngineCore) Events(after uint64) []endpoint.CacheEvent {
 	i, _ := slices.BinarySearchFunc(c.events, after, func(e endpoint.CacheEvent, n uint64) int {
 		return int(int64(e.Seq) - int64(n))
@@ -197,14 +202,14 @@
 	return slices.Clone(c.events[i:])
 }
 
-// Report returns the engine's account now, without cache events.
+// Report returns a current report without cache events.
 func (c *EngineCore) Report() endpoint.Report {
 	r := endpoint.Report{
 		Running: len(c.running), Waiting: len(c.waiting), Slots: c.Slots,
 		PrefillPerStep: c.PrefillPerStep, Served: c.served, Errors: c.failed, NextEvent: c.nextEvent,
 	}
 	for _, j := range c.running {
-		r.PrefillTokens += j.left
+		r.PrefillTokens += j.remaining
 	}
 	for _, j := range c.waiting {
 		r.PrefillTokens += j.PromptTokens
--- a/internal/fake/enginehttp.go
+++ b/internal/fake/enginehttp.go
@@ -21,16 +21,16 @@
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.Use(e.breakIfDead)
-	r.Path(endpoint.PathCompletions).Methods(http.MethodPost).HandlerFunc(e.generate)
-	r.Path(endpoint.PathStreams + "{id}").Methods(http.MethodGet).HandlerFunc(e.resume)
-	r.Path(endpoint.PathStreams + "{id}").Methods(http.MethodDelete).HandlerFunc(e.cancel)
-	r.Path(endpoint.PathLoad).HandlerFunc(e.load)
-	r.Path(endpoint.PathOrders).Methods(http.MethodPost).HandlerFunc(e.order)
-	r.Path(endpoint.PathCache).HandlerFunc(e.cacheTransfer)
+	r.Path(endpoint.PathCompletions).Methods(http.MethodPost).HandlerFunc(e.serveCompletion)
+	r.Path(endpoint.PathStreams + "{id}").Methods(http.MethodGet).HandlerFunc(e.serveResume)
+	r.Path(endpoint.PathStreams + "{id}").Methods(http.MethodDelete).HandlerFunc(e.serveCancel)
+	r.Path(endpoint.PathLoad).HandlerFunc(e.serveReport)
+	r.Path(endpoint.PathOrders).Methods(http.MethodPost).HandlerFunc(e.serveOrder)
+	r.Path(endpoint.PathCache).HandlerFunc(e.serveCacheTransfer)
 	return r
 }
 
-// breakIfDead breaks connections while the engine is dead.
+// breakIfDead aborts connections while the Dead fault is set.
 func (e *Engine) breakIfDead(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
@@ -43,8 +43,8 @@
 	})
 }
 
-// generate takes a request and streams its answer.
-func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
+// serveCompletion accepts a request and streams its answer.
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var body endpoint.CompletionBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -58,18 +58,18 @@
 		e.mu.Unlock()
 		http.Error(w, "fault", http.StatusInternalServerError)
 		return
-	case e.holding == nil || e.holding.Model != body.Model:
+	case e.loaded == nil || e.loaded.Model != body.Model:
 		e.mu.Unlock()
 		http.Error(w, "model not held", http.StatusBadRequest)
 		return
 	}
-	e.admit(id, body)
+	e.addRequest(id, body)
 	e.mu.Unlock()
-	e.send(w, r, id, 0)
+	e.sendPieces(w, r, id, 0)
 }
 
-// resume continues a stream after the piece that the caller names.
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
+// serveResume continues a stream after the piece that the header names.
+func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	last, err := strconv.Atoi(r.Header.Get(endpoint.HeaderResume))
 	if err != nil {
 		last = -1
@@ -82,53 +82,54 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	e.send(w, r, id, last+1)
+	e.sendPieces(w, r, id, last+1)
 }
 
-// send streams the pieces of a request from number n on, with the faults of the table.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, id string, n int) {
+// sendPieces streams the pieces of a request from number next on and injects the
+// stream faults.
+func (e *Engine) sendPieces(w http.ResponseWriter, r *http.Request, id string, next int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	fl := http.NewResponseController(w)
+	ctl := http.NewResponseController(w)
 	for {
 		e.mu.Lock()
 		s, f := e.streams[id], e.faults
-		if s == nil || s.more == nil {
+		if s == nil || s.updated == nil {
 			e.mu.Unlock()
 			panic(http.ErrAbortHandler)
 		}
-		pieces, more := s.pieces, s.more
-		cut := f.BreakAfter > 0 && len(pieces) >= f.BreakAfter && n < f.BreakAfter && !s.cut
-		if cut {
-			s.cut = true
+		pieces, updated := s.pieces, s.updated
+		breakNow := f.BreakAfter > 0 && len(pieces) >= f.BreakAfter && next < f.BreakAfter && !s.broken
+		if breakNow {
+			s.broken = true
 			pieces = pieces[:f.BreakAfter]
 		}
 		e.mu.Unlock()
 		if f.Dead {
 			panic(http.ErrAbortHandler)
 		}
-		for ; n < len(pieces); n++ {
-			_, _ = w.Write(faulty(pieces[n], f))
-			if pieces[n].Finish != "" {
+		for ; next < len(pieces); next++ {
+			_, _ = w.Write(encodePiece(pieces[next], f))
+			if pieces[next].Finish != "" {
 				fmt.Fprintf(w, "data: %s\n\n", endpoint.DoneData)
-				_ = fl.Flush()
+				_ = ctl.Flush()
 				return
 			}
 		}
-		_ = fl.Flush()
-		if cut {
+		_ = ctl.Flush()
+		if breakNow {
 			panic(http.ErrAbortHandler)
 		}
 		select {
-		case <-more:
+		case <-updated:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// faulty writes one piece with the faults that concern its number.
-func faulty(p endpoint.Piece, f EngineFaults) []byte {
+// encodePiece encodes one piece with the faults that apply to its number.
+func encodePiece(p endpoint.Piece, f EngineFaults) []byte {
 	var b []byte
 	switch {
 	case p.Seq > 0 && p.Seq == f.SkipAt:
@@ -141,38 +142,39 @@
 	return endpoint.AppendEvent(b, p, "")
 }
 
-// cancel drops a request.
-func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
+// serveCancel drops a request and its stream.
+func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := mux.Vars(r)["id"]
 	e.Core.Cancel(id)
-	if s := e.streams[id]; s != nil && s.more != nil {
-		close(s.more)
-		s.more = nil
+	if s := e.streams[id]; s != nil && s.updated != nil {
+		close(s.updated)
+		s.updated = nil
 	}
 	delete(e.streams, id)
 }
 
-// load gives the report that is Lag old.
-func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
+// serveReport sends the newest report that is at least ReportLag old, or the oldest
+// one if none is.
+func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.StopReports {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	rep := agedReport{time.Now(), e.report()}
-	for _, p := range slices.Backward(e.past) {
+	rep := timedReport{time.Now(), e.report()}
+	for _, p := range slices.Backward(e.pastReports) {
 		if e.ReportLag == 0 {
 			break
 		}
 		rep = p
-		if time.Since(p.at) >= e.ReportLag {
+		if time.Since(p.takenAt) >= e.ReportLag {
 			break
 		}
 	}
-	rep.AgeMS = time.Since(rep.at).Milliseconds()
+	rep.AgeMS = time.Since(rep.takenAt).Milliseconds()
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	for _, ev := range e.Core.Events(after) {
 		if int(ev.Seq%10) >= e.faults.DroppedEventsPerTen {
@@ -182,8 +184,8 @@
 	_ = json.NewEncoder(w).Encode(rep.Report)
 }
 
-// order takes an order unless it comes from an older lease holder.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+// serveOrder applies an order unless its fencing token is stale.
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o endpoint.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -197,20 +199,21 @@
 	}
 	e.token = max(e.token, o.Token)
 	e.role = o.Role
-	if sameHolding(o.Want, e.holding) || (e.loading != nil && sameHolding(o.Want, e.loading)) {
+	if sameModel(o.Want, e.loaded) || (e.loading != nil && sameModel(o.Want, e.loading)) {
 		return
 	}
-	e.orders++
-	e.holding = nil
+	e.appliedOrders++
+	e.loaded = nil
 	if o.Want == nil {
 		return
 	}
 	e.loading = o.Want
-	go e.fetch(o)
+	go e.loadWeights(o)
 }
 
-// cacheTransfer exports and imports KV cache.
-func (e *Engine) cacheTransfer(w http.ResponseWriter, r *http.Request) {
+// serveCacheTransfer imports blocks into the KV cache (PUT) or lists those that the
+// engine can export.
+func (e *Engine) serveCacheTransfer(w http.ResponseWriter, r *http.Request) {
 	var blocks []uint64
 	if err := json.NewDecoder(r.Body).Decode(&blocks); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -219,7 +222,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Method == http.MethodPut {
-		e.Core.remember(blocks)
+		e.Core.insertBlocks(blocks)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(blocks[:e.Core.LookupPrefix(blocks)])
--- a/internal/fake/kv.go
+++ b/internal/fake/kv.go
@@ -16,42 +16,43 @@
 	"github.com/heathkeel/heathkeel/keyval"
 )
 
-// KVFaults are the faults of the key-value service; the zero value has none.
+// KVFaults selects the faults that a KV injects; the zero value has none.
 type KVFaults struct {
-	// Down makes every call fail after Delay.
+	// Down makes every call fail with keyval.ErrUnavailable after Delay.
 	Down bool
 	// Delay is added to every call.
 	Delay time.Duration
-	// LoseAnswer is the number of coming writes whose answer is lost after the write.
+	// LoseAnswer is the number of next writes that are applied but return
+	// keyval.ErrUnavailable, as if their answer was lost.
 	LoseAnswer int
-	// SilentWatch makes watches wait without ever telling of a change.
+	// SilentWatch makes watches time out without returning a change.
 	SilentWatch bool
 }
 
-// KV is a stand-in for the key-value service.
+// KV is an in-memory fake of the key-value service.
 type KV struct {
-	// MaxWriteRate and Reads are the limits in calls a second; 0 is no limit.
+	// MaxWriteRate and MaxReadRate are the rate limits in calls per second; 0 is no limit.
 	MaxWriteRate, MaxReadRate float64
-	// WatchTimeout is how long a watch waits; 0 means 30 s.
+	// WatchTimeout is the time after which a watch without a change ends; 0 means 30 s.
 	WatchTimeout time.Duration
 
-	mu       sync.Mutex
-	items    map[string]kvItem
-	leases   map[keyval.Lease]*kvLease
-	changed  chan struct{}
-	version  uint64
-	next     keyval.Lease
-	faults   KVFaults
-	writeLim *rate.Limiter
-	readLim  *rate.Limiter
-	calls    KVCalls
+	mu           sync.Mutex
+	items        map[string]kvItem
+	leases       map[keyval.Lease]*kvLease
+	changed      chan struct{}
+	lastVersion  uint64
+	lastLease    keyval.Lease
+	faults       KVFaults
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	calls        KVCalls
 }
 
 // KVCalls counts the calls made to a KV since its start.
 type KVCalls struct {
 	// Writes counts Swap, Delete, Grant and Renew; Reads counts Get, Keys and Watch.
 	Writes, Reads int64
-	// RateLimited counts the calls refused by the limit.
+	// RateLimited counts the calls that a rate limit refused.
 	RateLimited int64
 }
 
@@ -62,19 +63,19 @@
 }
 
 type kvLease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// burstTime is the time whose calls the limits let through at once.
-const burstTime = time.Second
+// burstDuration times the rate is the burst of a rate limit.
+const burstDuration = time.Second
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (k *KV) SetFaults(f KVFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults = f
-	k.wake()
+	k.notifyWatches()
 }
 
 // Calls returns the counts so far.
@@ -84,7 +85,7 @@
 	return k.calls
 }
 
-// Corrupt overwrites a stored value without a new version, as a broken disk would.
+// Corrupt overwrites a stored value without a new version, as a faulty disk would.
 func (k *KV) Corrupt(key string, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -93,15 +94,15 @@
 	k.items[key] = it
 }
 
-// wake tells waiting watches to look again; mu must be held.
-func (k *KV) wake() {
+// notifyWatches makes waiting watches check their key again; the caller must hold mu.
+func (k *KV) notifyWatches() {
 	if k.changed != nil {
 		close(k.changed)
 	}
 	k.changed = make(chan struct{})
 }
 
-// init makes the maps; mu must be held.
+// init makes the maps and rate limiters; the caller must hold mu.
 func (k *KV) init() {
 	if k.items != nil {
 		return
@@ -109,26 +110,27 @@
 	k.items = make(map[string]kvItem)
 	k.leases = make(map[keyval.Lease]*kvLease)
 	k.changed = make(chan struct{})
-	k.writeLim = limiter(k.MaxWriteRate)
-	k.readLim = limiter(k.MaxReadRate)
+	k.writeLimiter = newLimiter(k.MaxWriteRate)
+	k.readLimiter = newLimiter(k.MaxReadRate)
 }
 
-// limiter returns a limiter of n calls a second, or nil for no limit.
-func limiter(n float64) *rate.Limiter {
-	if n == 0 {
+// newLimiter returns a limiter of maxRate calls per second, or nil for no limit.
+func newLimiter(maxRate float64) *rate.Limiter {
+	if maxRate == 0 {
 		return nil
 	}
-	return rate.NewLimiter(rate.Limit(n), int(n*burstTime.Seconds()))
+	return rate.NewLimiter(rate.Limit(maxRate), int(maxRate*burstDuration.Seconds()))
 }
 
-// enter applies faults and limits at the start of a call; on nil mu is held.
-func (k *KV) enter(ctx context.Context, write bool) error {
+// beginCall applies rate limits and faults at the start of a call. If it returns
+// nil, it has locked mu.
+func (k *KV) beginCall(ctx context.Context, write bool) error {
 	k.mu.Lock()
 	k.init()
 	f := k.faults
-	lim := k.readLim
+	lim := k.readLimiter
 	if write {
-		lim = k.writeLim
+		lim = k.writeLimiter
 		k.calls.Writes++
 	} else {
 		k.calls.Reads++
@@ -151,15 +153,15 @@
 		k.mu.Unlock()
 		return keyval.ErrUnavailable
 	}
-	k.expire()
+	k.expireLeases()
 	return nil
 }
 
-// expire drops what hangs on lapsed leases; mu must be held.
-func (k *KV) expire() {
+// expireLeases removes expired leases and their items; the caller must hold mu.
+func (k *KV) expireLeases() {
 	now := time.Now()
 	for id, l := range k.leases {
-		if now.Before(l.until) {
+		if now.Before(l.expiresAt) {
 			continue
 		}
 		delete(k.leases, id)
@@ -171,8 +173,9 @@
 	}
 }
 
-// lost reports whether the answer of this write gets lost; mu must be held.
-func (k *KV) lost() bool {
+// loseAnswer reports whether the answer of the current write is to be lost; the
+// caller must hold mu.
+func (k *KV) loseAnswer() bool {
 	if k.faults.LoseAnswer == 0 {
 		return false
 	}
@@ -182,14 +185,14 @@
 
 // Get implements keyval.KV.
 func (k *KV) Get(ctx context.Context, key string) (keyval.Item, error) {
-	if err := k.enter(ctx, false); err != nil {
+	if err := k.beginCall(ctx, false); err != nil {
 		return keyval.Item{}, err
 	}
 	defer k.mu.Unlock()
 	return k.get(key)
 }
 
-// get returns an item; mu must be held.
+// get returns an item; the caller must hold mu.
 func (k *KV) get(key string) (keyval.Item, error) {
 	it, ok := k.items[key]
 	if !ok {
@@ -203,7 +206,7 @@
 	if len(value) > keyval.MaxValue {
 		return 0, keyval.ErrTooLarge
 	}
-	if err := k.enter(ctx, true); err != nil {
+	if err := k.beginCall(ctx, true); err != nil {
 		return 0, err
 	}
 	defer k.mu.Unlock()
@@ -213,18 +216,18 @@
 	if lease != 0 && k.leases[lease] == nil {
 		return 0, keyval.ErrLeaseGone
 	}
-	k.version++
-	k.items[key] = kvItem{slices.Clone(value), k.version, lease}
-	k.wake()
-	if k.lost() {
+	k.lastVersion++
+	k.items[key] = kvItem{slices.Clone(value), k.lastVersion, lease}
+	k.notifyWatches()
+	if k.loseAnswer() {
 		return 0, keyval.ErrUnavailable
 	}
-	return k.version, nil
+	return k.lastVersion, nil
 }
 
 // Delete implements keyval.KV.
 func (k *KV) Delete(ctx context.Context, key string, version uint64) error {
-	if err := k.enter(ctx, true); err != nil {
+	if err := k.beginCall(ctx, true); err != nil {
 		return err
 	}
 	defer k.mu.Unlock()
@@ -232,8 +235,8 @@
 		return keyval.ErrConflict
 	}
 	delete(k.items, key)
-	k.wake()
-	if k.lost() {
+	k.notifyWatches()
+	if k.loseAnswer() {
 		return keyval.ErrUnavailable
 	}
 	return nil
@@ -241,7 +244,7 @@
 
 // Keys implements keyval.KV.
 func (k *KV) Keys(ctx context.Context, prefix string) ([]string, error) {
-	if err := k.enter(ctx, false); err != nil {
+	if err := k.beginCall(ctx, false); err != nil {
 		return nil, err
 	}
 	defer k.mu.Unlock()
@@ -257,7 +260,7 @@
 
 // Watch implements keyval.KV.
 func (k *KV) Watch(ctx context.Context, key string, after uint64) (keyval.Item, error) {
-	if err := k.enter(ctx, false); err != nil {
+	if err := k.beginCall(ctx, false); err != nil {
 		return keyval.Item{}, err
 	}
 	wait := k.WatchTimeout
@@ -289,21 +292,21 @@
 
 // Grant implements keyval.KV.
 func (k *KV) Grant(ctx context.Context, ttl time.Duration) (keyval.Lease, error) {
-	if err := k.enter(ctx, true); err != nil {
+	if err := k.beginCall(ctx, true); err != nil {
 		return 0, err
 	}
 	defer k.mu.Unlock()
-	k.next++
-	k.leases[k.next] = &kvLease{ttl, time.Now().Add(ttl)}
-	if k.lost() {
+	k.lastLease++
+	k.leases[k.lastLease] = &kvLease{ttl, time.Now().Add(ttl)}
+	if k.loseAnswer() {
 		return 0, keyval.ErrUnavailable
 	}
-	return k.next, nil
+	return k.lastLease, nil
 }
 
 // Renew implements keyval.KV.
 func (k *KV) Renew(ctx context.Context, lease keyval.Lease) error {
-	if err := k.enter(ctx, true); err != nil {
+	if err := k.beginCall(ctx, true); err != nil {
 		return err
 	}
 	defer k.mu.Unlock()
@@ -311,8 +314,8 @@
 	if l == nil {
 		return keyval.ErrLeaseGone
 	}
-	l.until = time.Now().Add(l.ttl)
-	if k.lost() {
+	l.expiresAt = time.Now().Add(l.ttl)
+	if k.loseAnswer() {
 		return keyval.ErrUnavailable
 	}
 	return nil
--- a/internal/fake/lists.go
+++ b/internal/fake/lists.go
@@ -17,35 +17,35 @@
 	"github.com/heathkeel/heathkeel/keyval"
 )
 
-// HostList is a stand-in for the lagging list of hosts and endpoints.
+// HostList is a fake of the list of hosts and endpoints, which lags behind changes.
 type HostList struct {
-	// Lag is the time after which a change shows.
+	// Lag is the delay after which the list shows a change.
 	Lag time.Duration
 
 	mu      sync.Mutex
-	entries map[string][]listChange
+	changes map[string][]listChange
 }
 
-// listChange is a state that an entry takes at a time; nil means gone.
+// listChange is the state of an entry from a time on; a nil entry is removed.
 type listChange struct {
-	at    time.Time
-	entry *keyval.ListEntry
+	visibleAt time.Time
+	entry     *keyval.ListEntry
 }
 
 // Put adds or changes an entry; the list shows it after Lag.
-func (l *HostList) Put(e keyval.ListEntry) { l.change(e.Name, &e) }
+func (l *HostList) Put(e keyval.ListEntry) { l.recordChange(e.Name, &e) }
 
-// Remove takes an entry away; the list shows it after Lag.
-func (l *HostList) Remove(name string) { l.change(name, nil) }
+// Remove removes an entry; the list shows it until Lag has passed.
+func (l *HostList) Remove(name string) { l.recordChange(name, nil) }
 
-// change notes a coming state of an entry.
-func (l *HostList) change(name string, e *keyval.ListEntry) {
+// recordChange adds a state that an entry takes after Lag.
+func (l *HostList) recordChange(name string, e *keyval.ListEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.entries == nil {
-		l.entries = make(map[string][]listChange)
+	if l.changes == nil {
+		l.changes = make(map[string][]listChange)
 	}
-	l.entries[name] = append(l.entries[name], listChange{time.Now().Add(l.Lag), e})
+	l.changes[name] = append(l.changes[name], listChange{time.Now().Add(l.Lag), e})
 }
 
 // List implements keyval.HostList.
@@ -54,50 +54,50 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var out []keyval.ListEntry
-	for _, changes := range l.entries {
-		var cur *keyval.ListEntry
+	for _, changes := range l.changes {
+		var current *keyval.ListEntry
 		for _, c := range changes {
-			if !c.at.After(now) {
-				cur = c.entry
+			if !c.visibleAt.After(now) {
+				current = c.entry
 			}
 		}
-		if cur != nil {
-			out = append(out, *cur)
+		if current != nil {
+			out = append(out, *current)
 		}
 	}
 	slices.SortFunc(out, func(a, b keyval.ListEntry) int { return strings.Compare(a.Name, b.Name) })
 	return out, nil
 }
 
-// WeightFaults are the faults of the weight store; the zero value has none.
+// WeightFaults selects the faults that a WeightStore injects; the zero value has none.
 type WeightFaults struct {
-	// Refuse makes every load fail; Corrupt makes the content differ from its digest.
+	// Refuse makes every Describe and Load fail; Corrupt makes Load return a wrong digest.
 	Refuse, Corrupt bool
-	// Slowdown multiplies the time of a load; 0 means 1.
+	// Slowdown multiplies the duration of a load; 0 means 1.
 	Slowdown float64
 }
 
-// WeightStore is a stand-in for the weight store.
+// WeightStore is a fake of the weight store.
 type WeightStore struct {
-	// MaxLoadRate is the limit in loads a second, 0 for none.
+	// MaxLoadRate is the rate limit in loads per second; 0 is no limit.
 	MaxLoadRate float64
-	// LoadTime is how long one load takes.
+	// LoadTime is the duration of one load.
 	LoadTime time.Duration
 
-	mu     sync.Mutex
-	lim    *rate.Limiter
-	faults WeightFaults
-	loads  int
+	mu      sync.Mutex
+	limiter *rate.Limiter
+	faults  WeightFaults
+	loads   int
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *WeightStore) SetFaults(f WeightFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Loads returns the number of loads begun.
+// Loads returns the number of calls of Load.
 func (s *WeightStore) Loads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,16 +111,16 @@
 	if s.faults.Refuse {
 		return keyval.Weights{}, keyval.ErrUnavailable
 	}
-	return keyval.Weights{Bytes: 1 << 30, Digest: digestOf(model, version)}, nil
+	return keyval.Weights{Bytes: 1 << 30, Digest: weightsDigest(model, version)}, nil
 }
 
-// Load fetches weights as an endpoint would and returns the digest of what came.
+// Load loads weights as an engine does and returns the digest of their content.
 func (s *WeightStore) Load(ctx context.Context, model, version string) (string, error) {
 	s.mu.Lock()
-	if s.lim == nil {
-		s.lim = limiter(s.MaxLoadRate)
+	if s.limiter == nil {
+		s.limiter = newLimiter(s.MaxLoadRate)
 	}
-	lim, f := s.lim, s.faults
+	lim, f := s.limiter, s.faults
 	s.loads++
 	s.mu.Unlock()
 	if f.Refuse || (lim != nil && !lim.Allow()) {
@@ -138,8 +138,8 @@
 	if f.Corrupt {
 		return "corrupt", nil
 	}
-	return digestOf(model, version), nil
+	return weightsDigest(model, version), nil
 }
 
-// digestOf is the digest of stored weights.
-func digestOf(model, version string) string { return fmt.Sprintf("%s@%s", model, version) }
+// weightsDigest returns the digest of stored weights.
+func weightsDigest(model, version string) string { return fmt.Sprintf("%s@%s", model, version) }
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -16,15 +16,15 @@
 	"github.com/heathkeel/heathkeel/keyval"
 )
 
-// Platform serves the stand-ins of the platform over HTTP.
+// Platform serves the fakes of the platform over HTTP.
 type Platform struct {
-	// KV, Hosts and Weights are the parts served.
+	// KV, Hosts and Weights are the services that Handler serves.
 	KV      *KV
 	Hosts   *HostList
 	Weights *WeightStore
 }
 
-// Handler returns the HTTP handler of all parts.
+// Handler returns the HTTP handler of all services.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
 	item := r.Path(keyval.PathKV + "{key}").Subrouter()
@@ -53,7 +53,7 @@
 	return r
 }
 
-// register adds an entry to the list; it stands in for whoever starts hosts.
+// register adds an entry to the host list, as whatever starts hosts and endpoints does.
 func (p *Platform) register(w http.ResponseWriter, r *http.Request) {
 	var e keyval.ListEntry
 	if err := json.NewDecoder(r.Body).Decode(&e); err != nil || e.Name == "" {
@@ -63,7 +63,7 @@
 	p.Hosts.Put(e)
 }
 
-// reply sends v, or the status of err.
+// reply sends v as JSON, or the status of err.
 func reply(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		w.WriteHeader(keyval.StatusOf(err))
@@ -73,21 +73,21 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// key returns the unescaped key of a request.
-func key(r *http.Request) string {
-	const root = len(keyval.PathKV)
-	return r.URL.Path[root:]
+// requestKey returns the unescaped key of a request.
+func requestKey(r *http.Request) string {
+	const prefixLength = len(keyval.PathKV)
+	return r.URL.Path[prefixLength:]
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	after := r.URL.Query().Get("after")
 	if after == "" {
-		it, err := p.KV.Get(r.Context(), key(r))
+		it, err := p.KV.Get(r.Context(), requestKey(r))
 		reply(w, it, err)
 		return
 	}
 	n, _ := strconv.ParseUint(after, 10, 64)
-	it, err := p.KV.Watch(r.Context(), key(r), n)
+	it, err := p.KV.Watch(r.Context(), requestKey(r), n)
 	reply(w, it, err)
 }
 
@@ -97,13 +97,13 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	v, err := p.KV.Swap(r.Context(), key(r), body.Version, body.Value, body.Lease)
+	v, err := p.KV.Swap(r.Context(), requestKey(r), body.Version, body.Value, body.Lease)
 	reply(w, keyval.Item{Version: v}, err)
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.ParseUint(r.URL.Query().Get("version"), 10, 64)
-	reply(w, struct{}{}, p.KV.Delete(r.Context(), key(r), n))
+	reply(w, struct{}{}, p.KV.Delete(r.Context(), requestKey(r), n))
 }
 
 func (p *Platform) keys(w http.ResponseWriter, r *http.Request) {
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -14,9 +14,9 @@
 	"github.com/heathkeel/heathkeel/endpoint"
 )
 
-// ServiceFaults are the faults of a plain service; the zero value has none.
+// ServiceFaults selects the faults that a Service injects; the zero value has none.
 type ServiceFaults struct {
-	// LoseAnswer is the number of coming calls that run and whose answer is lost.
+	// LoseAnswer is the number of next calls that run but whose answer is lost.
 	LoseAnswer int
 	// Delay is added to every call, before it runs.
 	Delay time.Duration
@@ -24,7 +24,7 @@
 	Dead bool
 }
 
-// Service is a stand-in plain service that counts the runs of each call.
+// Service is a fake plain service that counts the runs of each call.
 type Service struct {
 	mu     sync.Mutex
 	faults ServiceFaults
@@ -32,34 +32,36 @@
 	active int
 }
 
-// HeaderCall names a call at a stand-in service, so that its runs can be counted.
+// HeaderCall identifies a call to a Service, so that its runs can be counted.
 const HeaderCall = "X-Call"
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns how often a call was run.
+// Runs returns the number of times that a call ran.
 func (s *Service) Runs(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[call]
 }
 
-// RunStats returns the largest number of runs of one call and the number of calls run.
-func (s *Service) RunStats() (most, calls int) {
+// RunStats returns the maximum number of runs of one call and the number of calls
+// that ran.
+func (s *Service) RunStats() (maxRuns, calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.runs {
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 	}
-	return most, len(s.runs)
+	return maxRuns, len(s.runs)
 }
 
-// ServeHTTP runs one call; it answers with method, path and body.
+// ServeHTTP runs one call and echoes its method and URI in headers and its body. At
+// endpoint.PathLoad it sends a load report instead.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == endpoint.PathLoad {
 		s.mu.Lock()
@@ -74,22 +76,22 @@
 	s.mu.Unlock()
 	time.Sleep(f.Delay)
 	if f.Dead {
-		s.done()
+		s.endCall()
 		panic(http.ErrAbortHandler)
 	}
-	if s.run(r.Header.Get(HeaderCall)) {
-		s.done()
+	if s.countRun(r.Header.Get(HeaderCall)) {
+		s.endCall()
 		panic(http.ErrAbortHandler)
 	}
-	defer s.done()
+	defer s.endCall()
 	w.Header().Set("X-Method", r.Method)
 	w.Header().Set("X-Path", r.URL.RequestURI())
 	w.WriteHeader(http.StatusCreated)
 	_, _ = w.Write(body)
 }
 
-// run counts a run and reports whether its answer gets lost.
-func (s *Service) run(call string) bool {
+// countRun counts a run and reports whether its answer is to be lost.
+func (s *Service) countRun(call string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs == nil {
@@ -103,8 +105,8 @@
 	return true
 }
 
-// done counts the end of a call.
-func (s *Service) done() {
+// endCall counts a call as no longer active.
+func (s *Service) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
--- a/internal/fake/transport.go
+++ b/internal/fake/transport.go
@@ -10,8 +10,8 @@
 	"net/http/httptest"
 )
 
-// Transport calls handlers by host name, without sockets, for calls whose answers
-// are short. It serves tests on injected time.
+// Transport calls handlers by host name, without sockets. It buffers whole answers,
+// so that it suits calls with short answers, in tests with simulated time.
 type Transport map[string]http.Handler
 
 // RoundTrip implements http.RoundTripper.
