--- a/internal/trial/cases.go
+++ b/internal/trial/cases.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Case is a course of events in a trial.
+// Case is a scenario of a trial: its load and a fault.
 type Case struct {
-	// Name identifies it.
+	// Name identifies the case in tables.
 	Name string
-	// Load replaces the spec's load if it is not 0.
+	// Load is the offered load of the case; whoever makes a Spec copies it to Spec.Load.
 	Load float64
-	// FaultStart and To are when the fault begins and ends; both 0 if there is none.
+	// FaultStart and FaultEnd are when the fault begins and ends; both are 0 if there is none.
 	FaultStart, FaultEnd time.Duration
-	// Schedule puts the events on the trial's clock.
+	// Schedule adds the events of the case to the trial's clock; nil adds none.
 	Schedule func(t *Trial)
 }
 
-// The time of faults in all cases.
+// The start and end of the fault in all cases that have one.
 const (
-	faultFrom = 30 * time.Second
-	faultTo   = 60 * time.Second
+	faultStart = 30 * time.Second
+	faultEnd   = 60 * time.Second
 )
 
-// during makes a case whose fault is begun and ended.
-func during(name string, load float64, begin, end func(t *Trial)) Case {
-	return Case{Name: name, Load: load, FaultStart: faultFrom, FaultEnd: faultTo, Schedule: func(t *Trial) {
-		t.after(faultFrom, func() { begin(t) })
-		t.after(faultTo, func() { end(t) })
+// withFault returns a case that calls inject at faultStart and restore at faultEnd.
+func withFault(name string, load float64, inject, restore func(t *Trial)) Case {
+	return Case{Name: name, Load: load, FaultStart: faultStart, FaultEnd: faultEnd, Schedule: func(t *Trial) {
+		t.after(faultStart, func() { inject(t) })
+		t.after(faultEnd, func() { restore(t) })
 	}}
 }
 
-// none does nothing.
-func none(*Trial) {}
+// noRestore is the restore function of a fault that lasts.
+func noRestore(*Trial) {}
 
-// boostWhere multiplies the arrivals of some sources.
-func boostWhere(factor float64, fits func(s *source) bool) func(*Trial) {
+// boostArrivals returns a function that multiplies the arrival rate of matching sources.
+func boostArrivals(factor float64, matches func(s *source) bool) func(*Trial) {
 	return func(t *Trial) {
-		t.boost = func(s *source) float64 {
-			if fits(s) {
+		t.boostFactor = func(s *source) float64 {
+			if matches(s) {
 				return factor
 			}
 			return 1
@@ -50,33 +50,33 @@
 	}
 }
 
-// noBoost ends a boost.
-func noBoost(t *Trial) { t.boost = nil }
+// endBoost restores the arrival rates of all sources.
+func endBoost(t *Trial) { t.boostFactor = nil }
 
-// slow makes one fast engine ten times slower.
-func slow(t *Trial) { t.engines[0].slowBy = 10 }
+// slowEngine makes one of the fastest engines ten times slower.
+func slowEngine(t *Trial) { t.engines[0].slowdown = 10 }
 
-// fast ends slow.
-func fast(t *Trial) { t.engines[0].slowBy = 1 }
+// restoreEngine restores the speed of the engine that slowEngine slowed.
+func restoreEngine(t *Trial) { t.engines[0].slowdown = 1 }
 
-// kill ends three engines of unlike speed at once.
-func kill(t *Trial) {
+// killEngines kills three engines, of different speeds, at once.
+func killEngines(t *Trial) {
 	for _, i := range []int{0, 4, 8} {
 		t.engines[i].kill()
 	}
 }
 
-// revive lets them start again, with empty caches.
-func revive(t *Trial) {
+// reviveEngines restarts the engines that killEngines killed, with empty caches.
+func reviveEngines(t *Trial) {
 	for _, i := range []int{0, 4, 8} {
 		t.engines[i].dead = false
 	}
 }
 
-// lowest reports whether a source is of the lowest tier.
-func lowest(s *source) bool { return s.kind.Rank == 2 }
+// lowestTier reports whether a source sends requests of the lowest tier.
+func lowestTier(s *source) bool { return s.kind.Rank == 2 }
 
-// Cases are all cases, in the order of the page of measurements.
+// Cases are all cases, in the order in which tables show them.
 var Cases = []Case{
 	{Name: "calm", Load: 0.5},
 	{Name: "load 0.8", Load: 0.8},
@@ -84,22 +84,22 @@
 	{Name: "load 1.2", Load: 1.2},
 	{Name: "load 1.5", Load: 1.5},
 	{Name: "load 2.0", Load: 2},
-	during("Monday's batch", 0.7, boostWhere(10, func(s *source) bool { return lowest(s) && s.kind.PromptTokens < 1000 }), noBoost),
-	during("one engine ten times slower", 0.7, slow, fast),
-	during("three engines dead", 0.7, kill, revive),
-	during("reports stopped", 0.7, func(t *Trial) { t.stopReports = true }, func(t *Trial) { t.stopReports = false }),
-	during("cache events lost", 0.7, func(t *Trial) { t.loseEvents = true }, func(t *Trial) { t.loseEvents = false }),
-	during("flood of long reviews", 0.7, boostWhere(8, func(s *source) bool { return s.kind.PromptTokens > 5000 }), noBoost),
-	during("one workspace floods", 0.7, boostWhere(10, func(s *source) bool { return lowest(s) && s.ws.Name == "ws-c" }), noBoost),
-	during("a host dead", 0.7, func(t *Trial) { t.killHost(1) }, none),
+	withFault("Monday's batch", 0.7, boostArrivals(10, func(s *source) bool { return lowestTier(s) && s.kind.PromptTokens < 1000 }), endBoost),
+	withFault("one engine ten times slower", 0.7, slowEngine, restoreEngine),
+	withFault("three engines dead", 0.7, killEngines, reviveEngines),
+	withFault("reports stopped", 0.7, func(t *Trial) { t.stopReports = true }, func(t *Trial) { t.stopReports = false }),
+	withFault("cache events lost", 0.7, func(t *Trial) { t.dropEvents = true }, func(t *Trial) { t.dropEvents = false }),
+	withFault("flood of long reviews", 0.7, boostArrivals(8, func(s *source) bool { return s.kind.PromptTokens > 5000 }), endBoost),
+	withFault("one workspace floods", 0.7, boostArrivals(10, func(s *source) bool { return lowestTier(s) && s.workspace.Name == "ws-c" }), endBoost),
+	withFault("a host dead", 0.7, func(t *Trial) { t.killHost(1) }, noRestore),
 	{Name: "load moves over a day", Load: 0.7, Schedule: func(t *Trial) {
-		t.boost = func(s *source) float64 {
-			phase := 2 * math.Pi * (t.now.Seconds()/90 + float64(s.ws.Name[3]-'a')/5)
+		t.boostFactor = func(s *source) float64 {
+			phase := 2 * math.Pi * (t.now.Seconds()/90 + float64(s.workspace.Name[3]-'a')/5)
 			return 1 + 0.9*math.Sin(phase)
 		}
 	}},
-	during("batch and three engines dead", 0.7, func(t *Trial) {
-		boostWhere(10, func(s *source) bool { return lowest(s) && s.kind.PromptTokens < 1000 })(t)
-		kill(t)
-	}, func(t *Trial) { noBoost(t); revive(t) }),
+	withFault("batch and three engines dead", 0.7, func(t *Trial) {
+		boostArrivals(10, func(s *source) bool { return lowestTier(s) && s.kind.PromptTokens < 1000 })(t)
+		killEngines(t)
+	}, func(t *Trial) { endBoost(t); reviveEngines(t) }),
 }
--- a/internal/trial/clock.go
+++ b/internal/trial/clock.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function to run at a simulated time.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	time time.Duration
+	seq  uint64
+	run  func()
 }
 
-// events is a heap of events by time, then by order of their making.
+// events is a heap ordered by time and, for equal times, by order of scheduling.
 type events []event
 
 func (h events) Len() int { return len(h) }
 func (h events) Less(i, j int) bool {
-	if h[i].at != h[j].at {
-		return h[i].at < h[j].at
+	if h[i].time != h[j].time {
+		return h[i].time < h[j].time
 	}
 	return h[i].seq < h[j].seq
 }
@@ -39,33 +39,33 @@
 	return e
 }
 
-// clock runs events in the order of their time.
+// clock runs events in order of simulated time.
 type clock struct {
 	now   time.Duration
 	queue events
 	seq   uint64
 }
 
-// after makes something happen later.
-func (c *clock) after(d time.Duration, do func()) {
+// after schedules run at d from now.
+func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
-	heap.Push(&c.queue, event{c.now + d, c.seq, do})
+	heap.Push(&c.queue, event{c.now + d, c.seq, run})
 }
 
-// every makes something happen again and again.
-func (c *clock) every(d time.Duration, do func()) {
+// every schedules run at each multiple of d from now, without end.
+func (c *clock) every(d time.Duration, run func()) {
 	c.after(d, func() {
-		do()
-		c.every(d, do)
+		run()
+		c.every(d, run)
 	})
 }
 
-// run runs events until a time.
+// run runs the events up to a time, inclusive, and sets the clock to it.
 func (c *clock) run(until time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at <= until {
+	for len(c.queue) > 0 && c.queue[0].time <= until {
 		e := heap.Pop(&c.queue).(event)
-		c.now = e.at
-		e.do()
+		c.now = e.time
+		e.run()
 	}
 	c.now = until
 }
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -2,11 +2,12 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package trial measures the decisions of package sched: several hosts' real
-// schedulers against stand-in engines on simulated time, seeded, in one
-// goroutine. It is no simulator of a cluster: hosts share nothing but floors,
-// and messages between hosts and engines take no time beside the lag of reports.
+// Package trial measures the decisions of package sched: the schedulers of several
+// hosts run against fake engines on simulated time, in one goroutine and with
+// seeded randomness. It doesn't simulate a whole cluster: hosts share nothing but
+// floors, and messages between hosts and engines take no time, except that reports
+// lag.
 //
-// workload.go draws the requests, engines.go steps the engines, hosts.go has
-// the policies compared, cases.go the faults, and result.go what is counted.
+// workload.go draws the requests, engines.go steps the engines, hosts.go has the
+// compared policies, cases.go the faults, and result.go the counters.
 package trial
--- a/internal/trial/engines.go
+++ b/internal/trial/engines.go
@@ -11,25 +11,25 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// engine is a stand-in engine or plain service on the trial's clock.
+// engine is a fake engine or plain service on the trial's clock.
 type engine struct {
-	name     string
-	core     fake.EngineCore
-	step     time.Duration
-	slowBy   float64
-	dead     bool
-	plain    bool
-	stepping bool
-	t        *Trial
-	past     []sched.Report
-	events   uint64
+	name        string
+	core        fake.EngineCore
+	stepTime    time.Duration
+	slowdown    float64
+	dead        bool
+	plain       bool
+	stepPending bool
+	t           *Trial
+	pastReports []sched.Report
+	nextEvent   uint64
 }
 
-// pastReports bounds the reports kept for lagging readers.
-const pastReports = 400
+// maxPastReports is the maximum number of reports kept to serve lagging ones.
+const maxPastReports = 400
 
-// newEngines makes 18 unlike runners and 4 plain services: three generations of
-// which the fastest is three times as fast as the slowest.
+// newEngines returns 18 engines of three generations, of which the fastest is three
+// times as fast as the slowest, and 4 plain services.
 func newEngines(t *Trial) []*engine {
 	generations := []struct {
 		step          time.Duration
@@ -44,77 +44,79 @@
 	for i := range 18 {
 		g := generations[i%3]
 		out = append(out, &engine{
-			name: "runner-" + string(rune('a'+i)), step: g.step, slowBy: 1, t: t,
+			name: "runner-" + string(rune('a'+i)), stepTime: g.step, slowdown: 1, t: t,
 			core: fake.EngineCore{Slots: g.slots, PrefillPerStep: g.prefill, CacheBlocks: g.blocks},
 		})
 	}
 	for i := range 4 {
 		out = append(out, &engine{
-			name: "api-" + string(rune('a'+i)), step: 4 * time.Millisecond, slowBy: 1, t: t, plain: true,
+			name: "api-" + string(rune('a'+i)), stepTime: 4 * time.Millisecond, slowdown: 1, t: t, plain: true,
 			core: fake.EngineCore{Slots: 32, PrefillPerStep: 1 << 20},
 		})
 	}
 	return out
 }
 
-// add gives the engine a request.
+// add adds a request to the engine.
 func (e *engine) add(j *fake.Job) {
 	e.core.Add(j)
-	e.kick()
+	e.scheduleStep()
 }
 
-// kick starts stepping if the engine is idle.
-func (e *engine) kick() {
-	if e.stepping || e.dead || e.core.Idle() {
+// scheduleStep schedules the end of the next step, unless one is scheduled, the
+// engine is dead or it has no requests.
+func (e *engine) scheduleStep() {
+	if e.stepPending || e.dead || e.core.Idle() {
 		return
 	}
-	e.stepping = true
-	e.t.after(time.Duration(float64(e.step)*e.slowBy), e.tick)
+	e.stepPending = true
+	e.t.after(time.Duration(float64(e.stepTime)*e.slowdown), e.finishStep)
 }
 
-// tick is the end of one step.
-func (e *engine) tick() {
-	e.stepping = false
+// finishStep runs one step, passes on its tokens and schedules the next step.
+func (e *engine) finishStep() {
+	e.stepPending = false
 	if e.dead {
 		return
 	}
-	for _, em := range e.core.Step() {
-		e.t.token(e, em)
+	for _, tok := range e.core.Step() {
+		e.t.handleToken(e, tok)
 	}
-	e.kick()
+	e.scheduleStep()
 }
 
-// kill breaks all requests of the engine and refuses new ones.
+// kill fails all requests of the engine, empties its cache and makes it refuse new
+// requests.
 func (e *engine) kill() {
 	e.dead = true
 	jobs := e.core.Jobs()
 	e.core.Clear()
 	for _, j := range jobs {
-		e.t.broken(j)
+		e.t.breakCall(j)
 	}
 }
 
-// sample keeps a report for lagging readers.
-func (e *engine) sample() {
+// recordReport records a current report, which hosts read later.
+func (e *engine) recordReport() {
 	r := e.core.Report()
 	rep := sched.Report{
 		At: e.t.now, Running: r.Running, Waiting: r.Waiting, PrefillTokens: r.PrefillTokens, Slots: r.Slots,
-		Step: e.step, PrefillPerStep: r.PrefillPerStep, Model: model, AcceptsPrompts: true,
+		Step: e.stepTime, PrefillPerStep: r.PrefillPerStep, Model: model, AcceptsPrompts: true,
 	}
 	if e.plain {
 		rep.Model = ""
 	}
-	e.past = append(e.past, rep)
-	if len(e.past) > pastReports {
-		e.past = append(e.past[:0], e.past[len(e.past)-pastReports/2:]...)
+	e.pastReports = append(e.pastReports, rep)
+	if len(e.pastReports) > maxPastReports {
+		e.pastReports = append(e.pastReports[:0], e.pastReports[len(e.pastReports)-maxPastReports/2:]...)
 	}
 }
 
-// lagged returns the newest report that is at least lag old.
-func (e *engine) lagged(lag time.Duration) (sched.Report, bool) {
-	for i := len(e.past) - 1; i >= 0; i-- {
-		if e.t.now-e.past[i].At >= lag {
-			return e.past[i], true
+// laggedReport returns the newest report that is at least lag old.
+func (e *engine) laggedReport(lag time.Duration) (sched.Report, bool) {
+	for i := len(e.pastReports) - 1; i >= 0; i-- {
+		if e.t.now-e.pastReports[i].At >= lag {
+			return e.pastReports[i], true
 		}
 	}
 	return sched.Report{}, false
--- a/internal/trial/hosts.go
+++ b/internal/trial/hosts.go
@@ -11,55 +11,56 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// host is one host's policy.
+// host is the policy of one host.
 type host interface {
-	// submit takes a request; the host calls Trial.dispatch or Trial.refuse for it.
+	// submit accepts a request; the host calls Trial.dispatch or Trial.refuse for it.
 	submit(c *call)
-	// report takes an engine's account.
-	report(e *engine, rep sched.Report)
-	// first, progress and done follow a dispatched request.
-	first(c *call)
-	progress(c *call, n int)
+	// applyReport applies the load report of an engine.
+	applyReport(e *engine, rep sched.Report)
+	// firstToken, progress and done report on a dispatched request: its first token, the
+	// number of tokens so far, and its end.
+	firstToken(c *call)
+	progress(c *call, tokens int)
 	done(c *call, res sched.Result, tokens int)
-	// withdraw takes back a waiting request; true if it was waiting.
+	// withdraw removes a waiting request and reports whether it was waiting.
 	withdraw(c *call) bool
-	// unsent tells that an engine could not be reached.
-	unsent(c *call)
-	// cached tells of a cache event.
-	cached(e *engine, block uint64, gone bool)
-	// tick comes every 50 ms, beat with every heartbeat.
+	// redispatchUnsent dispatches a request again whose engine could not be reached.
+	redispatchUnsent(c *call)
+	// applyCacheEvent applies a cache event of an engine.
+	applyCacheEvent(e *engine, block uint64, evicted bool)
+	// tick is called every tickInterval, heartbeat every heartbeatInterval.
 	tick()
-	beat(others []host)
+	heartbeat(others []host)
 }
 
-// keelHost is the project's own policy.
-type keelHost struct {
-	t *Trial
-	s sched.Scheduler
+// schedulerHost is a host with the policy under test, package sched.
+type schedulerHost struct {
+	t         *Trial
+	scheduler sched.Scheduler
 }
 
-// newKeel makes a host with the given configuration.
-func newKeel(t *Trial, cfg sched.Config, seed uint64) *keelHost {
-	h := &keelHost{t: t, s: sched.Scheduler{
+// newSchedulerHost returns a host with the given configuration.
+func newSchedulerHost(t *Trial, cfg sched.Config, seed uint64) *schedulerHost {
+	h := &schedulerHost{t: t, scheduler: sched.Scheduler{
 		Config: cfg, Rand: rand.New(rand.NewPCG(seed, 7)), SharingHosts: t.spec.Hosts,
 		Hosts: func(string) int { return t.spec.Hosts },
 	}}
-	h.s.Init()
+	h.scheduler.Init()
 	var list []sched.Endpoint
 	for _, e := range t.engines {
 		list = append(list, sched.Endpoint{Name: e.name, Engine: !e.plain, Slots: e.core.Slots})
 	}
-	h.s.SetEndpoints(list)
+	h.scheduler.SetEndpoints(list)
 	return h
 }
 
-func (h *keelHost) submit(c *call) {
-	h.decide(h.s.Submit(h.t.now, c.req))
+func (h *schedulerHost) submit(c *call) {
+	h.apply(h.scheduler.Submit(h.t.now, c.req))
 	h.poll()
 }
 
-// decide carries out one decision.
-func (h *keelHost) decide(d sched.Decision) {
+// apply dispatches or refuses a request as decided.
+func (h *schedulerHost) apply(d sched.Decision) {
 	c := d.Request.Data.(*call)
 	switch d.Verdict {
 	case sched.Run:
@@ -69,100 +70,100 @@
 	}
 }
 
-// poll carries out the decisions that are due.
-func (h *keelHost) poll() {
-	for _, d := range h.s.Poll(h.t.now) {
-		h.decide(d)
+// poll applies the decisions that the scheduler has ready.
+func (h *schedulerHost) poll() {
+	for _, d := range h.scheduler.Poll(h.t.now) {
+		h.apply(d)
 	}
 }
 
-func (h *keelHost) report(e *engine, rep sched.Report) {
-	h.s.ApplyReport(h.t.now, e.name, rep)
+func (h *schedulerHost) applyReport(e *engine, rep sched.Report) {
+	h.scheduler.ApplyReport(h.t.now, e.name, rep)
 	h.poll()
 }
 
-func (h *keelHost) first(c *call)           { h.s.FirstToken(h.t.now, c.req) }
-func (h *keelHost) progress(c *call, n int) { h.s.Progress(h.t.now, c.req, n) }
+func (h *schedulerHost) firstToken(c *call)           { h.scheduler.FirstToken(h.t.now, c.req) }
+func (h *schedulerHost) progress(c *call, tokens int) { h.scheduler.Progress(h.t.now, c.req, tokens) }
 
-func (h *keelHost) done(c *call, res sched.Result, tokens int) {
-	h.s.Done(h.t.now, c.req, res, tokens)
+func (h *schedulerHost) done(c *call, res sched.Result, tokens int) {
+	h.scheduler.Done(h.t.now, c.req, res, tokens)
 	h.poll()
 }
 
-func (h *keelHost) withdraw(c *call) bool { return h.s.Withdraw(c.req) }
+func (h *schedulerHost) withdraw(c *call) bool { return h.scheduler.Withdraw(c.req) }
 
-func (h *keelHost) unsent(c *call) {
-	h.decide(h.s.RedispatchUnsent(h.t.now, c.req))
+func (h *schedulerHost) redispatchUnsent(c *call) {
+	h.apply(h.scheduler.RedispatchUnsent(h.t.now, c.req))
 	h.poll()
 }
 
-func (h *keelHost) cached(e *engine, block uint64, gone bool) {
-	h.s.ApplyCacheEvent(e.name, block, gone)
+func (h *schedulerHost) applyCacheEvent(e *engine, block uint64, evicted bool) {
+	h.scheduler.ApplyCacheEvent(e.name, block, evicted)
 }
 
-func (h *keelHost) tick() {
-	h.s.Tick(h.t.now)
+func (h *schedulerHost) tick() {
+	h.scheduler.Tick(h.t.now)
 	h.poll()
 }
 
-func (h *keelHost) beat(others []host) {
-	for _, f := range h.s.Floors(h.t.now) {
+func (h *schedulerHost) heartbeat(others []host) {
+	for _, f := range h.scheduler.Floors(h.t.now) {
 		for _, o := range others {
-			if k, ok := o.(*keelHost); ok && k != h {
-				k.s.SetFloor(h.t.now, f)
+			if peer, ok := o.(*schedulerHost); ok && peer != h {
+				peer.scheduler.SetFloor(h.t.now, f)
 			}
 		}
 	}
 }
 
-// plainHost is a baseline: it dispatches at once by a simple rule and leaves all
-// waiting to the engines, which honour priorities.
-type plainHost struct {
-	t    *Trial
-	rnd  *rand.Rand
-	rule string
-	next int
-	load map[*engine]int
-	down map[*engine]time.Duration
+// baselineHost is a host with a baseline policy: it dispatches each request at once
+// by a simple rule and leaves queueing to the engines, which honor priorities.
+type baselineHost struct {
+	t                *Trial
+	rand             *rand.Rand
+	policy           string
+	next             int
+	load             map[*engine]int
+	unreachableUntil map[*engine]time.Duration
 }
 
-// newPlain makes a baseline host.
-func newPlain(t *Trial, rule string, seed uint64) *plainHost {
-	return &plainHost{t: t, rnd: rand.New(rand.NewPCG(seed, 9)), rule: rule, load: map[*engine]int{}, down: map[*engine]time.Duration{}}
+// newBaselineHost returns a host with a baseline policy.
+func newBaselineHost(t *Trial, policy string, seed uint64) *baselineHost {
+	return &baselineHost{t: t, rand: rand.New(rand.NewPCG(seed, 9)), policy: policy, load: map[*engine]int{}, unreachableUntil: map[*engine]time.Duration{}}
 }
 
-// choose picks an engine by the rule, or nil if none can be reached.
-func (h *plainHost) choose(c *call) *engine {
-	var fit []*engine
+// choose picks an engine by the policy, or nil if none is reachable.
+func (h *baselineHost) choose(c *call) *engine {
+	var eligible []*engine
 	for _, e := range h.t.engines {
-		if e.plain == (c.req.Model == "") && h.t.now >= h.down[e] {
-			fit = append(fit, e)
+		if e.plain == (c.req.Model == "") && h.t.now >= h.unreachableUntil[e] {
+			eligible = append(eligible, e)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return nil
 	}
 	h.next++
-	switch h.rule {
+	switch h.policy {
 	case RoundRobin:
-		return fit[h.next%len(fit)]
+		return eligible[h.next%len(eligible)]
 	case LeastLoad:
-		best := fit[h.next%len(fit)]
-		for _, e := range fit {
+		best := eligible[h.next%len(eligible)]
+		for _, e := range eligible {
 			if h.load[e] < h.load[best] {
 				best = e
 			}
 		}
 		return best
 	}
-	a, b := fit[h.rnd.IntN(len(fit))], fit[h.rnd.IntN(len(fit))]
+	a, b := eligible[h.rand.IntN(len(eligible))], eligible[h.rand.IntN(len(eligible))]
 	if h.load[b] < h.load[a] {
 		return b
 	}
 	return a
 }
 
-func (h *plainHost) submit(c *call) {
+func (h *baselineHost) submit(c *call) {
 	e := h.choose(c)
 	if e == nil {
 		h.t.refuse(c, sched.ReasonNoEndpoint)
@@ -171,15 +172,17 @@
 	h.t.dispatch(c, e.name, "")
 }
 
-func (h *plainHost) report(e *engine, rep sched.Report) { h.load[e] = rep.Running + rep.Waiting }
-func (h *plainHost) unsent(c *call) {
-	h.down[c.at] = h.t.now + time.Second
+func (h *baselineHost) applyReport(e *engine, rep sched.Report) {
+	h.load[e] = rep.Running + rep.Waiting
+}
+func (h *baselineHost) redispatchUnsent(c *call) {
+	h.unreachableUntil[c.engine] = h.t.now + time.Second
 	h.submit(c)
 }
-func (h *plainHost) first(*call)                   {}
-func (h *plainHost) progress(*call, int)           {}
-func (h *plainHost) done(*call, sched.Result, int) {}
-func (h *plainHost) withdraw(*call) bool           { return false }
-func (h *plainHost) cached(*engine, uint64, bool)  {}
-func (h *plainHost) tick()                         {}
-func (h *plainHost) beat([]host)                   {}
+func (h *baselineHost) firstToken(*call)                      {}
+func (h *baselineHost) progress(*call, int)                   {}
+func (h *baselineHost) done(*call, sched.Result, int)         {}
+func (h *baselineHost) withdraw(*call) bool                   { return false }
+func (h *baselineHost) applyCacheEvent(*engine, uint64, bool) {}
+func (h *baselineHost) tick()                                 {}
+func (h *baselineHost) heartbeat([]host)                      {}
--- a/internal/trial/result.go
+++ b/internal/trial/result.go
@@ -14,23 +14,25 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// lognormalMean is the mean of a lognormal length with a median and a spread.
-func lognormalMean(median int, spread float64) float64 {
-	return float64(median) * math.Exp(spread*spread/2)
+// lognormalMean returns the mean of a lognormal distribution with the given median
+// and standard deviation of the logarithm: median * exp(sigma^2/2).
+func lognormalMean(median int, sigma float64) float64 {
+	return float64(median) * math.Exp(sigma*sigma/2)
 }
 
-// TierResult counts one tier.
+// TierResult has the counts of one tier.
 type TierResult struct {
-	// Offered, Good, Refused, Late and Lost count requests: sent, answered whole
-	// in time, refused as not run, given up by the caller, broken by a fault.
+	// Offered counts the requests sent; the others count how they ended: Completed
+	// were answered whole in time, Refused were refused without being run, TimedOut
+	// were given up by the caller at the deadline, Lost were broken by a fault.
 	Offered, Completed, Refused, TimedOut, Lost int
-	// FirstToken is the time to the first token, in microseconds.
+	// FirstToken is the time to the first token of completed requests, in microseconds.
 	FirstToken *hdrhistogram.Histogram
-	// buckets count good and offered answers by second of arrival.
-	good, offered []int
+	// completedPerSecond and offeredPerSecond count requests by second of arrival.
+	completedPerSecond, offeredPerSecond []int
 }
 
-// Goodput is the share of the offered requests that was answered in time.
+// Goodput is the share of the offered requests that were completed.
 func (r *TierResult) Goodput() float64 {
 	if r.Offered == 0 {
 		return 1
@@ -38,38 +40,40 @@
 	return float64(r.Completed) / float64(r.Offered)
 }
 
-// workspaceResult counts one workspace in the lowest tier.
-type workspaceResult struct{ offered, good, weight float64 }
+// workspaceResult has the counts of one workspace in the lowest tier, in output
+// tokens, and its weight.
+type workspaceResult struct{ offered, completed, weight float64 }
 
-// Result is what a trial counted.
+// Result has the counts of a trial.
 type Result struct {
-	// Spec is what was run.
+	// Spec is the spec of the trial.
 	Spec Spec
-	// Tiers has one member for each rank.
+	// Tiers has one element for each rank.
 	Tiers []*TierResult
-	// ComputedTokens, Wasted and Recomputed count prompt tokens: computed by engines,
-	// of requests that were not answered whole, and computed although another
-	// eligible engine held them.
+	// ComputedTokens counts prompt tokens that engines computed, WastedTokens those
+	// of them for requests that were not completed, and RecomputedTokens prompt tokens
+	// that were computed although another live engine had them in its cache.
 	ComputedTokens, WastedTokens, RecomputedTokens int
-	// CacheImports counts moves of KV cache.
+	// CacheImports counts transfers of KV cache.
 	CacheImports int
-	// Inversions counts dispatches of a tier within a floor's time after a higher
-	// tier was refused for lack of capacity in the same pool, by any host, where
-	// at least two heartbeats lay between. Dispatches counts all.
+	// Inversions counts dispatches of a tier after a higher tier was refused by any
+	// host for lack of capacity in the same pool, if the refusal is more than two
+	// heartbeats and less than 1.2 s ago, the default time for which a floor holds.
+	// Dispatches counts all dispatches.
 	Inversions, Dispatches int
-	// MaxLatency is the longest time to the whole answer of an answered request
-	// of the lowest tier, and Unanswered the number of long ones given up.
+	// MaxLatency is the maximum time to the whole answer of a completed request of the
+	// lowest tier.
 	MaxLatency time.Duration
-	// Reasons counts refusals.
+	// Reasons counts refusals by reason.
 	Reasons map[sched.Reason]int
-	// CompletedTokens is the good work in steps of output, for comparing totals.
+	// CompletedTokens is the number of output tokens of completed requests.
 	CompletedTokens float64
 
 	workspaces  map[string]*workspaceResult
-	lastRefusal [2][3]time.Duration // by pool kind and rank
+	lastRefusal [2][3]time.Duration // by pool index and rank
 }
 
-// init makes the result ready.
+// init initializes the result.
 func (r *Result) init(spec Spec) {
 	r.Spec = spec
 	r.Reasons = make(map[sched.Reason]int)
@@ -84,8 +88,8 @@
 	}
 }
 
-// bucket adds one to the bucket of a time.
-func bucket(b []int, at time.Duration) []int {
+// addToBucket increments the bucket of the second that at falls into.
+func addToBucket(b []int, at time.Duration) []int {
 	i := int(at / time.Second)
 	for len(b) <= i {
 		b = append(b, 0)
@@ -96,100 +100,102 @@
 
 func (r *Result) tier(c *call) *TierResult { return r.Tiers[c.req.Settings.Rank] }
 
-// offer counts a request sent.
-func (r *Result) offer(now time.Duration, c *call) {
+// addOffered counts a request that was sent.
+func (r *Result) addOffered(now time.Duration, c *call) {
 	t := r.tier(c)
 	t.Offered++
-	t.offered = bucket(t.offered, now)
+	t.offeredPerSecond = addToBucket(t.offeredPerSecond, now)
 	if c.req.Settings.Rank == len(tiers)-1 {
-		w := r.workspaces[c.src.ws.Name]
+		w := r.workspaces[c.source.workspace.Name]
 		if w == nil {
-			w = &workspaceResult{weight: c.src.ws.Weight}
-			r.workspaces[c.src.ws.Name] = w
+			w = &workspaceResult{weight: c.source.workspace.Weight}
+			r.workspaces[c.source.workspace.Name] = w
 		}
-		w.offered += float64(c.output)
+		w.offered += float64(c.outputTokens)
 	}
 }
 
-// poolKind is 1 for requests to plain services.
-func poolKind(c *call) int {
-	if c.src.kind.Plain {
+// poolIndex returns 1 for requests to plain services and 0 for those to engines.
+func poolIndex(c *call) int {
+	if c.source.kind.Plain {
 		return 1
 	}
 	return 0
 }
 
-// dispatched counts a dispatch and looks for a higher tier refused before it.
-func (r *Result) dispatched(now time.Duration, c *call) {
+// addDispatch counts a dispatch and whether it is an inversion.
+func (r *Result) addDispatch(now time.Duration, c *call) {
 	r.Dispatches++
 	for k := range c.req.Settings.Rank {
-		since := now - r.lastRefusal[poolKind(c)][k]
-		if since > 2*heartbeatEvery && since < 1200*time.Millisecond {
+		sinceRefusal := now - r.lastRefusal[poolIndex(c)][k]
+		if sinceRefusal > 2*heartbeatInterval && sinceRefusal < 1200*time.Millisecond {
 			r.Inversions++
 			return
 		}
 	}
 }
 
-// refused counts a refusal.
-func (r *Result) refused(now time.Duration, c *call, why sched.Reason) {
+// addRefused counts a refusal and, if it is for overload, records its time.
+func (r *Result) addRefused(now time.Duration, c *call, reason sched.Reason) {
 	r.tier(c).Refused++
-	r.Reasons[why]++
-	if why.Overload() {
-		r.lastRefusal[poolKind(c)][c.req.Settings.Rank] = now
+	r.Reasons[reason]++
+	if reason.Overload() {
+		r.lastRefusal[poolIndex(c)][c.req.Settings.Rank] = now
 	}
-	r.waste(c)
+	r.addWasted(c)
 }
 
-// late counts a request that its caller gave up.
-func (r *Result) late(_ time.Duration, c *call) {
+// addTimedOut counts a request that its caller gave up at the deadline.
+func (r *Result) addTimedOut(_ time.Duration, c *call) {
 	r.tier(c).TimedOut++
-	r.waste(c)
+	r.addWasted(c)
 }
 
-// lost counts a request broken by a fault.
-func (r *Result) lost(_ time.Duration, c *call) {
+// addLost counts a request that a fault broke.
+func (r *Result) addLost(_ time.Duration, c *call) {
 	r.tier(c).Lost++
-	r.waste(c)
+	r.addWasted(c)
 }
 
-// waste counts the prompt work of a request without a whole answer.
-func (r *Result) waste(c *call) {
+// addWasted counts the prompt tokens computed for a request that was not completed.
+func (r *Result) addWasted(c *call) {
 	if c.job != nil {
 		r.ComputedTokens += c.job.ComputedTokens
 		r.WastedTokens += c.job.ComputedTokens
 	}
 }
 
-// recomputed counts prompt tokens that another engine holds.
-func (r *Result) recomputed(t *Trial, c *call, at *engine) {
+// addRecomputed counts prompt tokens that are not in the cache of the engine at,
+// but in that of another live engine.
+func (r *Result) addRecomputed(t *Trial, c *call, at *engine) {
 	if len(c.req.Blocks) == 0 {
 		return
 	}
-	here, best := at.core.PeekPrefix(c.req.Blocks), 0
+	own, best := at.core.PeekPrefix(c.req.Blocks), 0
 	for _, e := range t.engines {
 		if !e.plain && !e.dead {
 			best = max(best, e.core.PeekPrefix(c.req.Blocks))
 		}
 	}
-	r.RecomputedTokens += max(0, best-here) * sched.BlockTokens
+	r.RecomputedTokens += max(0, best-own) * sched.BlockTokens
 }
 
-// answered counts a whole answer in time.
-func (r *Result) answered(now time.Duration, c *call) {
+// addCompleted counts a request that was answered whole in time.
+func (r *Result) addCompleted(now time.Duration, c *call) {
 	t := r.tier(c)
 	t.Completed++
-	t.good = bucket(t.good, c.req.Arrived)
+	t.completedPerSecond = addToBucket(t.completedPerSecond, c.req.Arrived)
 	r.ComputedTokens += c.job.ComputedTokens
-	r.CompletedTokens += float64(c.output)
-	_ = t.FirstToken.RecordValue(max(1, (c.first - c.req.Arrived).Microseconds()))
+	r.CompletedTokens += float64(c.outputTokens)
+	_ = t.FirstToken.RecordValue(max(1, (c.firstToken - c.req.Arrived).Microseconds()))
 	if c.req.Settings.Rank == len(tiers)-1 {
-		r.workspaces[c.src.ws.Name].good += float64(c.output)
+		r.workspaces[c.source.workspace.Name].completed += float64(c.outputTokens)
 		r.MaxLatency = max(r.MaxLatency, now-c.req.Arrived)
 	}
 }
 
-// WastedPrefill is the share of prompt tokens computed in vain.
+// WastedPrefill is the number of wasted and recomputed prompt tokens as a share of
+// the computed ones.
 func (r *Result) WastedPrefill() float64 {
 	if r.ComputedTokens == 0 {
 		return 0
@@ -197,69 +203,71 @@
 	return float64(r.WastedTokens+r.RecomputedTokens) / float64(r.ComputedTokens)
 }
 
-// Fairness is the worst workspace's share of its due in the lowest tier: what
-// it got over what max-min fairness by weight would have given it of the total.
+// Fairness is the minimum over the workspaces, in the lowest tier, of what a
+// workspace got divided by its max-min fair share by weight of the total.
 func (r *Result) Fairness() float64 {
 	total := 0.0
-	var list []*workspaceResult
+	var results []*workspaceResult
 	for _, w := range r.workspaces {
-		total += w.good
-		list = append(list, w)
+		total += w.completed
+		results = append(results, w)
 	}
-	due := maxMin(list, total)
+	shares := maxMinShares(results, total)
 	worst := 1.0
-	for i, w := range list {
-		if due[i] > 0 {
-			worst = min(worst, w.good/due[i])
+	for i, w := range results {
+		if shares[i] > 0 {
+			worst = min(worst, w.completed/shares[i])
 		}
 	}
 	return worst
 }
 
-// maxMin divides total among workspaces by weight, none getting more than it offered.
-func maxMin(list []*workspaceResult, total float64) []float64 {
-	due := make([]float64, len(list))
-	order := make([]int, len(list))
+// maxMinShares divides total among the workspaces by weight, giving none more than
+// it offered.
+func maxMinShares(results []*workspaceResult, total float64) []float64 {
+	shares := make([]float64, len(results))
+	order := make([]int, len(results))
 	weight := 0.0
-	for i, w := range list {
+	for i, w := range results {
 		order[i] = i
 		weight += w.weight
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return int(math.Copysign(1, list[a].offered/list[a].weight-list[b].offered/list[b].weight))
+		return int(math.Copysign(1, results[a].offered/results[a].weight-results[b].offered/results[b].weight))
 	})
 	for _, i := range order {
-		due[i] = min(list[i].offered, total*list[i].weight/weight)
-		total -= due[i]
-		weight -= list[i].weight
+		shares[i] = min(results[i].offered, total*results[i].weight/weight)
+		total -= shares[i]
+		weight -= results[i].weight
 	}
-	return due
+	return shares
 }
 
-// Recovery is the time after end until the goodput of all tiers together over
-// three seconds is at least 0.95 of that before start; -1 if it never is.
+// Recovery is the time after end until the goodput of the two highest tiers together
+// over three seconds is at least 0.95 of that in the ten seconds before start; it is
+// -1 ns if that does not happen.
 func (r *Result) Recovery(start, end time.Duration) time.Duration {
-	rate := func(from, to int) float64 {
-		good, off := 0, 0
+	goodput := func(from, to int) float64 {
+		completed, offered := 0, 0
 		for _, t := range r.Tiers[:2] {
-			for i := max(0, from); i < to && i < len(t.offered); i++ {
-				off += t.offered[i]
-				if i < len(t.good) {
-					good += t.good[i]
+			for i := max(0, from); i < to && i < len(t.offeredPerSecond); i++ {
+				offered += t.offeredPerSecond[i]
+				if i < len(t.completedPerSecond) {
+					completed += t.completedPerSecond[i]
 				}
 			}
 		}
-		if off == 0 {
+		if offered == 0 {
 			return 1
 		}
-		return float64(good) / float64(off)
+		return float64(completed) / float64(offered)
 	}
-	s, e := int(start/time.Second), int(end/time.Second)
-	before := rate(s-10, s)
-	last := int(r.Spec.ArrivalDuration / time.Second)
-	for i := e; i+3 <= last; i++ {
-		if rate(i, i+3) >= 0.95*before {
-			return time.Duration(i-e) * time.Second
+	startSecond, endSecond := int(start/time.Second), int(end/time.Second)
+	before := goodput(startSecond-10, startSecond)
+	lastSecond := int(r.Spec.ArrivalDuration / time.Second)
+	for i := endSecond; i+3 <= lastSecond; i++ {
+		if goodput(i, i+3) >= 0.95*before {
+			return time.Duration(i-endSecond) * time.Second
 		}
 	}
 	return -1
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -13,7 +13,7 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// The policies compared.
+// The policies that a trial can run.
 const (
 	Heathkeel  = "heathkeel"
 	RoundRobin = "round robin"
@@ -23,71 +23,72 @@
 
 // Spec describes one trial.
 type Spec struct {
-	// Site is "fjordkanal" or "litoral".
+	// Site selects the workload: "fjordkanal" or "litoral".
 	Site string
-	// Policy is one of the names above; Sched is the project's own configuration.
+	// Policy is one of the constants above; Sched configures the policy Heathkeel.
 	Policy string
 	Sched  sched.Config
 	// Hosts is the number of hosts.
 	Hosts int
-	// Load is the offered work over the engines' capacity, and Lag the age of reports.
+	// Load is the offered work as a multiple of the engines' capacity, and ReportLag
+	// the minimum age of the reports that hosts read.
 	Load      float64
 	ReportLag time.Duration
-	// ArrivalDuration is the time over which requests arrive.
+	// ArrivalDuration is the time in which requests arrive.
 	ArrivalDuration time.Duration
-	// Seed seeds all chance.
+	// Seed seeds all random number generators.
 	Seed uint64
-	// Case changes the course of the trial.
+	// Case is the scenario.
 	Case Case
 }
 
-// call is one request on its way.
+// call is one request and its state.
 type call struct {
-	req    *sched.Request
-	src    *source
-	host   host
-	hostAt int
-	output int
-	job    *fake.Job
-	at     *engine
-	first  time.Duration
-	ended  bool
+	req          *sched.Request
+	source       *source
+	host         host
+	hostIndex    int
+	outputTokens int
+	job          *fake.Job
+	engine       *engine
+	firstToken   time.Duration
+	ended        bool
 }
 
-// Trial is one run.
+// Trial is the state of one run.
 type Trial struct {
 	clock
-	spec    Spec
-	rnd     *rand.Rand
-	engines []*engine
-	byName  map[string]*engine
-	hosts   []host
-	deadAt  map[int]bool
-	sources []*source
-	calls   map[string]*call
-	nextID  int
-	res     Result
+	spec      Spec
+	rand      *rand.Rand
+	engines   []*engine
+	byName    map[string]*engine
+	hosts     []host
+	deadHosts map[int]bool
+	sources   []*source
+	calls     map[string]*call
+	nextID    int
+	result    Result
 
-	loseEvents, stopReports bool
-	boost                   func(s *source) float64
+	dropEvents, stopReports bool
+	boostFactor             func(s *source) float64
 }
 
-// Timing of a trial.
+// Times and intervals of a trial.
 const (
-	heartbeatEvery = 400 * time.Millisecond
-	reportEvery    = 500 * time.Millisecond
-	sampleEvery    = 50 * time.Millisecond
-	tickEvery      = 50 * time.Millisecond
-	drainTime      = 20 * time.Second
-	// warmUp is the time before the first request, in which hosts read reports.
-	warmUp = 5 * time.Second
+	heartbeatInterval = 400 * time.Millisecond
+	reportInterval    = 500 * time.Millisecond
+	sampleInterval    = 50 * time.Millisecond
+	tickInterval      = 50 * time.Millisecond
+	drainTime         = 20 * time.Second
+	// warmUpTime is the time before the first request, in which hosts only read reports.
+	warmUpTime = 5 * time.Second
 )
 
-// Run runs a trial; the same spec gives the same result.
+// Run runs a trial; equal specs give equal results.
 func Run(spec Spec) *Result {
 	t := &Trial{
-		spec: spec, rnd: rand.New(rand.NewPCG(spec.Seed, 1)), byName: map[string]*engine{},
-		calls: map[string]*call{}, deadAt: map[int]bool{},
+		spec: spec, rand: rand.New(rand.NewPCG(spec.Seed, 1)), byName: map[string]*engine{},
+		calls: map[string]*call{}, deadHosts: map[int]bool{},
 	}
 	t.engines = newEngines(t)
 	for _, e := range t.engines {
@@ -95,135 +96,139 @@
 	}
 	for i := range spec.Hosts {
 		if spec.Policy == Heathkeel {
-			t.hosts = append(t.hosts, newKeel(t, spec.Sched, spec.Seed*100+uint64(i)))
+			t.hosts = append(t.hosts, newSchedulerHost(t, spec.Sched, spec.Seed*100+uint64(i)))
 		} else {
-			t.hosts = append(t.hosts, newPlain(t, spec.Policy, spec.Seed*100+uint64(i)))
+			t.hosts = append(t.hosts, newBaselineHost(t, spec.Policy, spec.Seed*100+uint64(i)))
 		}
 	}
-	t.res.init(spec)
-	t.startSources()
-	t.startLoops()
+	t.result.init(spec)
+	t.startArrivals()
+	t.startPeriodic()
 	if spec.Case.Schedule != nil {
 		spec.Case.Schedule(t)
 	}
 	t.run(spec.ArrivalDuration + drainTime)
-	t.finish()
-	return &t.res
+	t.endOpenCalls()
+	return &t.result
 }
 
-// startLoops starts what happens again and again.
-func (t *Trial) startLoops() {
-	t.every(sampleEvery, func() {
+// startPeriodic starts the periodic work of engines and hosts. The hosts' phases are
+// spread over a report interval.
+func (t *Trial) startPeriodic() {
+	t.every(sampleInterval, func() {
 		for _, e := range t.engines {
-			e.sample()
+			e.recordReport()
 		}
 	})
 	for i, h := range t.hosts {
-		t.after(time.Duration(i)*reportEvery/time.Duration(len(t.hosts)), func() {
-			t.every(reportEvery, func() { t.readReports(i, h) })
-			t.every(tickEvery, h.tick)
-			t.every(heartbeatEvery, func() { h.beat(t.hosts) })
+		t.after(time.Duration(i)*reportInterval/time.Duration(len(t.hosts)), func() {
+			t.every(reportInterval, func() { t.readReports(i, h) })
+			t.every(tickInterval, h.tick)
+			t.every(heartbeatInterval, func() { h.heartbeat(t.hosts) })
 		})
 	}
 }
 
-// readReports gives a host the lagged reports and cache events of all engines.
+// readReports passes the lagged reports of all engines to host i, and the cache events
+// to all hosts if i is 0.
 func (t *Trial) readReports(i int, h host) {
-	if t.deadAt[i] {
+	if t.deadHosts[i] {
 		return
 	}
 	for _, e := range t.engines {
-		rep, ok := e.lagged(t.spec.ReportLag)
+		rep, ok := e.laggedReport(t.spec.ReportLag)
 		if !ok || e.dead || t.stopReports {
 			continue
 		}
-		h.report(e, rep)
+		h.applyReport(e, rep)
 	}
 	if i != 0 {
 		return
 	}
-	// All hosts read the same events; they are fetched once.
+	// All hosts get the same events, so that they are fetched only once.
 	for _, e := range t.engines {
-		evs := e.core.Events(e.events)
-		e.events += uint64(len(evs))
-		if t.loseEvents {
+		evs := e.core.Events(e.nextEvent)
+		e.nextEvent += uint64(len(evs))
+		if t.dropEvents {
 			continue
 		}
 		for _, ev := range evs {
 			for k, o := range t.hosts {
-				if !t.deadAt[k] {
-					o.cached(e, ev.Block, ev.Gone)
+				if !t.deadHosts[k] {
+					o.applyCacheEvent(e, ev.Block, ev.Gone)
 				}
 			}
 		}
 	}
 }
 
-// startSources starts the arrivals of all workspaces and kinds.
-func (t *Trial) startSources() {
+// startArrivals starts the arrivals of each workspace and kind of request.
+func (t *Trial) startArrivals() {
 	kinds := fjordkanalKinds
 	if t.spec.Site == "litoral" {
 		kinds = litoralKinds
 	}
-	var plain []string
+	var plainNames []string
 	for _, e := range t.engines {
 		if e.plain {
-			plain = append(plain, e.name)
+			plainNames = append(plainNames, e.name)
 		}
 	}
 	total := t.spec.Load * t.capacity(kinds)
 	for _, ws := range workspaces {
 		for _, k := range kinds {
-			s := newSource(ws, k, plain, rand.New(rand.NewPCG(t.spec.Seed, uint64(len(t.sources))+50)))
+			s := newSource(ws, k, plainNames, rand.New(rand.NewPCG(t.spec.Seed, uint64(len(t.sources))+50)))
 			t.sources = append(t.sources, s)
-			t.arrive(s, total*ws.Share*k.Share)
+			t.startSource(s, total*ws.Share*k.Share)
 		}
 	}
 }
 
-// capacity estimates the requests a second that all engines can serve, from the
-// mean work of a request in steps; lengths are lognormal, so that the mean is
-// the median times exp(spread^2/2), and part of the prompts is cached.
+// capacity estimates how many requests a second all engines together can serve: the
+// slots' steps per second divided by the mean work of a request in steps. Lengths are
+// lognormal, and the part ReuseProbability of the prompts is cached.
 func (t *Trial) capacity(kinds []RequestKind) float64 {
 	work := 0.0
 	for _, k := range kinds {
 		if !k.Plain {
-			work += k.Share * (lognormalMean(k.OutputTokens, k.Sigma) + lognormalMean(k.PromptTokens, k.Sigma)*(1-k.ReuseProbability)/prefillMean)
+			work += k.Share * (lognormalMean(k.OutputTokens, k.Sigma) + lognormalMean(k.PromptTokens, k.Sigma)*(1-k.ReuseProbability)/prefillTokensPerSlot)
 		}
 	}
 	perSecond := 0.0
 	for _, e := range t.engines {
 		if !e.plain {
-			perSecond += float64(e.core.Slots) / e.step.Seconds()
+			perSecond += float64(e.core.Slots) / e.stepTime.Seconds()
 		}
 	}
 	return perSecond / work
 }
 
-// prefillMean is the prompt tokens that one step of one slot is worth: an
-// engine's prefill tokens a step are shared by its slots.
-const prefillMean = 512.0 / 12
+// prefillTokensPerSlot is the number of prompt tokens that count as one step of one
+// slot, since the slots of an engine share its prefill tokens per step.
+const prefillTokensPerSlot = 512.0 / 12
 
-// arrive draws the arrivals of a source at a rate, as a Poisson process.
-func (t *Trial) arrive(s *source, rate float64) {
-	const slow = 2.0 // the rate may rise to this multiple before thinning fails
-	most := rate * slow * maxBoost
+// startSource starts the arrivals of a source as a Poisson process with the given
+// rate in requests per second. It thins a process of a higher, constant rate, so that
+// boostFactor can change the rate.
+func (t *Trial) startSource(s *source, rate float64) {
+	const headroom = 2.0 // with maxBoost, bounds the factor up to which thinning works
+	maxRate := rate * headroom * maxBoost
 	var next func()
 	next = func() {
-		gap := time.Duration(s.rnd.ExpFloat64() / most * float64(time.Second))
+		gap := time.Duration(s.rand.ExpFloat64() / maxRate * float64(time.Second))
 		t.after(gap, func() {
 			if t.now > t.spec.ArrivalDuration {
 				return
 			}
-			if t.now < warmUp {
+			if t.now < warmUpTime {
 				next()
 				return
 			}
-			want := 1.0
-			if t.boost != nil {
-				want = t.boost(s)
+			factor := 1.0
+			if t.boostFactor != nil {
+				factor = t.boostFactor(s)
 			}
-			if s.rnd.Float64() < want/(slow*maxBoost) {
+			if s.rand.Float64() < factor/(headroom*maxBoost) {
 				t.send(s)
 			}
 			next()
@@ -232,52 +237,53 @@
 	next()
 }
 
-// maxBoost is half the largest factor that a case may put on a source.
+// maxBoost is half the maximum factor by which a case may multiply the rate of a source.
 const maxBoost = 6
 
-// send draws a request and gives it to a host.
+// send draws a request and submits it to a random live host.
 func (t *Trial) send(s *source) {
-	req, out := s.draw(t.now)
+	req, outputTokens := s.draw(t.now)
 	t.nextID++
 	req.ID = strconv.Itoa(t.nextID)
-	c := &call{req: req, src: s, output: out}
+	c := &call{req: req, source: s, outputTokens: outputTokens}
 	req.Data = c
-	c.hostAt = t.rnd.IntN(len(t.hosts))
-	for t.deadAt[c.hostAt] {
-		c.hostAt = t.rnd.IntN(len(t.hosts))
+	c.hostIndex = t.rand.IntN(len(t.hosts))
+	for t.deadHosts[c.hostIndex] {
+		c.hostIndex = t.rand.IntN(len(t.hosts))
 	}
-	c.host = t.hosts[c.hostAt]
+	c.host = t.hosts[c.hostIndex]
 	t.calls[req.ID] = c
-	t.res.offer(t.now, c)
-	t.after(s.kind.Deadline, func() { t.giveUp(c) })
+	t.result.addOffered(t.now, c)
+	t.after(s.kind.Deadline, func() { t.timeOut(c) })
 	c.host.submit(c)
 }
 
-// dispatch sends a request to an engine.
+// dispatch sends a request to an engine, after a transfer of KV cache from the engine
+// importFrom if that is not empty.
 func (t *Trial) dispatch(c *call, name, importFrom string) {
 	e := t.byName[name]
-	c.at = e
+	c.engine = e
 	if e.dead {
 		t.after(time.Millisecond, func() {
 			if !c.ended {
-				c.host.unsent(c)
+				c.host.redispatchUnsent(c)
 			}
 		})
 		return
 	}
-	t.res.dispatched(t.now, c)
+	t.result.addDispatch(t.now, c)
 	send := func() {
-		if c.ended || t.deadAt[c.hostAt] {
+		if c.ended || t.deadHosts[c.hostIndex] {
 			return
 		}
 		c.job = &fake.Job{
-			ID: c.req.ID, Blocks: c.req.Blocks, PromptTokens: c.req.PromptTokens, OutputTokens: c.output, Priority: c.req.Settings.Rank,
+			ID: c.req.ID, Blocks: c.req.Blocks, PromptTokens: c.req.PromptTokens, OutputTokens: c.outputTokens, Priority: c.req.Settings.Rank,
 		}
-		t.res.recomputed(t, c, e)
+		t.result.addRecomputed(t, c, e)
 		e.add(c.job)
 		if e.dead {
 			e.core.Cancel(c.req.ID)
-			t.broken(c.job)
+			t.breakCall(c.job)
 		}
 	}
 	if importFrom == "" {
@@ -285,29 +291,29 @@
 		return
 	}
 	from := t.byName[importFrom]
-	n := from.core.PeekPrefix(c.req.Blocks)
-	t.after(5*time.Millisecond+time.Duration(n)*100*time.Microsecond, func() {
-		e.core.Import(c.req.Blocks[:n])
-		t.res.CacheImports++
+	cachedBlocks := from.core.PeekPrefix(c.req.Blocks)
+	t.after(5*time.Millisecond+time.Duration(cachedBlocks)*100*time.Microsecond, func() {
+		e.core.Import(c.req.Blocks[:cachedBlocks])
+		t.result.CacheImports++
 		send()
 	})
 }
 
-// token takes a token that an engine generated.
-func (t *Trial) token(_ *engine, em fake.GeneratedToken) {
-	c := t.calls[em.Job.ID]
+// handleToken handles a token that an engine generated.
+func (t *Trial) handleToken(_ *engine, tok fake.GeneratedToken) {
+	c := t.calls[tok.Job.ID]
 	if c == nil || c.ended {
 		return
 	}
-	if em.Job.GeneratedTokens == 1 {
-		c.first = t.now
-		c.host.first(c)
+	if tok.Job.GeneratedTokens == 1 {
+		c.firstToken = t.now
+		c.host.firstToken(c)
 	}
-	c.host.progress(c, em.Job.GeneratedTokens)
-	if em.Last {
+	c.host.progress(c, tok.Job.GeneratedTokens)
+	if tok.Last {
 		t.end(c)
-		c.host.done(c, sched.Completed, em.Job.GeneratedTokens)
-		t.res.answered(t.now, c)
+		c.host.done(c, sched.Completed, tok.Job.GeneratedTokens)
+		t.result.addCompleted(t.now, c)
 	}
 }
 
@@ -318,61 +324,61 @@
 }
 
 // refuse ends a call that is not run.
-func (t *Trial) refuse(c *call, why sched.Reason) {
+func (t *Trial) refuse(c *call, reason sched.Reason) {
 	if c.ended {
 		return
 	}
 	t.end(c)
-	t.res.refused(t.now, c, why)
+	t.result.addRefused(t.now, c, reason)
 }
 
-// broken ends a call whose engine died.
-func (t *Trial) broken(j *fake.Job) {
+// breakCall ends a call whose engine died.
+func (t *Trial) breakCall(j *fake.Job) {
 	c := t.calls[j.ID]
 	if c == nil {
 		return
 	}
 	t.end(c)
-	t.res.lost(t.now, c)
+	t.result.addLost(t.now, c)
 	c.host.done(c, sched.Broken, j.GeneratedTokens)
 }
 
-// giveUp is the caller going away at its deadline.
-func (t *Trial) giveUp(c *call) {
+// timeOut ends a call at its deadline, when the caller gives up.
+func (t *Trial) timeOut(c *call) {
 	if c.ended {
 		return
 	}
 	t.end(c)
-	t.res.late(t.now, c)
-	if c.host.withdraw(c) || c.at == nil {
+	t.result.addTimedOut(t.now, c)
+	if c.host.withdraw(c) || c.engine == nil {
 		return
 	}
-	c.at.core.Cancel(c.req.ID)
+	c.engine.core.Cancel(c.req.ID)
 	c.host.done(c, sched.Canceled, 0)
 }
 
-// killHost ends a host: its requests are lost, and their work is wasted.
+// killHost kills a host: its requests are lost and their work is wasted.
 func (t *Trial) killHost(i int) {
-	t.deadAt[i] = true
-	var mine []*call
+	t.deadHosts[i] = true
+	var hostCalls []*call
 	for _, c := range t.calls {
-		if c.hostAt == i {
-			mine = append(mine, c)
+		if c.hostIndex == i {
+			hostCalls = append(hostCalls, c)
 		}
 	}
-	for _, c := range mine {
+	for _, c := range hostCalls {
 		t.end(c)
-		t.res.lost(t.now, c)
-		if c.at != nil && c.job != nil {
-			c.at.core.Cancel(c.req.ID)
+		t.result.addLost(t.now, c)
+		if c.engine != nil && c.job != nil {
+			c.engine.core.Cancel(c.req.ID)
 		}
 	}
-	t.hosts[i] = newPlain(t, RoundRobin, 0)
+	t.hosts[i] = newBaselineHost(t, RoundRobin, 0)
 }
 
-// finish counts the calls that are still open as late.
-func (t *Trial) finish() {
+// endOpenCalls counts the calls that have not ended as timed out.
+func (t *Trial) endOpenCalls() {
 	for _, c := range t.calls {
-		t.res.late(t.now, c)
+		t.result.addTimedOut(t.now, c)
 	}
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -11,24 +11,24 @@
 	"github.com/shoenig/test/must"
 )
 
-// topGoodput is the least goodput of the top tier in every case, whose own load
-// always fits the engines.
-const topGoodput = 0.99
+// minTopGoodput is the minimum goodput of the top tier in every case. The load of the
+// top tier alone never exceeds the engines' capacity.
+const minTopGoodput = 0.99
 
-func short(c Case, site, policy string) Spec {
+func shortSpec(c Case, site, policy string) Spec {
 	return Spec{Site: site, Policy: policy, Hosts: 7, Load: c.Load, ReportLag: time.Second, ArrivalDuration: 70 * time.Second, Seed: 4, Case: c}
 }
 
-func TestTopTierHoldsInEveryCase(t *testing.T) {
+func TestTopTierGoodputInEveryCase(t *testing.T) {
 	for _, site := range []string{"fjordkanal", "litoral"} {
 		for _, c := range Cases {
 			t.Run(site+"/"+c.Name, func(t *testing.T) {
 				t.Parallel()
-				r := Run(short(c, site, Heathkeel))
-				must.GreaterEq(t, topGoodput, r.Tiers[0].Goodput())
+				r := Run(shortSpec(c, site, Heathkeel))
+				must.GreaterEq(t, minTopGoodput, r.Tiers[0].Goodput())
 				must.Zero(t, r.Inversions)
-				for _, x := range r.Tiers {
-					must.Eq(t, x.Offered, x.Completed+x.Refused+x.TimedOut+x.Lost)
+				for _, tier := range r.Tiers {
+					must.Eq(t, tier.Offered, tier.Completed+tier.Refused+tier.TimedOut+tier.Lost)
 				}
 			})
 		}
@@ -36,7 +36,7 @@
 }
 
 func TestSameSeedSameResult(t *testing.T) {
-	a, b := Run(short(Cases[4], "litoral", Heathkeel)), Run(short(Cases[4], "litoral", Heathkeel))
+	a, b := Run(shortSpec(Cases[4], "litoral", Heathkeel)), Run(shortSpec(Cases[4], "litoral", Heathkeel))
 	for k := range a.Tiers {
 		must.Eq(t, a.Tiers[k].Completed, b.Tiers[k].Completed)
 		must.Eq(t, a.Tiers[k].Refused, b.Tiers[k].Refused)
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -16,32 +16,34 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// RequestKind is a kind of request that a workspace sends.
+// RequestKind is a kind of request that workspaces send.
 type RequestKind struct {
-	// Service names it and Rank is its tier's place.
+	// Service is the name of its service, and Rank the rank of its tier, 0 for the highest.
 	Service string
 	Rank    int
-	// Share is its part of the workspace's requests.
+	// Share is the fraction of a workspace's requests that are of this kind.
 	Share float64
-	// PromptTokens and Output are median lengths in tokens; Spread is the standard
-	// deviation of their logarithms.
+	// PromptTokens and OutputTokens are median lengths; Sigma is the standard deviation
+	// of their logarithms.
 	PromptTokens, OutputTokens int
 	Sigma                      float64
-	// Deadline is the time within which the whole answer counts.
+	// Deadline is the time to the whole answer after which the caller gives up.
 	Deadline time.Duration
-	// TemplateBlocks is the number of prompt blocks that all requests of a workspace
-	// share, and Again the chance that a request goes on with a recent document.
+	// TemplateBlocks is the number of prompt blocks that all its requests from one
+	// workspace share, and ReuseProbability the probability that a request continues a
+	// recent document.
 	TemplateBlocks   int
 	ReuseProbability float64
-	// Plain says that it goes to a plain service.
+	// Plain is true if the service is a plain service.
 	Plain bool
 }
 
-// tiers are the names of the ranks.
+// tiers are the names of the tiers by rank.
 var tiers = []string{"urgent", "normal", "patient"}
 
-// The kinds of the two users: lookups and pushes at the top, replies between,
-// drafts and long documents at the bottom; lengths spread a hundredfold.
+// The kinds of requests of the two sites: lookups and short answers in the highest
+// tier, replies in the middle one, drafts and long documents in the lowest. Lengths
+// differ by a factor of a hundred.
 var (
 	fjordkanalKinds = []RequestKind{
 		{Service: "inventory", Rank: 0, Share: 0.25, PromptTokens: 1, OutputTokens: 1, Deadline: 500 * time.Millisecond, Plain: true},
@@ -61,34 +63,36 @@
 
 // Workspace is a sender of requests.
 type Workspace struct {
-	// Name and Weight identify it; Load is its part of all requests.
+	// Name identifies the workspace, Weight is its weight, and Share its fraction of all
+	// requests.
 	Name   string
 	Weight float64
 	Share  float64
 }
 
-// workspaces are five of unequal size, with weights that differ from their loads.
+// workspaces differ in size, and their weights are not proportional to their shares.
 var workspaces = []Workspace{
 	{"ws-a", 2, 0.35}, {"ws-b", 2, 0.25}, {"ws-c", 1, 0.2}, {"ws-d", 1, 0.15}, {"ws-e", 1, 0.05},
 }
 
-// documents is the number of recent documents that requests go on with.
-const documents = 40
+// maxDocuments is the maximum number of recent documents that requests can continue.
+const maxDocuments = 40
 
 // source draws the requests of one workspace and kind.
 type source struct {
-	ws       Workspace
-	kind     RequestKind
-	settings *settings.Effective
-	rnd      *rand.Rand
-	template []uint64
-	recent   [][]uint64
-	next     uint64
+	workspace    Workspace
+	kind         RequestKind
+	settings     *settings.Effective
+	rand         *rand.Rand
+	template     []uint64
+	documents    [][]uint64
+	lastDocument uint64
 }
 
-// newSource makes the source of a workspace and kind.
+// newSource returns the source of a workspace and kind. Requests to plain services go
+// to the given endpoints.
 func newSource(ws Workspace, k RequestKind, endpoints []string, rnd *rand.Rand) *source {
-	s := &source{ws: ws, kind: k, rnd: rnd}
+	s := &source{workspace: ws, kind: k, rand: rnd}
 	s.settings = &settings.Effective{
 		Workspace: ws.Name, Service: k.Service, Tier: tiers[k.Rank], Rank: k.Rank, Deadline: k.Deadline,
 		Repeatable: true, Weight: ws.Weight, RetryBudget: 0.1, Queue: 2000, Affinity: true, MaxTokens: 4096,
@@ -96,42 +100,42 @@
 	if k.Plain {
 		s.settings.Endpoints = endpoints
 	}
-	s.template = s.chain(nil, k.TemplateBlocks, 0)
+	s.template = s.appendBlocks(nil, k.TemplateBlocks, 0)
 	return s
 }
 
-// chain appends n blocks that no other document has.
-func (s *source) chain(blocks []uint64, n int, doc uint64) []uint64 {
-	for i := range n {
-		text := fmt.Sprintf("%s/%s/%d/%d/%d", s.ws.Name, s.kind.Service, doc, len(blocks), i)
+// appendBlocks appends count blocks that no other document of any source has.
+func (s *source) appendBlocks(blocks []uint64, count int, document uint64) []uint64 {
+	for i := range count {
+		text := fmt.Sprintf("%s/%s/%d/%d/%d", s.workspace.Name, s.kind.Service, document, len(blocks), i)
 		blocks = append(blocks, xxhash.Sum64String(text))
 	}
 	return blocks
 }
 
-// length draws a length with a median and the kind's spread.
-func (s *source) length(median int) int {
-	return max(1, int(float64(median)*math.Exp(s.rnd.NormFloat64()*s.kind.Sigma)))
+// drawLength draws a length from a lognormal distribution with the given median and
+// the kind's Sigma.
+func (s *source) drawLength(median int) int {
+	return max(1, int(float64(median)*math.Exp(s.rand.NormFloat64()*s.kind.Sigma)))
 }
 
-// draw makes a request; output is the length of its answer, which only the
-// engine knows.
-func (s *source) draw(now time.Duration) (r *sched.Request, output int) {
-	prompt := s.length(s.kind.PromptTokens)
-	output = s.length(s.kind.OutputTokens)
+// draw returns a new request and the length of its answer, which the host doesn't know.
+func (s *source) draw(now time.Duration) (r *sched.Request, outputTokens int) {
+	prompt := s.drawLength(s.kind.PromptTokens)
+	outputTokens = s.drawLength(s.kind.OutputTokens)
 	blocks := s.template
 	switch {
 	case s.kind.Plain:
-	case len(s.recent) > 0 && s.rnd.Float64() < s.kind.ReuseProbability:
-		blocks = s.recent[s.rnd.IntN(len(s.recent))]
+	case len(s.documents) > 0 && s.rand.Float64() < s.kind.ReuseProbability:
+		blocks = s.documents[s.rand.IntN(len(s.documents))]
 	default:
-		s.next++
+		s.lastDocument++
 		n := min(prompt/sched.BlockTokens, sched.MaxBlocks-s.kind.TemplateBlocks)
-		blocks = s.chain(append([]uint64(nil), s.template...), n, s.next)
-		s.keep(blocks)
+		blocks = s.appendBlocks(append([]uint64(nil), s.template...), n, s.lastDocument)
+		s.addDocument(blocks)
 	}
 	if !s.kind.Plain {
-		prompt = len(blocks)*sched.BlockTokens + 1 + s.rnd.IntN(sched.BlockTokens)
+		prompt = len(blocks)*sched.BlockTokens + 1 + s.rand.IntN(sched.BlockTokens)
 	}
 	r = &sched.Request{
 		Settings: s.settings, Model: model, Blocks: blocks, PromptTokens: prompt,
@@ -140,17 +144,17 @@
 	if s.kind.Plain {
 		r.Model = ""
 	}
-	return r, output
+	return r, outputTokens
 }
 
-// keep remembers a document for later requests.
-func (s *source) keep(blocks []uint64) {
-	if len(s.recent) < documents {
-		s.recent = append(s.recent, blocks)
+// addDocument adds a recent document, replacing a random one if there are maxDocuments.
+func (s *source) addDocument(blocks []uint64) {
+	if len(s.documents) < maxDocuments {
+		s.documents = append(s.documents, blocks)
 		return
 	}
-	s.recent[s.rnd.IntN(documents)] = blocks
+	s.documents[s.rand.IntN(maxDocuments)] = blocks
 }
 
-// model is the only model of a trial.
+// model is the only model in a trial.
 const model = "m"
