--- a/internal/pairs/pairs.go
+++ b/internal/pairs/pairs.go
@@ -16,34 +16,34 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Pair is a day as two versions played it.
+// Pair has the results of two versions for the same day.
 type Pair struct {
-	// Site, Day and Seed name the play.
+	// Site, Day and Seed identify the day.
 	Site, Day, Seed string
 	// A and B are the reports of the two versions.
 	A, B platform.DayReport
 }
 
-// DayKind is the kind of the day: its name without its number.
+// DayKind returns the kind of the day, which is its name without the number.
 func (p *Pair) DayKind() string {
 	return strings.TrimRight(strings.TrimRight(p.Day, "0123456789"), "-")
 }
 
-// Summary tells how far B is from A over several pairs.
+// Summary compares A and B over several pairs.
 type Summary struct {
 	// N is the number of pairs.
 	N int
-	// A and B are the mean worths, and Diff the mean of B - A.
+	// A and B are the mean worths, and Diff is the mean of B - A.
 	A, B, Diff float64
-	// StdError is the standard error of Diff, 0 for a single pair.
+	// StdError is the standard error of Diff; it is 0 for a single pair.
 	StdError float64
-	// BHigher counts the pairs in which B is higher.
+	// BHigher counts the pairs in which the worth of B is higher.
 	BHigher int
-	// CreditDiff is the mean difference before prices.
+	// CreditDiff is the mean of B - A of the worths before prices.
 	CreditDiff float64
 }
 
-// Summarize sums up some pairs.
+// Summarize computes the summary of pairs.
 func Summarize(ps []Pair) Summary {
 	s := Summary{N: len(ps)}
 	if s.N == 0 {
@@ -70,17 +70,18 @@
 	return s
 }
 
-// Change is a figure that moved between A and B.
+// Change is a figure that differs between A and B.
 type Change struct {
-	// Name names it; A and B are its means.
+	// Name names the figure; A and B are its means.
 	Name string
 	A, B float64
 }
 
-// moved bounds the moves that are worth a line, as a part of the worth.
-const moved = 0.003
+// minChange is the minimum difference that Changes returns, in units of worth.
+const minChange = 0.003
 
-// Changes gives the prices and the worths of kinds that moved, the largest first.
+// Changes returns the prices and the worths of request kinds that differ by at least minChange, those
+// with the largest difference first.
 func Changes(ps []Pair) []Change {
 	sums := make(map[string]*Change)
 	n := float64(len(ps))
@@ -101,7 +102,7 @@
 	}
 	var out []Change
 	for _, m := range sums {
-		if math.Abs(m.B-m.A) >= moved {
+		if math.Abs(m.B-m.A) >= minChange {
 			out = append(out, *m)
 		}
 	}
@@ -111,16 +112,16 @@
 	return out
 }
 
-// Write prints the pairs by site and kind of day, and for each site what moved.
+// Write prints a table of the pairs by site and kind of day, and the changes of each site.
 func Write(w io.Writer, ps []Pair) error {
 	tw := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(tw, "site\tdays\tpairs\tA\tB\tB - A\tstandard error\tB higher\tbefore prices\tbroken A, B")
-	sites := groups(ps, func(p *Pair) string { return p.Site })
+	sites := groupBy(ps, func(p *Pair) string { return p.Site })
 	for _, site := range sites {
-		for _, kind := range groups(site, (*Pair).DayKind) {
-			row(tw, kind[0].Site, kind[0].DayKind(), kind)
+		for _, kind := range groupBy(site, (*Pair).DayKind) {
+			writeRow(tw, kind[0].Site, kind[0].DayKind(), kind)
 		}
-		row(tw, site[0].Site, "all", site)
+		writeRow(tw, site[0].Site, "all", site)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -134,36 +135,36 @@
 	return nil
 }
 
-// row prints a line of the table.
-func row(w io.Writer, site, days string, ps []Pair) {
+// writeRow prints a row of the table.
+func writeRow(w io.Writer, site, days string, ps []Pair) {
 	s := Summarize(ps)
-	a, b := 0, 0
+	brokenA, brokenB := 0, 0
 	for i := range ps {
 		if ps[i].A.Broken != "" {
-			a++
+			brokenA++
 		}
 		if ps[i].B.Broken != "" {
-			b++
+			brokenB++
 		}
 	}
-	fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\t%+.4f\t%d, %d\n", site, days, s.N, s.A, s.B, s.Diff, s.StdError, s.BHigher, s.CreditDiff, a, b)
+	fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.4f\t%.4f\t%d\t%+.4f\t%d, %d\n", site, days, s.N, s.A, s.B, s.Diff, s.StdError, s.BHigher, s.CreditDiff, brokenA, brokenB)
 }
 
-// groups parts pairs by a name, in the order of the names.
-func groups(ps []Pair, name func(*Pair) string) [][]Pair {
-	by := make(map[string][]Pair)
+// groupBy groups pairs by name, sorted by name.
+func groupBy(ps []Pair, name func(*Pair) string) [][]Pair {
+	byName := make(map[string][]Pair)
 	var names []string
 	for i := range ps {
 		k := name(&ps[i])
-		if by[k] == nil {
+		if byName[k] == nil {
 			names = append(names, k)
 		}
-		by[k] = append(by[k], ps[i])
+		byName[k] = append(byName[k], ps[i])
 	}
 	slices.Sort(names)
 	out := make([][]Pair, len(names))
 	for i, k := range names {
-		out[i] = by[k]
+		out[i] = byName[k]
 	}
 	return out
 }
--- a/internal/pairs/pairs_test.go
+++ b/internal/pairs/pairs_test.go
@@ -13,8 +13,8 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// pair makes a pair of worths.
-func pair(site, day string, a, b float64) Pair {
+// newPair returns a pair with the given worths.
+func newPair(site, day string, a, b float64) Pair {
 	report := func(worth float64) platform.DayReport {
 		return platform.DayReport{
 			Worth: worth, Credit: worth + 0.1, Prices: map[string]float64{"hosts": 0.1, "calls": worth / 100},
@@ -31,9 +31,9 @@
 		want  Summary
 	}{
 		{"none", nil, Summary{}},
-		{"one", []Pair{pair("s", "d", 0.5, 0.75)}, Summary{N: 1, A: 0.5, B: 0.75, Diff: 0.25, CreditDiff: 0.25, BHigher: 1}},
-		{"alike", []Pair{pair("s", "d", 0.5, 0.5), pair("s", "d", 0.25, 0.25)}, Summary{N: 2, A: 0.375, B: 0.375}},
-		{"apart", []Pair{pair("s", "d", 0.5, 0.75), pair("s", "d", 0.5, 0.25)}, Summary{N: 2, A: 0.5, B: 0.5, StdError: 0.25, BHigher: 1}},
+		{"one", []Pair{newPair("s", "d", 0.5, 0.75)}, Summary{N: 1, A: 0.5, B: 0.75, Diff: 0.25, CreditDiff: 0.25, BHigher: 1}},
+		{"alike", []Pair{newPair("s", "d", 0.5, 0.5), newPair("s", "d", 0.25, 0.25)}, Summary{N: 2, A: 0.375, B: 0.375}},
+		{"apart", []Pair{newPair("s", "d", 0.5, 0.75), newPair("s", "d", 0.5, 0.25)}, Summary{N: 2, A: 0.5, B: 0.5, StdError: 0.25, BHigher: 1}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -49,14 +49,14 @@
 	}
 }
 
-func TestMoves(t *testing.T) {
-	got := Changes([]Pair{pair("s", "d", 0.5, 0.75)})
-	must.Eq(t, []Change{{"worth of draft", 0.5, 0.75}}, got) // a price that moved by less than it is worth telling is left out
+func TestChanges(t *testing.T) {
+	got := Changes([]Pair{newPair("s", "d", 0.5, 0.75)})
+	must.Eq(t, []Change{{"worth of draft", 0.5, 0.75}}, got) // the price of calls changes by less than minChange
 }
 
 func TestWrite(t *testing.T) {
 	var b strings.Builder
-	must.NoError(t, Write(&b, []Pair{pair("b", "scale-1", 0.5, 0.75), pair("a", "trouble-1", 0.5, 0.5), pair("b", "scale-2", 0.5, 0.25), pair("b", "quiet-1", 0.9, 0.9)}))
+	must.NoError(t, Write(&b, []Pair{newPair("b", "scale-1", 0.5, 0.75), newPair("a", "trouble-1", 0.5, 0.5), newPair("b", "scale-2", 0.5, 0.25), newPair("b", "quiet-1", 0.9, 0.9)}))
 	lines := strings.Split(b.String(), "\n")
 	for i, want := range [][]string{{"site"}, {"a", "trouble", "1"}, {"a", "all", "1"}, {"b", "quiet", "1"}, {"b", "scale", "2", "0.500", "0.500", "+0.0000", "0.2500", "1"}, {"b", "all", "3"}} {
 		must.Eq(t, want, strings.Fields(lines[i])[:len(want)])
