--- a/cmd/hkbench/bound.go
+++ b/cmd/hkbench/bound.go
@@ -96,14 +96,14 @@
 	site := &bound.Site{
 		Model: bound.Model{
 			Slots: e.Slots, Step: e.Step, StepPerRequest: e.StepPerRequest, StepPerContext: e.StepPerContext,
-			PrefillPerMS: e.PrefillPerMS, PrefillPairs: e.PrefillPairs, FirstTokenDelay: e.First,
+			PrefillPerMS: e.PrefillPerMS, PrefillPairs: e.PrefillPairs, FirstTokenDelay: e.FirstTokenDelay,
 		},
 		Slowness: e.Slowness, EventTokens: e.EventTokens,
 	}
 	for _, k := range f.Requests {
 		if k.Service == e.Service {
 			site.Kinds = append(site.Kinds, bound.RequestKind{
-				Name: k.Name, Objective: k.Objective, PauseObjective: k.Pause, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.Late, MeanPromptTokens: k.PromptTokens,
+				Name: k.Name, Objective: k.Objective, PauseObjective: k.PauseObjective, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth, MeanPromptTokens: k.PromptTokens,
 			})
 		}
 	}
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -132,7 +132,7 @@
 func finalEvent(at float64, route string, in int, kind outcome.Kind, status int) outcome.Event {
 	e := outcome.Event{
 		Time: at, ID: fmt.Sprint(at), Workspace: "w", Route: route, Service: "s", Outcome: kind, Status: status, TokensIn: in, TokensOut: 400, TokensGuess: 90,
-		ObjectiveMS: 300, PauseObjectiveMS: 100, HeldMS: 200, FirstMS: 100, LeftMS: 5000, StepUS: 10000,
+		ObjectiveMS: 300, PauseObjectiveMS: 100, ElapsedMS: 200, FirstEventMS: 100, LeftMS: 5000, StepUS: 10000,
 	}
 	if kind == outcome.Served {
 		e.Endpoint, e.Events = "e1", 20
@@ -145,7 +145,7 @@
 	slow := finalEvent(3, "b", 510, outcome.Served, 200)
 	slow.Endpoint, slow.StepUS, slow.LongestPauseMS = "e2", 31000, 150
 	overQuota := finalEvent(4, "b", 480, outcome.Refused, 429)
-	callerGone := finalEvent(5, "b", 470, outcome.Gone, 0)
+	callerGone := finalEvent(5, "b", 470, outcome.CallerGone, 0)
 	events := []outcome.Event{
 		finalEvent(1, "a", 5000, outcome.Served, 200),
 		finalEvent(1.1, "a", 5200, outcome.Refused, 503), late,
--- a/internal/bound/requests.go
+++ b/internal/bound/requests.go
@@ -76,13 +76,13 @@
 	counts := Counts{Tries: len(final)}
 	weights := make(map[string]func(*outcome.Event) float64)
 	for route := range kinds {
-		weights[route] = outcome.Weigher(slices.DeleteFunc(slices.Clone(final), func(e outcome.Event) bool { return e.Route != route }))
+		weights[route] = outcome.WeightFunc(slices.DeleteFunc(slices.Clone(final), func(e outcome.Event) bool { return e.Route != route }))
 	}
 	for _, tries := range groupTries(final, kinds) {
 		counts.Requests++
 		last := &tries[len(tries)-1]
 		switch {
-		case !slices.ContainsFunc(tries, func(e outcome.Event) bool { return e.Loss() != outcome.OverAmount }):
+		case !slices.ContainsFunc(tries, func(e outcome.Event) bool { return e.Loss() != outcome.OverQuota }):
 			counts.OverQuota++
 			continue
 		case last.Loss() == outcome.CallerLeft:
@@ -96,7 +96,7 @@
 
 // arrivalTime returns when a try arrived.
 func arrivalTime(e *outcome.Event) time.Duration {
-	return time.Duration(e.Time*float64(time.Second)) - time.Duration(e.HeldMS)*time.Millisecond
+	return time.Duration(e.Time*float64(time.Second)) - time.Duration(e.ElapsedMS)*time.Millisecond
 }
 
 // kindsByRoute finds the kind of each route: of the kinds with the route's objectives, the one whose
@@ -145,7 +145,7 @@
 			continue
 		}
 		from := arrivalTime(e) - origin
-		to := from + time.Duration(e.HeldMS)*time.Millisecond
+		to := from + time.Duration(e.ElapsedMS)*time.Millisecond
 		s := byName[e.Endpoint]
 		if s == nil {
 			s = &observation{from: from, to: to}
@@ -203,7 +203,7 @@
 		return r
 	}
 	r.OutputTokens = max(1, last.Events*max(1, site.EventTokens))
-	firstToken := arrivalTime(last) - arrivalTime(first) + time.Duration(last.FirstMS)*time.Millisecond
+	firstToken := arrivalTime(last) - arrivalTime(first) + time.Duration(last.FirstEventMS)*time.Millisecond
 	longestPause := time.Duration(last.LongestPauseMS) * time.Millisecond
 	r.Earned = r.LateWorth
 	if firstToken <= k.Objective && (k.PauseObjective == 0 || longestPause <= k.PauseObjective) {
--- a/internal/fake/contract_test.go
+++ b/internal/fake/contract_test.go
@@ -62,7 +62,7 @@
 		must.Eq(t, []string{"b/1", "b/2"}, keys)
 	}},
 	{"a value above the size limit is refused", func(t *testing.T, kv keyval.KV, _ *KV) {
-		_, err := kv.Swap(t.Context(), "a", 0, make([]byte, keyval.MaxValue+1), 0)
+		_, err := kv.Swap(t.Context(), "a", 0, make([]byte, keyval.MaxValueSize+1), 0)
 		must.ErrorIs(t, err, keyval.ErrTooLarge)
 	}},
 	{"a watch returns a change made before or during it", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
@@ -89,9 +89,9 @@
 		time.Sleep(60 * time.Millisecond)
 		_, err = kv.Get(t.Context(), "a")
 		must.ErrorIs(t, err, keyval.ErrNotFound)
-		must.ErrorIs(t, kv.Renew(t.Context(), l), keyval.ErrLeaseGone)
+		must.ErrorIs(t, kv.Renew(t.Context(), l), keyval.ErrLeaseExpired)
 		_, err = kv.Swap(t.Context(), "a", 0, nil, l)
-		must.ErrorIs(t, err, keyval.ErrLeaseGone)
+		must.ErrorIs(t, err, keyval.ErrLeaseExpired)
 	}},
 	{"an answer may be lost after the write", func(t *testing.T, kv keyval.KV, fakeKV *KV) {
 		fakeKV.SetFaults(KVFaults{LoseAnswer: 1})
@@ -116,7 +116,7 @@
 		fakeKV.MaxWriteRate = 2
 		var limited int
 		for range 5 {
-			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrLimited) {
+			if _, err := kv.Swap(t.Context(), "a", 0, nil, 0); errors.Is(err, keyval.ErrRateLimited) {
 				limited++
 			}
 		}
@@ -135,7 +135,7 @@
 			p := &Platform{KV: kv, Hosts: &HostList{}, Weights: &WeightStore{}}
 			srv := httptest.NewServer(p.Handler())
 			defer srv.Close()
-			c.run(t, &keyval.Client{Base: srv.URL}, kv)
+			c.run(t, &keyval.Client{BaseURL: srv.URL}, kv)
 		})
 	}
 }
@@ -145,7 +145,7 @@
 	p := &Platform{KV: &KV{}, Hosts: l, Weights: &WeightStore{}}
 	srv := httptest.NewServer(p.Handler())
 	defer srv.Close()
-	c := &keyval.Client{Base: srv.URL}
+	c := &keyval.Client{BaseURL: srv.URL}
 	names := func() string {
 		list, err := c.List(t.Context())
 		must.NoError(t, err)
@@ -170,7 +170,7 @@
 // newEngine returns an engine with model m loaded.
 func newEngine() *Engine {
 	e := &Engine{Core: EngineCore{Slots: 2, PrefillPerStep: 512, CacheBlocks: 8}, StepTime: time.Millisecond}
-	e.SetLoaded(endpoint.Holding{Model: "m", Version: "1"})
+	e.SetLoaded(endpoint.ModelSpec{Model: "m", Version: "1"})
 	return e
 }
 
@@ -192,7 +192,7 @@
 		client := &endpoint.Client{Base: srv.URL}
 		for i, token := range c.tokens {
 			err := client.Order(t.Context(), endpoint.Order{Token: token, Want: e.Loaded(), Role: "both"})
-			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStale), must.Sprint(c.name, i))
+			must.Eq(t, c.stale[i], errors.Is(err, endpoint.ErrStaleToken), must.Sprint(c.name, i))
 		}
 		srv.Close()
 	}
@@ -227,7 +227,7 @@
 	// The cache holds three of the four blocks, so that one eviction must be reported.
 	evictions := 0
 	for _, e := range c.Events(0) {
-		if e.Gone {
+		if e.Evicted {
 			evictions++
 		}
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -55,8 +55,8 @@
 	faults        EngineFaults
 	streams       map[string]*engineStream
 	pastReports   []timedReport
-	loaded        *endpoint.Holding
-	loading       *endpoint.Holding
+	loaded        *endpoint.ModelSpec
+	loading       *endpoint.ModelSpec
 	role          string
 	token         uint64
 	runs          map[string]int
@@ -82,7 +82,7 @@
 const maxPastReports = 256
 
 // SetLoaded sets the model that is loaded at the start.
-func (e *Engine) SetLoaded(model endpoint.Holding) {
+func (e *Engine) SetLoaded(model endpoint.ModelSpec) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loaded = &model
@@ -206,7 +206,7 @@
 func (e *Engine) report() endpoint.Report {
 	r := e.Core.Report()
 	r.StepUS = e.StepTime.Microseconds()
-	r.Holding, r.Loading, r.Role, r.Token = e.loaded, e.loading, e.role, e.token
+	r.Loaded, r.Loading, r.Role, r.Token = e.loaded, e.loading, e.role, e.token
 	if r.Role == "" {
 		r.Role = "both"
 	}
@@ -262,7 +262,7 @@
 
 // sameModel reports whether a and b are both nil or have the same model, version
 // and adapters.
-func sameModel(a, b *endpoint.Holding) bool {
+func sameModel(a, b *endpoint.ModelSpec) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -270,7 +270,7 @@
 }
 
 // Loaded returns the loaded model, or nil.
-func (e *Engine) Loaded() *endpoint.Holding {
+func (e *Engine) Loaded() *endpoint.ModelSpec {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loaded
--- a/internal/fake/enginecore.go
+++ b/internal/fake/enginecore.go
@@ -187,7 +187,7 @@
 
 // addEvent appends a cache event and drops the oldest ones above maxEvents.
 func (c *EngineCore) addEvent(block uint64, evicted bool) {
-	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Gone: evicted})
+	c.events = append(c.events, endpoint.CacheEvent{Seq: c.nextEvent, Block: block, Evicted: evicted})
 	c.nextEvent++
 	if len(c.events) > maxEvents {
 		c.events = slices.Clone(c.events[len(c.events)-maxEvents/2:])
--- a/internal/fake/kv.go
+++ b/internal/fake/kv.go
@@ -138,7 +138,7 @@
 	if lim != nil && !lim.Allow() {
 		k.calls.RateLimited++
 		k.mu.Unlock()
-		return keyval.ErrLimited
+		return keyval.ErrRateLimited
 	}
 	if f.Delay > 0 {
 		k.mu.Unlock()
@@ -203,7 +203,7 @@
 
 // Swap implements keyval.KV.
 func (k *KV) Swap(ctx context.Context, key string, version uint64, value []byte, lease keyval.Lease) (uint64, error) {
-	if len(value) > keyval.MaxValue {
+	if len(value) > keyval.MaxValueSize {
 		return 0, keyval.ErrTooLarge
 	}
 	if err := k.beginCall(ctx, true); err != nil {
@@ -214,7 +214,7 @@
 		return 0, keyval.ErrConflict
 	}
 	if lease != 0 && k.leases[lease] == nil {
-		return 0, keyval.ErrLeaseGone
+		return 0, keyval.ErrLeaseExpired
 	}
 	k.lastVersion++
 	k.items[key] = kvItem{slices.Clone(value), k.lastVersion, lease}
@@ -312,7 +312,7 @@
 	defer k.mu.Unlock()
 	l := k.leases[lease]
 	if l == nil {
-		return keyval.ErrLeaseGone
+		return keyval.ErrLeaseExpired
 	}
 	l.expiresAt = time.Now().Add(l.ttl)
 	if k.loseAnswer() {
--- a/internal/fake/lists.go
+++ b/internal/fake/lists.go
@@ -124,7 +124,7 @@
 	s.loads++
 	s.mu.Unlock()
 	if f.Refuse || (lim != nil && !lim.Allow()) {
-		return "", keyval.ErrLimited
+		return "", keyval.ErrRateLimited
 	}
 	d := s.LoadTime
 	if f.Slowdown > 0 {
--- a/internal/pairs/pairs.go
+++ b/internal/pairs/pairs.go
@@ -140,10 +140,10 @@
 	s := Summarize(ps)
 	brokenA, brokenB := 0, 0
 	for i := range ps {
-		if ps[i].A.Broken != "" {
+		if ps[i].A.BrokenRule != "" {
 			brokenA++
 		}
-		if ps[i].B.Broken != "" {
+		if ps[i].B.BrokenRule != "" {
 			brokenB++
 		}
 	}
--- a/internal/pairs/pairs_test.go
+++ b/internal/pairs/pairs_test.go
@@ -18,7 +18,7 @@
 	report := func(worth float64) platform.DayReport {
 		return platform.DayReport{
 			Worth: worth, Credit: worth + 0.1, Prices: map[string]float64{"hosts": 0.1, "calls": worth / 100},
-			Kinds: map[string]platform.KindReport{"draft": {Asked: 10, Worth: worth}},
+			Kinds: map[string]platform.KindReport{"draft": {Requests: 10, Worth: worth}},
 		}
 	}
 	return Pair{Site: site, Day: day, Seed: "1", A: report(a), B: report(b)}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -155,7 +155,7 @@
 		for _, ev := range evs {
 			for k, o := range t.hosts {
 				if !t.deadHosts[k] {
-					o.applyCacheEvent(e, ev.Block, ev.Gone)
+					o.applyCacheEvent(e, ev.Block, ev.Evicted)
 				}
 			}
 		}
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -95,7 +95,7 @@
 	s := &source{workspace: ws, kind: k, rand: rnd}
 	s.settings = &settings.Effective{
 		Workspace: ws.Name, Service: k.Service, Tier: tiers[k.Rank], Rank: k.Rank, Deadline: k.Deadline,
-		Repeatable: true, Weight: ws.Weight, RetryBudget: 0.1, Queue: 2000, Affinity: true, MaxTokens: 4096,
+		Repeatable: true, Weight: ws.Weight, RetryBudget: 0.1, MaxQueued: 2000, Affinity: true, MaxTokens: 4096,
 	}
 	if k.Plain {
 		s.settings.Endpoints = endpoints
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -108,7 +108,7 @@
 	n := 0
 	for name := range b.engines {
 		rep, err := b.reach(settings.Endpoint{Name: name}).Report(b.ctx, noEvents)
-		if err == nil && rep.Holding != nil && rep.Role != RoleDrain && (version == "" || rep.Holding.Version == version) {
+		if err == nil && rep.Loaded != nil && rep.Role != RoleDrain && (version == "" || rep.Loaded.Version == version) {
 			n++
 		}
 	}
@@ -282,7 +282,7 @@
 				b.until("2")
 				if fenced {
 					err := b.reach(settings.Endpoint{Name: "e00"}).Order(b.ctx, endpoint.Order{Token: stale, Want: holds("m", "1"), Role: "both"})
-					must.ErrorIs(t, err, endpoint.ErrStale)
+					must.ErrorIs(t, err, endpoint.ErrStaleToken)
 					must.Eq(t, 2, b.serving("2"))
 				}
 			})
@@ -293,11 +293,11 @@
 func TestGuardTimeOfUnfencedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: clock.NewSteady()}
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		must.True(t, l.MayOrder(true))
 		must.False(t, l.MayOrder(false))
 		time.Sleep(DefaultTTL - time.Second)
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		must.False(t, l.MayOrder(false))
 		time.Sleep(time.Second)
 		must.True(t, l.MayOrder(false))
@@ -316,9 +316,9 @@
 		var asleep time.Duration
 		c := clock.NewSteady().Skewed(func() time.Duration { return asleep })
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: c}
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(DefaultTTL - time.Second)
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(time.Second)
 		must.True(t, l.MayOrder(false))
 		asleep = DefaultTTL / 2
