--- a/cmd/hkdev/site.go
+++ b/cmd/hkdev/site.go
@@ -32,7 +32,7 @@
 	}
 	defer s.Stop()
 	s.Store.Put(platform.KeyConfig, site.Example())
-	if _, _, err := s.AddScene(siteEvents, sitePace); err != nil {
+	if _, _, err := s.AddExampleEndpoints(siteEvents, sitePace); err != nil {
 		return 1, err
 	}
 	for range a.Hosts {
@@ -71,10 +71,10 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got.Status != 200 || !got.Whole {
+		if got.Status != 200 || !got.Complete {
 			code = 1
 		}
-		fmt.Printf("%-10s status %d whole %t %d bytes\n", path, got.Status, got.Whole, len(got.Body))
+		fmt.Printf("%-10s status %d whole %t %d bytes\n", path, got.Status, got.Complete, len(got.Body))
 	}
 	return code
 }
--- a/internal/mesh/fleet_test.go
+++ b/internal/mesh/fleet_test.go
@@ -88,7 +88,7 @@
 	for range 2000 {
 		named := 0
 		for _, n := range w.all {
-			if n != gone && !n.dead.Load() && n.Names(gone) {
+			if n != gone && !n.dead.Load() && n.ConsidersLive(gone) {
 				named++
 			}
 		}
@@ -107,17 +107,17 @@
 		defer cancel()
 		w := newWorld(t, ctx, 12)
 		w.untilKnown(12)
-		w.Cut(func(a, b *Node) bool { return (a.Zone == "z1") != (b.Zone == "z1") })
+		w.SetPartition(func(a, b *Node) bool { return (a.Zone == "z1") != (b.Zone == "z1") })
 		for i, g := range w.gaps {
 			g.cut.Store(w.all[i].Zone == "z1")
 		}
 		time.Sleep(10 * time.Minute)
-		must.Eq(t, 4, w.all[0].Live())
-		must.Eq(t, 8, w.all[1].Live())
+		must.Eq(t, 4, w.all[0].LiveCount())
+		must.Eq(t, 8, w.all[1].LiveCount())
 		rev := w.mustApply()
 		time.Sleep(10 * time.Second)
 		must.Eq(t, rev-1, w.all[0].Follower.Revision())
-		w.Cut(nil)
+		w.SetPartition(nil)
 		start := time.Now()
 		w.untilKnown(12)
 		t.Logf("zone known again %.1f s after a cut of 10 minutes", time.Since(start).Seconds())
@@ -134,11 +134,11 @@
 		w := newWorld(t, ctx, 9)
 		w.untilKnown(9)
 		a, b := w.all[0], w.all[4]
-		w.Cut(func(x, y *Node) bool { return (x == a && y == b) || (x == b && y == a) })
+		w.SetPartition(func(x, y *Node) bool { return (x == a && y == b) || (x == b && y == a) })
 		// The two suspect each other for as long as the cut lasts; whoever else is
 		// told hears the accused's own word soon and names both again.
 		time.Sleep(time.Minute)
-		w.Cut(nil)
+		w.SetPartition(nil)
 		w.untilKnown(9)
 	})
 }
