--- a/internal/site/again_test.go
+++ b/internal/site/again_test.go
@@ -12,10 +12,10 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestEndpointStartsAgain lets an endpoint start again under its name while a request hangs there, on a connection that
+// TestEndpointRestarts lets an endpoint start again under its name while a request hangs there, on a connection that
 // does not tell: nothing of the older life is waited for. What may go on elsewhere does; what may not is
 // told at once that it may have run.
-func TestEndpointStartsAgain(t *testing.T) {
+func TestEndpointRestarts(t *testing.T) {
 	cases := []struct {
 		name, path string
 		fault      Fault
@@ -30,15 +30,15 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s, h := patient(t)
-			s.fail(tc.fault, 1)
+			s, h := startWithLongTimeouts(t)
+			s.setFaults(tc.fault, 1)
 			answer := make(chan Answer, 1)
 			go func() {
 				answer <- Do(h.Boot.Front, Call{Path: tc.path, Key: "new-key", ID: "again", Body: "b", Tokens: "10,30"})
 			}()
-			working := func(e *Endpoint) bool { return e.InFlight() > 0 }
-			s.await(t, "it runs", func() bool { return s.which(working) != nil })
-			e := s.which(working)
+			isWorking := func(e *Endpoint) bool { return e.InFlight() > 0 }
+			s.await(t, "it runs", func() bool { return s.findEndpoint(isWorking) != nil })
+			e := s.findEndpoint(isWorking)
 			e.StartedMS = 1_800_000_000_000
 			service := Engines
 			if e.Events == 0 {
@@ -50,15 +50,15 @@
 			if tc.status == 200 && service == Engines {
 				must.EqOp(t, StreamBody(e.Events), a.Body)
 			}
-			must.EqOp(t, tc.runs, s.runs("again"))
-			requests, _ := s.counts(t, h)
+			must.EqOp(t, tc.runs, s.countRuns("again"))
+			requests, _ := s.readCounters(t, h)
 			must.EqOp(t, 1, requests["LifeOver"])
 		})
 	}
 }
 
-// which gives the first endpoint of which something is true, or nil.
-func (s *scene) which(ok func(*Endpoint) bool) *Endpoint {
+// findEndpoint gives the first endpoint of which something is true, or nil.
+func (s *testSite) findEndpoint(ok func(*Endpoint) bool) *Endpoint {
 	for i := range 2 {
 		for _, e := range []*Endpoint{s.plain[i], s.engines[i]} {
 			if ok(e) {
@@ -72,7 +72,7 @@
 // TestForeignEntriesServe writes entries of another program beside those of the endpoints, and in the place of
 // one: all goes to the endpoints that are left, as before.
 func TestForeignEntriesServe(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	h := s.Hosts[0]
 	for key, value := range map[string]any{
 		"x-1": "not an entry", "x-2": []int{1, 2}, "x-3": map[string]any{"Service": Plain, "Address": s.engines[0].Address, "State": "ready"},
@@ -87,7 +87,7 @@
 	s.await(t, "all goes to the other endpoint", func() bool {
 		before := len(s.plain[0].Runs())
 		for range 10 {
-			a := s.ask(t, h, Call{Path: "/ask/a", Key: Key, ID: "f"})
+			a := s.doWithRetry(t, h, Call{Path: "/ask/a", Key: Key, ID: "f"})
 			must.EqOp(t, 200, a.Status, must.Sprint(a.Body))
 		}
 		return len(s.plain[0].Runs()) == before
--- a/internal/site/ask_test.go
+++ b/internal/site/ask_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// mostAgain is how often a caller comes again after a refusal, each time after a host's usual time to come back.
-const mostAgain = 8
+// maxRetries is how often a caller comes again after a refusal, each time after a host's usual time to come back.
+const maxRetries = 8
 
-// ask does a call as a caller that comes again. A host whose process does not run for a while, as this one on a busy machine, refuses requests until it has heard anew
+// doWithRetry does a call as a caller that comes again. A host whose process does not run for a while, as this one on a busy machine, refuses requests until it has heard anew
 // what it must know, and counts each of them: only such an answer is asked for again. That hosts in time refuse nothing is held by tests on simulated time.
-func (s *scene) ask(t *testing.T, h *Host, c Call) Answer {
+func (s *testSite) doWithRetry(t *testing.T, h *Host, c Call) Answer {
 	t.Helper()
-	for again := 0; ; again++ {
-		before := s.refusedLate(t, h)
+	for retries := 0; ; retries++ {
+		before := s.staleRefusals(t, h)
 		a := Do(h.Boot.Front, c)
-		if a.Status != 503 || again == mostAgain || s.refusedLate(t, h) != before+1 {
+		if a.Status != 503 || retries == maxRetries || s.staleRefusals(t, h) != before+1 {
 			return a
 		}
 		t.Logf("%s: %s", h.Boot.Host, a.Body)
@@ -27,9 +27,9 @@
 	}
 }
 
-// refusedLate is how many requests a host has refused because it had not heard in time what it must know.
-func (s *scene) refusedLate(t *testing.T, h *Host) int64 {
+// staleRefusals is how many requests a host has refused because it had not heard in time what it must know.
+func (s *testSite) staleRefusals(t *testing.T, h *Host) int64 {
 	t.Helper()
-	requests, _ := s.counts(t, h)
+	requests, _ := s.readCounters(t, h)
 	return requests["Unproven"] + requests["OldList"] + requests["Stale"]
 }
--- a/internal/site/bench_test.go
+++ b/internal/site/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// benchScene starts one host with streams of n events that come at once.
-func benchScene(b *testing.B, n int) *Site {
+// newBenchSite starts one host with streams of n events that come at once.
+func newBenchSite(b *testing.B, n int) *Site {
 	b.Helper()
 	s := &Site{Log: logr.Discard()}
 	must.NoError(b, s.Start())
@@ -34,7 +34,7 @@
 
 // BenchmarkRequest is a request that is no stream, with caller, host and endpoint in one process.
 func BenchmarkRequest(b *testing.B) {
-	s := benchScene(b, 1)
+	s := newBenchSite(b, 1)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if a := Do(s.Hosts[0].Boot.Front, Call{Path: "/ask/x", Key: Key, ID: fmt.Sprint("b", i)}); a.Status != 200 {
@@ -48,7 +48,7 @@
 func BenchmarkStream(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := benchScene(b, n)
+			s := newBenchSite(b, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if a := Do(s.Hosts[0].Boot.Front, Call{Path: "/draft/x", Key: Key, ID: fmt.Sprint("b", i), Tokens: "10,100"}); a.Status != 200 || !a.Complete {
--- a/internal/site/crash.go
+++ b/internal/site/crash.go
@@ -15,27 +15,27 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// opened notes a connection; it returns false if the endpoint has crashed.
-func (e *Endpoint) opened(c net.Conn) bool {
+// addConn notes a connection; it returns false if the endpoint has crashed.
+func (e *Endpoint) addConn(c net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.conns == nil {
 		e.conns = make(map[net.Conn]bool)
 	}
 	e.conns[c] = true
-	return !e.dead
+	return !e.crashed
 }
 
-// close closes a connection that is over.
-func (e *Endpoint) close(c net.Conn) {
+// closeConn closes a connection that is over.
+func (e *Endpoint) closeConn(c net.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.conns, c)
 	_ = c.Close()
 }
 
-// kills tells whether a request crashes the endpoint.
-func (e *Endpoint) kills(r *http.Request, body string) bool {
+// crashesOn tells whether a request crashes the endpoint.
+func (e *Endpoint) crashesOn(r *http.Request, body string) bool {
 	return e.CrashText != "" && (strings.Contains(r.RequestURI, e.CrashText) || strings.Contains(body, e.CrashText))
 }
 
@@ -43,14 +43,14 @@
 // false if it had crashed before.
 func (e *Endpoint) Crash() bool {
 	e.mu.Lock()
-	if e.dead {
+	if e.crashed {
 		e.mu.Unlock()
 		return false
 	}
-	e.dead = true
+	e.crashed = true
 	_ = e.l.Close()
 	for c := range e.conns {
-		reset(c)
+		resetConn(c)
 	}
 	e.mu.Unlock()
 	if e.OnCrash != nil {
@@ -70,10 +70,10 @@
 	// RestartDelay is the time from a crash to the start of the next endpoint and the end of the old one's entry.
 	RestartDelay time.Duration
 
-	mu        sync.Mutex
-	endpoints []*Endpoint
-	crashes   []time.Time
-	stopped   bool
+	mu         sync.Mutex
+	endpoints  []*Endpoint
+	crashTimes []time.Time
+	stopped    bool
 }
 
 // Start starts some endpoints.
@@ -97,16 +97,16 @@
 	e := &Endpoint{
 		Instance: fmt.Sprintf("%s-%d", m.Instance, len(f.endpoints)), Events: m.Events, Pace: m.Pace, CrashText: m.CrashText, CrashDelay: m.CrashDelay, AnswersBeforeCrash: m.AnswersBeforeCrash,
 	}
-	e.OnCrash = func() { f.crashed(e) }
+	e.OnCrash = func() { f.noteCrash(e) }
 	f.endpoints = append(f.endpoints, e)
 	return f.Site.AddEndpoint(f.Service, e)
 }
 
-// crashed notes a crash and starts another endpoint later.
-func (f *CrashingService) crashed(e *Endpoint) {
+// noteCrash notes a crash and starts another endpoint later.
+func (f *CrashingService) noteCrash(e *Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashes = append(f.crashes, time.Now())
+	f.crashTimes = append(f.crashTimes, time.Now())
 	time.AfterFunc(f.RestartDelay, func() {
 		f.Site.Store.Remove(platform.PrefixEndpoints + e.Instance)
 		if err := f.add(); err != nil {
@@ -156,7 +156,7 @@
 func (f *CrashingService) CrashTimes() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]time.Time(nil), f.crashes...)
+	return append([]time.Time(nil), f.crashTimes...)
 }
 
 // CountRuns counts the runs of requests, at all endpoints, whose body holds a text.
--- a/internal/site/crash_test.go
+++ b/internal/site/crash_test.go
@@ -18,12 +18,12 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// fatal is the text that crashes an endpoint.
-const fatal = "fatal text"
+// crashText is the text that crashes an endpoint.
+const crashText = "fatal text"
 
-// mostAfter is the number of endpoints that a request may still reach once three have crashed under it and all hosts had the
+// maxLateSends is the number of endpoints that a request may still reach once three have crashed under it and all hosts had the
 // contact time to hear of that.
-const mostAfter = 3
+const maxLateSends = 3
 
 // TestCrashingRequest tells the story of a failure. Users saw short drafts fail, 74 of 370 in 16 s, while engine after engine ended
 // and came back: 26 and 15 of 18. Each had just begun to run a request with the same workspace, path and body; it had come again after each
@@ -40,21 +40,21 @@
 		service string
 		call    Call
 	}{
-		{"a stream that may not go on elsewhere", 3, Engines, Call{Path: "/draft/a", Body: fatal}},
-		{"a stream that may", 3, Engines, Call{Path: "/review/a", Body: fatal}},
-		{"a plain request that may be repeated", 3, Plain, Call{Path: "/ask/a", Body: fatal}},
-		{"a plain one that may not", 3, Plain, Call{Path: "/push/a", Body: fatal}},
-		{"without a workspace", 3, Plain, Call{Path: "/open/a", Body: fatal}},
-		{"hosts that hear of each other by relays", 12, Engines, Call{Path: "/draft/a", Body: fatal}},
+		{"a stream that may not go on elsewhere", 3, Engines, Call{Path: "/draft/a", Body: crashText}},
+		{"a stream that may", 3, Engines, Call{Path: "/review/a", Body: crashText}},
+		{"a plain request that may be repeated", 3, Plain, Call{Path: "/ask/a", Body: crashText}},
+		{"a plain one that may not", 3, Plain, Call{Path: "/push/a", Body: crashText}},
+		{"without a workspace", 3, Plain, Call{Path: "/open/a", Body: crashText}},
+		{"hosts that hear of each other by relays", 12, Engines, Call{Path: "/draft/a", Body: crashText}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFragile(t, c.hosts, c.service)
+			f := newCrashingSite(t, c.hosts, c.service)
 			var served, sent atomic.Int64
 			stop := make(chan struct{})
 			var others sync.WaitGroup
 			for k := range 4 {
-				others.Go(func() { f.goOn(k, c.call.Path, stop, &sent, &served) })
+				others.Go(func() { f.sendOthers(k, c.call.Path, stop, &sent, &served) })
 			}
 			c.call.Key = Key
 			n := 0
@@ -63,13 +63,13 @@
 				Do(f.hosts[n%len(f.hosts)].Boot.Front, c.call)
 				n++
 			}
-			for len(f.CrashTimes()) < 3 && n < mostTries {
+			for len(f.CrashTimes()) < 3 && n < maxTries {
 				repeat()
 				time.Sleep(50 * time.Millisecond) // the endpoints that are left are told to the hosts
 			}
 			must.Positive(t, len(f.CrashTimes()))
 			time.Sleep(contactTime)
-			before := f.CountRuns(fatal)
+			before := f.CountRuns(crashText)
 			for range 10 {
 				repeat()
 				time.Sleep(50 * time.Millisecond)
@@ -77,49 +77,49 @@
 			close(stop)
 			others.Wait()
 			t.Logf("%d endpoints crashed in all, %d of %d other requests were served", len(f.CrashTimes()), served.Load(), sent.Load())
-			must.LessEq(t, mostAfter, f.CountRuns(fatal)-before)
+			must.LessEq(t, maxLateSends, f.CountRuns(crashText)-before)
 			must.Greater(t, sent.Load()/2, served.Load())
 		})
 	}
 }
 
-// mostTries bounds the attempts until three endpoints have crashed, which may never be.
-const mostTries = 40
+// maxTries bounds the attempts until three endpoints have crashed, which may never be.
+const maxTries = 40
 
 // contactTime is the contact time of the hosts of a Site.
 const contactTime = 3 * time.Second
 
-// fragileSite is a site with one fragile service.
-type fragileSite struct {
+// crashingSite is a site with one fragile service.
+type crashingSite struct {
 	*CrashingService
 	hosts []*Host
 }
 
-// fragileCase is a site with one fragile service.
-type fragileCase struct {
-	hosts, endpoints int
-	service          string
-	events           int           // of a stream
-	pace             time.Duration // between two
-	delay, back      time.Duration // until a request crashes its endpoint, and until that is back
-	answers          bool          // the endpoint answers until then
+// crashingSiteOptions is a site with one fragile service.
+type crashingSiteOptions struct {
+	hosts, endpoints         int
+	service                  string
+	events                   int           // of a stream
+	pace                     time.Duration // between two
+	crashDelay, restartDelay time.Duration // until a request crashes its endpoint, and until that is back
+	answersBeforeCrash       bool          // the endpoint answers until then
 }
 
-// newFragile starts hosts before a service of six endpoints that crash.
-func newFragile(t *testing.T, hosts int, service string) *fragileSite {
+// newCrashingSite starts hosts before a service of six endpoints that crash.
+func newCrashingSite(t *testing.T, hosts int, service string) *crashingSite {
 	t.Helper()
-	return newFragileOf(t, fragileCase{hosts: hosts, endpoints: 6, service: service, events: events, pace: 5 * time.Millisecond, delay: 30 * time.Millisecond, back: 300 * time.Millisecond})
+	return newCrashingSiteWith(t, crashingSiteOptions{hosts: hosts, endpoints: 6, service: service, events: streamEvents, pace: 5 * time.Millisecond, crashDelay: 30 * time.Millisecond, restartDelay: 300 * time.Millisecond})
 }
 
-// newFragileOf starts hosts before a service whose endpoints crash.
-func newFragileOf(t *testing.T, c fragileCase) *fragileSite {
+// newCrashingSiteWith starts hosts before a service whose endpoints crash.
+func newCrashingSiteWith(t *testing.T, c crashingSiteOptions) *crashingSite {
 	t.Helper()
 	s := &Site{Log: logr.Discard()}
 	must.NoError(t, s.Start())
 	t.Cleanup(s.Stop)
 	s.Store.Put(platform.KeyConfig, Example())
-	f := &fragileSite{CrashingService: &CrashingService{Site: s, Service: c.service, RestartDelay: c.back}}
-	f.Template = Endpoint{Instance: "f", Pace: c.pace, CrashText: fatal, CrashDelay: c.delay, AnswersBeforeCrash: c.answers}
+	f := &crashingSite{CrashingService: &CrashingService{Site: s, Service: c.service, RestartDelay: c.restartDelay}}
+	f.Template = Endpoint{Instance: "f", Pace: c.pace, CrashText: crashText, CrashDelay: c.crashDelay, AnswersBeforeCrash: c.answersBeforeCrash}
 	if c.service == Engines {
 		f.Template.Events = c.events
 	}
@@ -135,9 +135,9 @@
 }
 
 // awaitServing waits until all hosts serve.
-func (f *fragileSite) awaitServing(t *testing.T) {
+func (f *crashingSite) awaitServing(t *testing.T) {
 	t.Helper()
-	(&scene{Site: f.Site}).await(t, "first answers", func() bool {
+	(&testSite{Site: f.Site}).await(t, "first answers", func() bool {
 		var served atomic.Int64
 		var all sync.WaitGroup
 		for i, h := range f.hosts {
@@ -155,8 +155,8 @@
 	})
 }
 
-// goOn sends other requests, one after the other, until it is stopped.
-func (f *fragileSite) goOn(k int, path string, stop chan struct{}, sent, served *atomic.Int64) {
+// sendOthers sends other requests, one after the other, until it is stopped.
+func (f *crashingSite) sendOthers(k int, path string, stop chan struct{}, sent, served *atomic.Int64) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -175,39 +175,39 @@
 // TestHeldRequest checks what callers get of a request that is held: a refusal that is true, says when to come back and why, from a host that
 // was told of the crashes by others as well; and that one byte more makes another request.
 func TestHeldRequest(t *testing.T) {
-	f := newFragile(t, 2, Engines)
-	call := Call{Path: "/review/a", Key: Key, Body: fatal}
-	tries := 0
-	try := func() Answer {
-		tries++
-		call.ID = fmt.Sprint("held-", tries)
-		return Do(f.hosts[tries%2].Boot.Front, call)
+	f := newCrashingSite(t, 2, Engines)
+	call := Call{Path: "/review/a", Key: Key, Body: crashText}
+	sends := 0
+	send := func() Answer {
+		sends++
+		call.ID = fmt.Sprint("held-", sends)
+		return Do(f.hosts[sends%2].Boot.Front, call)
 	}
-	(&scene{Site: f.Site}).await(t, "both hosts refuse", func() bool { return try().Status+try().Status == 2*503 })
-	ran := f.CountRuns(fatal)
+	(&testSite{Site: f.Site}).await(t, "both hosts refuse", func() bool { return send().Status+send().Status == 2*503 })
+	runsBefore := f.CountRuns(crashText)
 	for range 4 {
-		a := try()
+		a := send()
 		must.EqOp(t, 503, a.Status)
 		must.StrContains(t, a.Body, "crashed while they ran this request")
 		after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 		must.NoError(t, err)
 		must.Greater(t, 60, after)
 	}
-	must.EqOp(t, ran, f.CountRuns(fatal))
+	must.EqOp(t, runsBefore, f.CountRuns(crashText))
 	call.Body = "text that is not"
-	must.EqOp(t, 200, try().Status)
+	must.EqOp(t, 200, send().Status)
 }
 
 // TestAnsweredRequestIsNotHeld checks that a request which many send, and which is mostly answered, is not held when endpoints that had
 // it crash under others.
 func TestAnsweredRequestIsNotHeld(t *testing.T) {
-	f := newFragile(t, 2, Engines)
+	f := newCrashingSite(t, 2, Engines)
 	n := 0
 	popular := func() Answer {
 		n++
 		return Do(f.hosts[n%2].Boot.Front, Call{Path: "/draft/popular", Key: Key, ID: fmt.Sprint("popular-", n), Body: "the same"})
 	}
-	for lost := 0; lost < convicting+2; {
+	for lost := 0; lost < crashesUntilHeld+2; {
 		answers := make(chan Answer, 1)
 		go func() { answers <- popular() }()
 		for over := false; !over && !f.CrashRunning("the same"); {
@@ -221,7 +221,7 @@
 		if a := <-answers; a.Status != 200 || !a.Complete {
 			lost++
 		}
-		(&scene{Site: f.Site}).await(t, "the popular request is answered", func() bool {
+		(&testSite{Site: f.Site}).await(t, "the popular request is answered", func() bool {
 			a := popular()
 			must.StrNotContains(t, a.Body, "crashed while they ran")
 			return a.Status == 200 && a.Complete
@@ -229,5 +229,5 @@
 	}
 }
 
-// convicting is the number of endpoints that crash under a request until it is held.
-const convicting = 3
+// crashesUntilHeld is the number of endpoints that crash under a request until it is held.
+const crashesUntilHeld = 3
--- a/internal/site/endpoint.go
+++ b/internal/site/endpoint.go
@@ -94,14 +94,14 @@
 	// Address is where it is reached.
 	Address string
 
-	mu     sync.Mutex
-	faults []Fault
-	shared *FaultQueue
-	runs   []Run
-	open   int
-	l      net.Listener
-	conns  map[net.Conn]bool
-	dead   bool
+	mu       sync.Mutex
+	faults   []Fault
+	shared   *FaultQueue
+	runs     []Run
+	inFlight int
+	l        net.Listener
+	conns    map[net.Conn]bool
+	crashed  bool
 }
 
 // Start listens on loopback.
@@ -147,8 +147,8 @@
 	e.Pace = d
 }
 
-// pace is the pace in force.
-func (e *Endpoint) pace() time.Duration {
+// currentPace is the pace in force.
+func (e *Endpoint) currentPace() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Pace
@@ -165,7 +165,7 @@
 func (e *Endpoint) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.inFlight
 }
 
 // FaultQueue are faults of the next requests at any of several endpoints, in order.
@@ -174,8 +174,8 @@
 	list []Fault
 }
 
-// next takes the next fault, or returns None.
-func (f *FaultQueue) next() Fault {
+// take takes the next fault, or returns None.
+func (f *FaultQueue) take() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.list) == 0 {
@@ -196,12 +196,12 @@
 	}
 }
 
-// next takes the next fault.
-func (e *Endpoint) next() Fault {
+// nextFault takes the next fault.
+func (e *Endpoint) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.shared != nil {
-		if f := e.shared.next(); f != None {
+		if f := e.shared.take(); f != None {
 			return f
 		}
 	}
@@ -215,9 +215,9 @@
 
 // serve answers the requests of one connection.
 func (e *Endpoint) serve(c net.Conn) {
-	defer e.close(c)
-	if !e.opened(c) {
-		reset(c)
+	defer e.closeConn(c)
+	if !e.addConn(c) {
+		resetConn(c)
 		return
 	}
 	br := bufio.NewReader(c)
@@ -239,41 +239,41 @@
 // answer answers one request; it returns false if the connection is to be closed.
 func (e *Endpoint) answer(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("Heathkeel-Attempt-Id")
-	if x := r.Header.Get("Heathkeel-Expect-Instance"); x != "" && x != e.Instance {
+	if expected := r.Header.Get("Heathkeel-Expect-Instance"); expected != "" && expected != e.Instance {
 		fmt.Fprintf(c, "HTTP/1.1 421 Misdirected Request\r\nHeathkeel-Attempt-Id: %s\r\nHeathkeel-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", id, e.Instance)
 		return true
 	}
-	f := e.next()
+	f := e.nextFault()
 	if f == Full {
 		fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nHeathkeel-Attempt-Id: %s\r\nHeathkeel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 		return true
 	}
-	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	lastEvent, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	e.mu.Lock()
-	if e.dead {
+	if e.crashed {
 		e.mu.Unlock()
 		return false
 	}
-	n := len(e.runs)
-	e.runs = append(e.runs, Run{AttemptID: id, Method: r.Method, URI: r.RequestURI, Body: body, Header: r.Header, LastEvent: after, ReceivedAt: time.Now()})
-	e.open++
+	index := len(e.runs)
+	e.runs = append(e.runs, Run{AttemptID: id, Method: r.Method, URI: r.RequestURI, Body: body, Header: r.Header, LastEvent: lastEvent, ReceivedAt: time.Now()})
+	e.inFlight++
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		e.open--
-		e.runs[n].EndedAt = time.Now()
+		e.inFlight--
+		e.runs[index].EndedAt = time.Now()
 		e.mu.Unlock()
 	}()
-	if e.kills(r, body) && e.AnswersBeforeCrash {
+	if e.crashesOn(r, body) && e.AnswersBeforeCrash {
 		time.AfterFunc(e.CrashDelay, func() { e.Crash() })
-	} else if e.kills(r, body) {
+	} else if e.crashesOn(r, body) {
 		time.Sleep(e.CrashDelay)
 		e.Crash()
 		return false
 	}
 	switch f {
 	case Reset:
-		reset(c)
+		resetConn(c)
 		return false
 	case Hang:
 		_, _ = io.Copy(io.Discard, c)
@@ -287,19 +287,19 @@
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 	}
 	if e.Events > 0 && f != Error {
-		return e.stream(c, id, f, after)
+		return e.answerStream(c, id, f, lastEvent)
 	}
-	return e.plain(c, id, f, body)
+	return e.answerPlain(c, id, f, body)
 }
 
-// reset closes a connection with a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection with a reset.
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// head starts an answer.
-func (e *Endpoint) head(id string, f Fault, status string) string {
+// responseHead starts an answer.
+func (e *Endpoint) responseHead(id string, f Fault, status string) string {
 	h := "HTTP/1.1 " + status + "\r\nHeathkeel-Attempt-Id: " + id + "\r\n"
 	if f != NoStamp {
 		h += "Heathkeel-Response-Stamp: " + e.Instance + "." + id + "\r\n"
@@ -310,22 +310,22 @@
 	return h
 }
 
-// plain answers with a body that names the request.
-func (e *Endpoint) plain(c net.Conn, id string, f Fault, body string) bool {
+// answerPlain answers with a body that names the request.
+func (e *Endpoint) answerPlain(c net.Conn, id string, f Fault, body string) bool {
 	status := "200 OK"
 	if f == Error {
 		status = "500 Internal Server Error"
 	}
 	text := "ran " + id + " with " + body
-	head := e.head(id, f, status)
+	head := e.responseHead(id, f, status)
 	switch f {
 	case Unframed:
 		fmt.Fprint(c, head+"\r\n"+text)
 		return false
 	case UnframedReset:
 		fmt.Fprint(c, head+"\r\n"+text[:3])
-		time.Sleep(e.pace())
-		reset(c)
+		time.Sleep(e.currentPace())
+		resetConn(c)
 		return false
 	}
 	head += "Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n"
@@ -343,15 +343,15 @@
 // EventText is the event with a number.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n) }
 
-// stream answers with events.
-func (e *Endpoint) stream(c net.Conn, id string, f Fault, after int) bool {
-	fmt.Fprint(c, e.head(id, f, "200 OK")+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+// answerStream answers with events.
+func (e *Endpoint) answerStream(c net.Conn, id string, f Fault, lastEvent int) bool {
+	fmt.Fprint(c, e.responseHead(id, f, "200 OK")+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	chunk := func(s string) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s)
 		return err
 	}
-	for n := after + 1; n <= e.Events; n++ {
-		time.Sleep(e.pace())
+	for n := lastEvent + 1; n <= e.Events; n++ {
+		time.Sleep(e.currentPace())
 		text := EventText(n)
 		if n == 3 {
 			switch f {
--- a/internal/site/late_crash_test.go
+++ b/internal/site/late_crash_test.go
@@ -25,11 +25,11 @@
 // Three callers repeat such requests at all hosts in turn, long enough apart that each try after the third end is beyond the contact time. Others go on all the while.
 func TestLateCrashingRequest(t *testing.T) {
 	cases := []struct {
-		name  string
-		path  string
-		delay time.Duration
-		dies  time.Duration // time between the ends of other endpoints, 0 for none
-		span  time.Duration
+		name          string
+		path          string
+		crashDelay    time.Duration
+		crashInterval time.Duration // time between the ends of other endpoints, 0 for none
+		span          time.Duration
 	}{
 		{"a stream that may not go on elsewhere, others end each second", "/draft/a", 1500 * time.Millisecond, time.Second, 30 * time.Second},
 		{"a stream that may go on elsewhere, others end each second", "/review/a", 800 * time.Millisecond, time.Second, 20 * time.Second},
@@ -37,43 +37,43 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := newFragileOf(t, fragileCase{hosts: 6, endpoints: 12, service: Engines, events: 60, pace: 50 * time.Millisecond, delay: c.delay, back: time.Second, answers: true})
+			f := newCrashingSiteWith(t, crashingSiteOptions{hosts: 6, endpoints: 12, service: Engines, events: 60, pace: 50 * time.Millisecond, crashDelay: c.crashDelay, restartDelay: time.Second, answersBeforeCrash: true})
 			var served, sent atomic.Int64
 			var callers sync.WaitGroup
 			stop := make(chan struct{})
 			for k := range 12 {
-				callers.Go(func() { f.goOn(k, "/review/x", stop, &sent, &served) })
+				callers.Go(func() { f.sendOthers(k, "/review/x", stop, &sent, &served) })
 			}
-			if c.dies > 0 {
-				callers.Go(func() { f.endOthers(c.dies, stop) })
+			if c.crashInterval > 0 {
+				callers.Go(func() { f.crashOthers(c.crashInterval, stop) })
 			}
-			for g := range guiltyCallers {
-				callers.Go(func() { f.insist(g, c.path, stop) })
+			for g := range crashingCallers {
+				callers.Go(func() { f.repeatRequest(g, c.path, stop) })
 			}
 			time.Sleep(c.span)
 			close(stop)
 			callers.Wait()
-			for g := range guiltyCallers {
-				runs := f.runsOf(guiltyBody(g))
-				beyond := sendsBeyond(runs)
-				t.Logf("request %d reached %d endpoints, %d of them later than the contact time after the third end", g, len(runs), beyond)
-				must.LessEq(t, mostAfter, beyond)
+			for g := range crashingCallers {
+				runs := f.sortedRuns(crashingBody(g))
+				late := countLateRuns(runs)
+				t.Logf("request %d reached %d endpoints, %d of them later than the contact time after the third end", g, len(runs), late)
+				must.LessEq(t, maxLateSends, late)
 			}
 			t.Logf("%d of %d other requests were served", served.Load(), sent.Load())
 		})
 	}
 }
 
-// guiltyCallers is the number of callers with a request of their own that crashes endpoints.
-const guiltyCallers = 3
+// crashingCallers is the number of callers with a request of their own that crashes endpoints.
+const crashingCallers = 3
 
-// guiltyBody is the request of one of them.
-func guiltyBody(g int) string { return fmt.Sprint(fatal, " of caller ", g, ".") }
+// crashingBody is the request of one of them.
+func crashingBody(g int) string { return fmt.Sprint(crashText, " of caller ", g, ".") }
 
-// insist sends a caller's request again and again, at the hosts in turn, until it is stopped.
-func (f *fragileSite) insist(g int, path string, stop chan struct{}) {
+// repeatRequest sends a caller's request again and again, at the hosts in turn, until it is stopped.
+func (f *crashingSite) repeatRequest(g int, path string, stop chan struct{}) {
 	for n := g; ; n++ {
-		Do(f.hosts[n%len(f.hosts)].Boot.Front, Call{Path: path, Key: Key, ID: fmt.Sprintf("guilty-%d-%d", g, n), Body: guiltyBody(g)})
+		Do(f.hosts[n%len(f.hosts)].Boot.Front, Call{Path: path, Key: Key, ID: fmt.Sprintf("guilty-%d-%d", g, n), Body: crashingBody(g)})
 		select {
 		case <-stop:
 			return
@@ -82,9 +82,9 @@
 	}
 }
 
-// endOthers ends an endpoint at each interval, in turn, until it is stopped.
-func (f *fragileSite) endOthers(every time.Duration, stop chan struct{}) {
-	t := time.NewTicker(every)
+// crashOthers ends an endpoint at each interval, in turn, until it is stopped.
+func (f *crashingSite) crashOthers(interval time.Duration, stop chan struct{}) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -96,8 +96,8 @@
 	}
 }
 
-// runsOf gives the runs of a request at all endpoints, in order.
-func (f *fragileSite) runsOf(text string) []Run {
+// sortedRuns gives the runs of a request at all endpoints, in order.
+func (f *crashingSite) sortedRuns(text string) []Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []Run
@@ -112,16 +112,16 @@
 	return out
 }
 
-// sendsBeyond counts the runs that came later than the contact time after the third endpoint had ended under a request.
-func sendsBeyond(runs []Run) int {
-	ends := make([]time.Time, len(runs))
+// countLateRuns counts the runs that came later than the contact time after the third endpoint had ended under a request.
+func countLateRuns(runs []Run) int {
+	crashTimes := make([]time.Time, len(runs))
 	for i := range runs {
-		ends[i] = runs[i].EndedAt
+		crashTimes[i] = runs[i].EndedAt
 	}
-	slices.SortFunc(ends, time.Time.Compare)
+	slices.SortFunc(crashTimes, time.Time.Compare)
 	n := 0
 	for i := range runs {
-		if len(ends) > 2 && runs[i].ReceivedAt.After(ends[2].Add(contactTime)) {
+		if len(crashTimes) > 2 && runs[i].ReceivedAt.After(crashTimes[2].Add(contactTime)) {
 			n++
 		}
 	}
--- a/internal/site/leave_test.go
+++ b/internal/site/leave_test.go
@@ -18,8 +18,8 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// counts reads a host's counters of requests, and how many it holds.
-func (s *scene) counts(t *testing.T, h *Host) (requests map[string]int64, active int64) {
+// readCounters reads a host's counters of requests, and how many it holds.
+func (s *testSite) readCounters(t *testing.T, h *Host) (requests map[string]int64, active int64) {
 	t.Helper()
 	resp, err := http.Get("http://" + h.Boot.Control + "/debug/vars")
 	must.NoError(t, err)
@@ -34,10 +34,10 @@
 	return v.Edge.Requests, v.Edge.Active
 }
 
-// patient is a scene with one host, whose grace and routes' time-outs are far beyond what
+// startWithLongTimeouts is a scene with one host, whose grace and routes' time-outs are far beyond what
 // a test waits, so that nothing but a caller's leaving ends a send that hangs.
-func patient(t *testing.T) (*scene, *Host) {
-	s := startWith(t, 1, func(s *Site) { s.GracePeriod = time.Hour })
+func startWithLongTimeouts(t *testing.T) (*testSite, *Host) {
+	s := startTestSiteWith(t, 1, func(s *Site) { s.GracePeriod = time.Hour })
 	h := s.Hosts[0]
 	c := Example()
 	c.Version, c.Tenants[0].Keys = 2, []string{"new-key"}
@@ -52,8 +52,8 @@
 	return s, h
 }
 
-// request opens a connection and sends a request, of whose body only a part may come.
-func request(t *testing.T, h *Host, path, body string, length int) net.Conn {
+// openRequest opens a connection and sends a request, of whose body only a part may come.
+func openRequest(t *testing.T, h *Host, path, body string, length int) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", h.Boot.Front)
 	must.NoError(t, err)
@@ -65,7 +65,7 @@
 // TestCallerLeaves checks that endpoints stop when callers close their connections, whatever
 // state their request is in.
 func TestCallerLeaves(t *testing.T) {
-	s, h := patient(t)
+	s, h := startWithLongTimeouts(t)
 	cases := []struct {
 		name, path, body string
 		fault            Fault
@@ -79,15 +79,15 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s.fail(tc.fault, 9)
-			defer s.fail(None, 0)
-			before, _ := s.counts(t, h)
-			conn := request(t, h, tc.path, tc.body, len(tc.body))
+			s.setFaults(tc.fault, 9)
+			defer s.setFaults(None, 0)
+			before, _ := s.readCounters(t, h)
+			conn := openRequest(t, h, tc.path, tc.body, len(tc.body))
 			s.await(t, "an endpoint works on it", func() bool { return !s.idle() })
 			must.NoError(t, conn.Close())
 			s.await(t, "the endpoint is free", s.idle)
 			s.await(t, "the host counts it", func() bool {
-				now, active := s.counts(t, h)
+				now, active := s.readCounters(t, h)
 				return active == 0 && now["LeftAtWork"] == before["LeftAtWork"]+1
 			})
 		})
@@ -97,16 +97,16 @@
 // TestCallerLeavesMidBody checks that a caller that leaves while its body comes in costs
 // nothing afterwards, and that no endpoint hears of it.
 func TestCallerLeavesMidBody(t *testing.T) {
-	s, h := patient(t)
+	s, h := startWithLongTimeouts(t)
 	runs := len(s.plain[0].Runs()) + len(s.plain[1].Runs())
-	conn := request(t, h, "/push/a", "part", 1000)
+	conn := openRequest(t, h, "/push/a", "part", 1000)
 	s.await(t, "the host holds it", func() bool {
-		_, active := s.counts(t, h)
+		_, active := s.readCounters(t, h)
 		return active == 1
 	})
 	must.NoError(t, conn.Close())
 	s.await(t, "the host holds nothing", func() bool {
-		_, active := s.counts(t, h)
+		_, active := s.readCounters(t, h)
 		return active == 0
 	})
 	must.EqOp(t, runs, len(s.plain[0].Runs())+len(s.plain[1].Runs()))
@@ -115,9 +115,9 @@
 // TestCallerLeavesStoppingHost checks that a host which is stopping ends at once when the last
 // caller that it waits for has left.
 func TestCallerLeavesStoppingHost(t *testing.T) {
-	s, h := patient(t)
-	s.fail(Hang, 9)
-	conn := request(t, h, "/push/a", "b", 1)
+	s, h := startWithLongTimeouts(t)
+	s.setFaults(Hang, 9)
+	conn := openRequest(t, h, "/push/a", "b", 1)
 	s.await(t, "an endpoint works on it", func() bool { return !s.idle() })
 	h.Signals <- syscall.SIGTERM
 	s.await(t, "the host stops", func() bool {
--- a/internal/site/life_test.go
+++ b/internal/site/life_test.go
@@ -24,7 +24,7 @@
 // TestRevocation checks that a withdrawn key stops working, also at a host that
 // the store turns away, which learns of it from a peer or trusts its settings no more.
 func TestRevocation(t *testing.T) {
-	s := start(t, 2)
+	s := startTestSite(t, 2)
 	c := Example()
 	c.Version, c.Tenants[0].Keys = 2, []string{"new-key"}
 	s.Store.Put(platform.KeyConfig, c)
@@ -39,7 +39,7 @@
 		s.await(t, "settings are too old for keys", func() bool {
 			return Do(h.Boot.Front, Call{Path: "/ask/a", Key: "new-key", ID: "r"}).Status == 503
 		})
-		must.EqOp(t, 200, s.ask(t, h, Call{Path: "/open/a", ID: "r"}).Status)
+		must.EqOp(t, 200, s.doWithRetry(t, h, Call{Path: "/open/a", ID: "r"}).Status)
 		must.EqOp(t, 503, Do(h.Boot.Front, Call{Path: "/none/a", ID: "r"}).Status)
 	}
 	s.Store.SetFault(StoreFault{})
@@ -51,14 +51,14 @@
 // TestLenientRevocation checks that without strict revocation a host that hears nothing of
 // the settings any more goes on with the keys that it knows, and refuses none as unknown.
 func TestLenientRevocation(t *testing.T) {
-	s := startWith(t, 1, func(s *Site) { s.Lenient = true })
+	s := startTestSiteWith(t, 1, func(s *Site) { s.Lenient = true })
 	front := s.Hosts[0].Boot.Front
 	s.Store.SetFault(StoreFault{Status: 503})
 	s.await(t, "settings are old", func() bool {
 		return Do(front, Call{Path: "/ask/a", Key: "unknown", ID: "r"}).Status == 503
 	})
 	time.Sleep(4 * time.Second) // a strict host takes no key from an age of 3 s on
-	must.EqOp(t, 200, s.ask(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "r"}).Status)
+	must.EqOp(t, 200, s.doWithRetry(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "r"}).Status)
 	must.EqOp(t, 503, Do(front, Call{Path: "/ask/a", Key: "unknown", ID: "r"}).Status)
 	s.Store.SetFault(StoreFault{})
 	s.await(t, "unknown keys are told again", func() bool {
@@ -68,7 +68,7 @@
 
 // TestEndpointLeaves checks that a leaving endpoint gets no more work.
 func TestEndpointLeaves(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	e := s.plain[0]
 	s.PutEntry(Plain, e, "draining")
 	s.await(t, "all goes to the other", func() bool {
@@ -82,7 +82,7 @@
 
 // TestReusedAddress checks that another instance at an endpoint's address runs nothing.
 func TestReusedAddress(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	for i := range 2 {
 		s.PutEntry(Plain, &Endpoint{Instance: fmt.Sprint("old-", i), Address: s.engines[i].Address}, "ready")
 	}
@@ -101,7 +101,7 @@
 // TestPlannedStop sends SIGTERM under load: no request is cut, the host leaves the
 // address answers of its peer at once and says that it is not ready.
 func TestPlannedStop(t *testing.T) {
-	s := start(t, 2)
+	s := startTestSite(t, 2)
 	h, other := s.Hosts[0], s.Hosts[1]
 	s.await(t, "both in the answer", func() bool {
 		list, err := s.Resolve(other)
@@ -138,19 +138,19 @@
 		list, err := s.Resolve(other)
 		return err == nil && len(list) == 1 && list[0] == other.Boot.Front
 	})
-	late := s.ask(t, h, Call{Path: "/ask/a", Key: Key, ID: "late"})
+	late := s.doWithRetry(t, h, Call{Path: "/ask/a", Key: Key, ID: "late"})
 	must.EqOp(t, 200, late.Status)
 	for range 8 {
 		a := <-running
 		must.EqOp(t, 200, a.Status)
-		must.EqOp(t, StreamBody(events), a.Body)
+		must.EqOp(t, StreamBody(streamEvents), a.Body)
 	}
 	<-h.Done
 }
 
 // TestReload changes a host's settings file, with a signal and without, and breaks it.
 func TestReload(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	write := func(extra string) {
 		b := s.Hosts[0].Boot
@@ -191,7 +191,7 @@
 
 // TestVars reads the figures of a host.
 func TestVars(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	resp, err := http.Get("http://" + s.Hosts[0].Boot.Control + "/debug/vars")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -208,17 +208,17 @@
 	must.Greater(t, 1, len(v.Edge.Series))
 }
 
-// TestStoreMoods checks that traffic goes on, and that the store is not hammered.
-func TestStoreMoods(t *testing.T) {
-	s := start(t, 1)
-	moods := []StoreFault{{Status: 503}, {Status: 429}, {Reset: true}, {Hang: time.Minute}, {Delay: 300 * time.Millisecond}, {LoseAnswer: true}}
-	for _, m := range moods {
-		t.Run(fmt.Sprintf("%+v", m), func(t *testing.T) {
-			s.Store.SetFault(m)
+// TestStoreFaults checks that traffic goes on, and that the store is not hammered.
+func TestStoreFaults(t *testing.T) {
+	s := startTestSite(t, 1)
+	faults := []StoreFault{{Status: 503}, {Status: 429}, {Reset: true}, {Hang: time.Minute}, {Delay: 300 * time.Millisecond}, {LoseAnswer: true}}
+	for _, fault := range faults {
+		t.Run(fmt.Sprintf("%+v", fault), func(t *testing.T) {
+			s.Store.SetFault(fault)
 			s.Store.DropHistory()
 			before := s.Store.Calls()
 			for range 10 {
-				must.EqOp(t, 200, s.ask(t, s.Hosts[0], Call{Path: "/open/a", ID: "m"}).Status)
+				must.EqOp(t, 200, s.doWithRetry(t, s.Hosts[0], Call{Path: "/open/a", ID: "m"}).Status)
 				time.Sleep(100 * time.Millisecond)
 			}
 			must.LessEq(t, 60, s.Store.Calls()-before)
@@ -230,21 +230,21 @@
 
 // TestConfigurationRefused checks that a broken document changes nothing.
 func TestConfigurationRefused(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	c := Example()
 	c.Version = 2
 	c.Routes[0].Kind = "sometimes"
 	s.Store.Put(platform.KeyConfig, c)
 	time.Sleep(200 * time.Millisecond)
-	must.EqOp(t, 200, s.ask(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "c"}).Status)
+	must.EqOp(t, 200, s.doWithRetry(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "c"}).Status)
 }
 
 // TestStartInOutage starts a host while the store answers nobody: it learns settings and
 // endpoints from another host and serves.
 func TestStartInOutage(t *testing.T) {
-	s := startWith(t, 1, func(s *Site) { s.Lenient = true })
+	s := startTestSiteWith(t, 1, func(s *Site) { s.Lenient = true })
 	s.Store.SetFault(StoreFault{Status: 503})
 	h, err := s.AddHost()
 	must.NoError(t, err)
-	must.EqOp(t, 200, s.ask(t, h, Call{Path: "/ask/a", Key: Key, ID: "r"}).Status)
+	must.EqOp(t, 200, s.doWithRetry(t, h, Call{Path: "/ask/a", Key: Key, ID: "r"}).Status)
 }
--- a/internal/site/mutated_test.go
+++ b/internal/site/mutated_test.go
@@ -39,8 +39,8 @@
 			b = append(append(bytes.Clone(b[:i]), fragments[r.IntN(len(fragments))]...), b[i:]...)
 		case 1: // a line of its own in the header
 			if end := bytes.Index(b, []byte("\r\n")); end >= 0 {
-				f := fragments[r.IntN(len(fragments))]
-				b = append(append(bytes.Clone(b[:end+2]), f...), b[end+2:]...)
+				fragment := fragments[r.IntN(len(fragments))]
+				b = append(append(bytes.Clone(b[:end+2]), fragment...), b[end+2:]...)
 			}
 		case 2:
 			b = append(bytes.Clone(b[:i]), b[min(len(b), i+1+r.IntN(6)):]...)
@@ -62,7 +62,7 @@
 // checks that whatever an endpoint ran stood in what a caller sent, with its name, and
 // that the host answers with no status but those of the pages.
 func TestMutatedRequests(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	r := rand.New(rand.NewPCG(7, 7))
 	known := []string{"100", "200", "400", "401", "404", "405", "408", "413", "417", "429", "431", "500", "501", "502", "503", "504", "505"}
 	sent := make(map[string][]byte)
--- a/internal/site/silent_test.go
+++ b/internal/site/silent_test.go
@@ -18,8 +18,8 @@
 // TestSilentEndpoint lets the connections to the only endpoint of a service fall silent: the first
 // request that is sent over one of them finds out, and no other one meets the rest of them.
 func TestSilentEndpoint(t *testing.T) {
-	var out buffer
-	s := startWith(t, 1, func(s *Site) {
+	var out logBuffer
+	s := startTestSiteWith(t, 1, func(s *Site) {
 		s.ProxyEndpoints = true
 		s.Log, _ = logs.Open("test", "0", &out)
 	})
@@ -40,7 +40,7 @@
 		n++
 		id := fmt.Sprint("after-", n)
 		a := Do(front, Call{Path: "/ask/a", Key: Key, ID: id})
-		for _, ev := range out.events(t, id) {
+		for _, ev := range out.readEvents(t, id) {
 			if ev.Outcome == outcome.SendLost {
 				lost++
 			}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -36,16 +36,16 @@
 	// StoreProxy is what its connections to the store go over.
 	StoreProxy *link.Proxy
 
-	kill  context.CancelFunc
-	ahead atomic.Int64 // for how long it has been suspended, in nanoseconds
+	cancel    context.CancelFunc
+	suspended atomic.Int64 // for how long it has been suspended, in nanoseconds
 }
 
 // Suspend lets the host's clock go on by a time that its process does not see, as a suspension does. What happens in the world meanwhile
 // is the caller's to do.
-func (h *Host) Suspend(d time.Duration) { h.ahead.Add(int64(d)) }
+func (h *Host) Suspend(d time.Duration) { h.suspended.Add(int64(d)) }
 
 // SuspendedTime is for how long the host has been suspended in its life.
-func (h *Host) SuspendedTime() time.Duration { return time.Duration(h.ahead.Load()) }
+func (h *Host) SuspendedTime() time.Duration { return time.Duration(h.suspended.Load()) }
 
 // StallStore keeps the host from hearing the store, or lets it hear again.
 func (h *Host) StallStore(on bool) {
@@ -54,7 +54,7 @@
 }
 
 // Kill ends the host at once.
-func (h *Host) Kill() { h.kill() }
+func (h *Host) Kill() { h.cancel() }
 
 // Site is a store, endpoints and hosts.
 type Site struct {
@@ -74,8 +74,8 @@
 	// Hosts are those started.
 	Hosts []*Host
 
-	server *http.Server
-	ports  int
+	server   *http.Server
+	basePort int
 }
 
 // Start starts the store.
@@ -118,17 +118,17 @@
 func (s *Site) AddHost() (*Host, error) {
 	n := len(s.Hosts) + 1
 	ip := fmt.Sprintf("127.0.0.%d", 10+n)
-	if s.ports == 0 {
+	if s.basePort == 0 {
 		p, err := freePort(ip)
 		if err != nil {
 			return nil, err
 		}
-		s.ports = min(p, 65000)
+		s.basePort = min(p, 65000)
 	}
-	at := func(i int) string { return fmt.Sprintf("%s:%d", ip, s.ports+i) }
+	address := func(i int) string { return fmt.Sprintf("%s:%d", ip, s.basePort+i) }
 	b := platform.Boot{
 		Host: fmt.Sprintf("host-%d", n), Zone: fmt.Sprintf("zone-%d", n%2), Region: "local", IP: ip,
-		Front: at(0), Ready: at(1), Control: at(2), Directory: at(3), PeerPort: s.ports + 4, Store: s.StoreAddress, First: true,
+		Front: address(0), Ready: address(1), Control: address(2), Directory: address(3), PeerPort: s.basePort + 4, Store: s.StoreAddress, First: true,
 		MemoryMB: 256, ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, StrictRevoke: !s.Lenient, ContactTime: 3 * time.Second,
 		DrainTime: 2 * time.Second, Grace: cmp.Or(s.GracePeriod, 8*time.Second), Heartbeat: time.Second, AnswerLife: 5 * time.Second,
 		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
@@ -162,26 +162,26 @@
 	return plain, engines, nil
 }
 
-// awaitFree waits until nothing listens at a host's addresses: what a life in this process that was killed had open is closed a moment later, where the end of a
+// waitAddressesFree waits until nothing listens at a host's addresses: what a life in this process that was killed had open is closed a moment later, where the end of a
 // process closes all at once.
-func awaitFree(b *platform.Boot) {
-	peer := fmt.Sprintf("%s:%d", b.IP, b.PeerPort)
+func waitAddressesFree(b *platform.Boot) {
+	peerAddress := fmt.Sprintf("%s:%d", b.IP, b.PeerPort)
 	for range 200 {
-		taken := false
+		inUse := false
 		for _, address := range []string{b.Front, b.Ready, b.Control, b.Directory} {
 			l, err := net.Listen("tcp", address)
 			if err != nil {
-				taken = true
+				inUse = true
 				continue
 			}
 			_ = l.Close()
 		}
-		if c, err := net.ListenPacket("udp", peer); err != nil {
-			taken = true
+		if c, err := net.ListenPacket("udp", peerAddress); err != nil {
+			inUse = true
 		} else {
 			_ = c.Close()
 		}
-		if !taken {
+		if !inUse {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -190,30 +190,30 @@
 
 // Restart starts a host, or one that ended, with its settings.
 func (s *Site) Restart(h *Host) (*Host, error) {
-	awaitFree(&h.Boot)
+	waitAddressesFree(&h.Boot)
 	ctx, cancel := context.WithCancel(context.Background())
-	again := &Host{Boot: h.Boot, Path: h.Path, Signals: make(chan os.Signal, 4), Done: make(chan struct{}), StoreProxy: h.StoreProxy, kill: cancel}
-	s.Hosts = append(s.Hosts, again)
-	suspensions := clock.New().Skewed(again.SuspendedTime)
-	e := &edge.Host{Boot: again.Boot, Path: again.Path, Trace: s.Trace, Log: s.Log, Clock: suspensions}
-	failed := make(chan error, 1)
+	restarted := &Host{Boot: h.Boot, Path: h.Path, Signals: make(chan os.Signal, 4), Done: make(chan struct{}), StoreProxy: h.StoreProxy, cancel: cancel}
+	s.Hosts = append(s.Hosts, restarted)
+	skewed := clock.New().Skewed(restarted.SuspendedTime)
+	e := &edge.Host{Boot: restarted.Boot, Path: restarted.Path, Trace: s.Trace, Log: s.Log, Clock: skewed}
+	runErr := make(chan error, 1)
 	go func() {
-		defer close(again.Done)
-		failed <- e.Run(ctx, again.Signals)
+		defer close(restarted.Done)
+		runErr <- e.Run(ctx, restarted.Signals)
 	}()
 	for range 200 {
 		select {
-		case err := <-failed:
+		case err := <-runErr:
 			return nil, eris.Wrap(err, "host ended")
 		case <-time.After(25 * time.Millisecond):
 		}
-		resp, err := http.Get("http://" + again.Boot.Ready + platform.PathReady)
+		resp, err := http.Get("http://" + restarted.Boot.Ready + platform.PathReady)
 		if err != nil {
 			continue
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			return again, nil
+			return restarted, nil
 		}
 	}
 	return nil, eris.New("host is not ready; look at its log")
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -19,31 +19,31 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// events is the length of the endpoints' streams.
-const events = 6
+// streamEvents is the length of the endpoints' streams.
+const streamEvents = 6
 
-// scene is a site with two plain services and two engines.
-type scene struct {
+// testSite is a site with two plain services and two engines.
+type testSite struct {
 	*Site
 	plain, engines [2]*Endpoint
 }
 
-// start starts a scene with n hosts.
-func start(t *testing.T, n int) *scene {
+// startTestSite starts a scene with n hosts.
+func startTestSite(t *testing.T, n int) *testSite {
 	t.Helper()
-	return startWith(t, n, func(*Site) {})
+	return startTestSiteWith(t, n, func(*Site) {})
 }
 
-// startWith starts a scene whose site was prepared.
-func startWith(t *testing.T, n int, prepare func(*Site)) *scene {
+// startTestSiteWith starts a scene whose site was prepared.
+func startTestSiteWith(t *testing.T, n int, prepare func(*Site)) *testSite {
 	t.Helper()
-	s := &scene{Site: &Site{Log: logr.Discard()}}
+	s := &testSite{Site: &Site{Log: logr.Discard()}}
 	prepare(s.Site)
 	must.NoError(t, s.Site.Start())
 	t.Cleanup(s.Stop)
 	s.Store.Put(platform.KeyConfig, Example())
 	var err error
-	s.plain, s.engines, err = s.AddExampleEndpoints(events, 5*time.Millisecond)
+	s.plain, s.engines, err = s.AddExampleEndpoints(streamEvents, 5*time.Millisecond)
 	must.NoError(t, err)
 	for i := range 2 {
 		t.Cleanup(s.plain[i].Stop)
@@ -61,7 +61,7 @@
 }
 
 // await waits for a condition; how long it takes is not part of any verdict.
-func (s *scene) await(t *testing.T, what string, ok func() bool) {
+func (s *testSite) await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 600 {
 		if ok() {
@@ -72,8 +72,8 @@
 	t.Fatalf("%s: not within half a minute", what)
 }
 
-// fail lets the next n requests, at whichever endpoint, meet a fault.
-func (s *scene) fail(f Fault, n int) {
+// setFaults lets the next n requests, at whichever endpoint, meet a fault.
+func (s *testSite) setFaults(f Fault, n int) {
 	list := make([]Fault, n)
 	for i := range list {
 		list[i] = f
@@ -81,8 +81,8 @@
 	ShareFaults(list, s.plain[0], s.plain[1], s.engines[0], s.engines[1])
 }
 
-// runs counts the runs of a request at all endpoints.
-func (s *scene) runs(id string) int {
+// countRuns counts the runs of a request at all endpoints.
+func (s *testSite) countRuns(id string) int {
 	n := 0
 	for i := range 2 {
 		for _, r := range append(s.plain[i].Runs(), s.engines[i].Runs()...) {
@@ -97,14 +97,14 @@
 // TestEndpointFaults sends one request of each kind while every endpoint's next
 // request meets a fault, and holds the answer against what may be told.
 func TestEndpointFaults(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	const cut = -1 // the connection closes before the answer is whole
 	cases := []struct {
 		fault Fault
 		times int // how many requests meet it
 		path  string
 		// status is wanted, with mostRuns runs at most.
-		status, mostRuns int
+		status, maxRuns int
 	}{
 		{None, 1, "/push/a", 200, 1}, {None, 1, "/ask/a", 200, 1}, {None, 1, "/draft/a", 200, 1}, {None, 1, "/review/a", 200, 1},
 		{Full, 9, "/push/a", 503, 0}, {Full, 9, "/draft/a", 503, 0},
@@ -126,11 +126,11 @@
 	for i, tc := range cases {
 		t.Run(fmt.Sprintf("%s %s", tc.fault, tc.path), func(t *testing.T) {
 			id := fmt.Sprintf("case-%d", i)
-			s.fail(tc.fault, tc.times)
+			s.setFaults(tc.fault, tc.times)
 			a := Do(s.Hosts[0].Boot.Front, Call{Path: tc.path, Key: Key, ID: id, Body: "body of " + id, Tokens: "20,30"})
-			s.fail(None, 0)
-			runs := s.runs(id)
-			must.LessEq(t, tc.mostRuns, runs)
+			s.setFaults(None, 0)
+			runs := s.countRuns(id)
+			must.LessEq(t, tc.maxRuns, runs)
 			switch tc.status {
 			case cut:
 				must.False(t, a.Complete)
@@ -140,7 +140,7 @@
 				must.NotEq(t, "", a.Header.Get("Heathkeel-Response-Stamp"))
 				must.EqOp(t, id, a.Header.Get("Heathkeel-Attempt-Id"))
 				if tc.path == "/draft/a" || tc.path == "/review/a" {
-					must.EqOp(t, StreamBody(events), a.Body)
+					must.EqOp(t, StreamBody(streamEvents), a.Body)
 				} else {
 					must.EqOp(t, "ran "+id+" with body of "+id, a.Body)
 				}
@@ -164,7 +164,7 @@
 // TestSmuggling sends requests that no honest caller sends, as bytes, and checks
 // that none of them runs anywhere in another form than the first line says.
 func TestSmuggling(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	inner := "GET /open/hidden HTTP/1.1\r\nHost: " + HostName + "\r\nHeathkeel-Attempt-Id: hidden\r\n\r\n"
 	head := "POST /open/x HTTP/1.1\r\nHost: " + HostName + "\r\nHeathkeel-Attempt-Id: outer\r\n"
 	cases := []struct {
@@ -201,12 +201,12 @@
 			must.SliceContains(t, tc.statuses, status)
 		})
 	}
-	must.EqOp(t, 0, s.runs("hidden"))
+	must.EqOp(t, 0, s.countRuns("hidden"))
 }
 
 // TestAdmission holds refusals before any decision against the pages.
 func TestAdmission(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	long := make([]byte, 100001)
 	for i := range long {
 		long[i] = 'x'
@@ -243,7 +243,7 @@
 
 // TestHeaders holds what an endpoint gets against the pages.
 func TestHeaders(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	sent := http.Header{
 		"Heathkeel-Tenant": {"forged"}, "Heathkeel-Expect-Instance": {"forged"}, "Kv-From": {"1.2.3.4:5/x"},
 		"X-Other": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"dropped"},
@@ -271,14 +271,14 @@
 
 // TestRouteTimeout checks that an endpoint stops when the route's time-out has passed.
 func TestRouteTimeout(t *testing.T) {
-	s := start(t, 1)
-	s.fail(Hang, 9)
+	s := startTestSite(t, 1)
+	s.setFaults(Hang, 9)
 	must.EqOp(t, 504, Do(s.Hosts[0].Boot.Front, Call{Path: "/brief/a", Key: Key, ID: "late-1"}).Status)
 	s.await(t, "the endpoint is free", s.idle)
 }
 
 // idle tells that no endpoint works on anything.
-func (s *scene) idle() bool {
+func (s *testSite) idle() bool {
 	n := 0
 	for i := range 2 {
 		n += s.plain[i].InFlight() + s.engines[i].InFlight()
@@ -290,7 +290,7 @@
 // with something else than the rest of the stream: the caller must not take what it
 // got for the whole. Seen on litoral hunt-6dea-103 (ORDER).
 func TestResumeFails(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	for _, second := range []Fault{Error, Full, NoStamp, Reset, InvalidAnswer} {
 		t.Run(string(second), func(t *testing.T) {
 			id := "resume-" + string(second[:4])
@@ -303,7 +303,7 @@
 			ShareFaults(nil, s.engines[0], s.engines[1])
 			must.EqOp(t, 200, a.Status)
 			must.False(t, a.Complete)
-			must.StrHasPrefix(t, a.Body, StreamBody(events))
+			must.StrHasPrefix(t, a.Body, StreamBody(streamEvents))
 		})
 	}
 }
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -45,21 +45,21 @@
 
 // Store is the platform's store.
 type Store struct {
-	mu      sync.Mutex
-	items   map[string]StoreItem
-	log     []StoreItem
-	at      uint64
-	oldest  uint64
-	leases  map[uint64]*storeLease
-	changed chan struct{}
-	fault   StoreFault
-	calls   int
+	mu             sync.Mutex
+	items          map[string]StoreItem
+	history        []StoreItem
+	revision       uint64
+	oldestRevision uint64
+	leases         map[uint64]*storeLease
+	changed        chan struct{}
+	fault          StoreFault
+	calls          int
 }
 
 // storeLease is a lease and the moment it ends.
 type storeLease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewStore returns an empty store.
@@ -74,18 +74,18 @@
 	m.HandleFunc("/-/kv-range", s.getRange).Methods(http.MethodGet)
 	m.HandleFunc("/-/kv-watch", s.watch).Methods(http.MethodGet)
 	m.HandleFunc("/-/kv-txn", s.txn).Methods(http.MethodPost)
-	m.HandleFunc("/-/kv-lease", s.grant).Methods(http.MethodPost)
-	m.HandleFunc("/-/kv-keep/{id}", s.keep).Methods(http.MethodPost)
+	m.HandleFunc("/-/kv-lease", s.grantLease).Methods(http.MethodPost)
+	m.HandleFunc("/-/kv-keep/{id}", s.renewLease).Methods(http.MethodPost)
 	m.HandleFunc("/-/kv-lease-end/{id}", s.endLease).Methods(http.MethodDelete)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.moody(w, r) {
+		if s.applyFault(w, r) {
 			m.ServeHTTP(w, r)
 		}
 	})
 }
 
-// moody shows the fault in force; it returns false if the call is over.
-func (s *Store) moody(w http.ResponseWriter, r *http.Request) bool {
+// applyFault shows the fault in force; it returns false if the call is over.
+func (s *Store) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.calls++
 	f := s.fault
@@ -128,7 +128,7 @@
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log, s.oldest = nil, s.at
+	s.history, s.oldestRevision = nil, s.revision
 }
 
 // Put writes a key as the operators and the endpoints do.
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, it := range s.log {
+	for _, it := range s.history {
 		if strings.HasPrefix(it.TLSKey, prefix) {
 			n++
 		}
@@ -177,9 +177,9 @@
 
 // write makes one change; mu must be held.
 func (s *Store) write(it StoreItem) {
-	s.at++
-	it.Revision = s.at
-	it.Created = s.at
+	s.revision++
+	it.Revision = s.revision
+	it.Created = s.revision
 	if old, ok := s.items[it.TLSKey]; ok {
 		it.Created = old.Created
 	}
@@ -188,7 +188,7 @@
 	} else {
 		s.items[it.TLSKey] = it
 	}
-	s.log = append(s.log, it)
+	s.history = append(s.history, it)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -196,14 +196,14 @@
 // expire ends leases that ran out; mu must be held.
 func (s *Store) expire() {
 	for id, l := range s.leases {
-		if time.Now().After(l.end) {
-			s.drop(id)
+		if time.Now().After(l.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-// drop ends a lease and its keys; mu must be held.
-func (s *Store) drop(id uint64) {
+// removeLease ends a lease and its keys; mu must be held.
+func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
 	for k, it := range s.items {
 		if it.Lease == id {
@@ -238,18 +238,18 @@
 	reply(w, http.StatusOK, struct {
 		StoreItem
 		At uint64 `json:"at"`
-	}{it, s.at})
+	}{it, s.revision})
 }
 
-// pageItems is the most items of a page.
-const pageItems = 500
+// maxPageItems is the most items of a page.
+const maxPageItems = 500
 
 func (s *Store) getRange(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	q := r.URL.Query()
-	a := storeAnswer{At: s.at}
+	a := storeAnswer{At: s.revision}
 	keys := make([]string, 0, len(s.items))
 	for k := range s.items {
 		if strings.HasPrefix(k, q.Get("PathPrefix")) && k > q.Get("SinceRev") {
@@ -257,10 +257,10 @@
 		}
 	}
 	sort.Strings(keys)
-	for _, k := range keys[:min(pageItems, len(keys))] {
+	for _, k := range keys[:min(maxPageItems, len(keys))] {
 		a.Items = append(a.Items, s.items[k])
 	}
-	a.More = len(keys) > pageItems
+	a.More = len(keys) > maxPageItems
 	reply(w, http.StatusOK, a)
 }
 
@@ -268,24 +268,24 @@
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("SinceRev"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("WaitMs"))
-	end := time.After(time.Duration(ms) * time.Millisecond)
-	for over := false; ; {
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
+	for timedOut := false; ; {
 		s.mu.Lock()
 		s.expire()
-		if since < s.oldest {
+		if since < s.oldestRevision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		a := storeAnswer{At: s.at}
-		for _, it := range s.log {
+		a := storeAnswer{At: s.revision}
+		for _, it := range s.history {
 			if it.Revision > since && strings.HasPrefix(it.TLSKey, q.Get("PathPrefix")) {
 				a.Events = append(a.Events, it)
 			}
 		}
 		changed := s.changed
 		s.mu.Unlock()
-		if len(a.Events) > 0 || over {
+		if len(a.Events) > 0 || timedOut {
 			reply(w, http.StatusOK, a)
 			return
 		}
@@ -293,8 +293,8 @@
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-end:
-			over = true
+		case <-timeout:
+			timedOut = true
 		}
 	}
 }
@@ -324,7 +324,7 @@
 	s.expire()
 	for _, e := range b.ExpectedRev {
 		if s.items[e.TLSKey].Revision != e.Revision {
-			a := storeAnswer{At: s.at}
+			a := storeAnswer{At: s.revision}
 			if it, ok := s.items[e.TLSKey]; ok {
 				a.Items = append(a.Items, it)
 			}
@@ -351,7 +351,7 @@
 	if s.fault.LoseAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, http.StatusOK, struct{ Revision uint64 }{s.at})
+	reply(w, http.StatusOK, struct{ Revision uint64 }{s.revision})
 }
 
 // leaseBody is the body of lease calls and their answers.
@@ -360,7 +360,7 @@
 	TTL   int64  `json:"ttl_ms,omitempty"`
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var b leaseBody
 	if json.NewDecoder(r.Body).Decode(&b) != nil || b.TTL <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
@@ -368,13 +368,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at++
+	s.revision++
 	ttl := time.Duration(b.TTL) * time.Millisecond
-	s.leases[s.at] = &storeLease{ttl, time.Now().Add(ttl)}
-	reply(w, http.StatusOK, leaseBody{s.at, b.TTL})
+	s.leases[s.revision] = &storeLease{ttl, time.Now().Add(ttl)}
+	reply(w, http.StatusOK, leaseBody{s.revision, b.TTL})
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -384,7 +384,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.end = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	reply(w, http.StatusOK, leaseBody{TTL: l.ttl.Milliseconds()})
 }
 
@@ -392,6 +392,6 @@
 	id, _ := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(id)
+	s.removeLease(id)
 	reply(w, http.StatusOK, leaseBody{})
 }
--- a/internal/site/suspend_test.go
+++ b/internal/site/suspend_test.go
@@ -14,17 +14,17 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// suspensions are the times for which hosts are suspended: less than any proof's life, about as long as one, and longer than all that a
+// suspensionTimes are the times for which hosts are suspended: less than any proof's life, about as long as one, and longer than all that a
 // host remembers.
-var suspensions = []time.Duration{300 * time.Millisecond, 2 * time.Second, 8 * time.Second, time.Minute}
+var suspensionTimes = []time.Duration{300 * time.Millisecond, 2 * time.Second, 8 * time.Second, time.Minute}
 
 // TestSuspendedHostForgetsProofs suspends a host while a key is withdrawn and an endpoint leaves. The first request after it comes before the host
 // has heard anything: nothing runs on what was proven before. Once it hears, what is allowed is served and what is not is refused for good.
 func TestSuspendedHostForgetsProofs(t *testing.T) {
-	for _, d := range suspensions {
+	for _, d := range suspensionTimes {
 		for _, path := range []string{"/ask/a", "/draft/a"} {
 			t.Run(fmt.Sprint(d, path), func(t *testing.T) {
-				s := start(t, 1)
+				s := startTestSite(t, 1)
 				h := s.Hosts[0]
 				h.StallStore(true)
 				c := Example()
@@ -38,7 +38,7 @@
 					a := Do(h.Boot.Front, Call{Path: path, Key: Key, ID: id, Body: "b"})
 					must.EqOp(t, 503, a.Status)
 					must.NotEqOp(t, "", a.Header.Get("Retry-After"))
-					must.EqOp(t, 0, s.runs(id))
+					must.EqOp(t, 0, s.countRuns(id))
 				}
 				list, err := s.Resolve(h)
 				must.True(t, err != nil || len(list) == 0)
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestSuspendedInAWait suspends a host while requests wait for a place: those past their deadline are answered at once, with the truth, and none
+// TestSuspendedWhileRequestsWait suspends a host while requests wait for a place: those past their deadline are answered at once, with the truth, and none
 // that waited runs under a key that was withdrawn meanwhile.
-func TestSuspendedInAWait(t *testing.T) {
-	s := start(t, 1)
+func TestSuspendedWhileRequestsWait(t *testing.T) {
+	s := startTestSite(t, 1)
 	h := s.Hosts[0]
 	for i := range 2 {
 		s.engines[i].SetPace(400 * time.Millisecond)
@@ -79,7 +79,7 @@
 	c.Version, c.Tenants[0].Keys = 2, []string{"new-key"}
 	s.Store.Put(platform.KeyConfig, c)
 	h.Suspend(8 * time.Second)
-	began := time.Now()
+	resumedAt := time.Now()
 	cut, refused := 0, 0
 	for range n {
 		switch a := <-answers; {
@@ -89,14 +89,14 @@
 			cut++
 		}
 	}
-	took := time.Since(began)
+	elapsed := time.Since(resumedAt)
 	h.StallStore(false)
-	t.Logf("%d ran when the host was suspended; %d refused, %d cut or failed, the last %v after it woke", running, refused, cut, took)
+	t.Logf("%d ran when the host was suspended; %d refused, %d cut or failed, the last %v after it woke", running, refused, cut, elapsed)
 	must.EqOp(t, n, refused+cut)
-	must.Less(t, 2*time.Second, took) // the deadlines by the host's steady clock are 5 s away
+	must.Less(t, 2*time.Second, elapsed) // the deadlines by the host's steady clock are 5 s away
 	ran := 0
 	for i := range n {
-		ran += s.runs(fmt.Sprint("w-", i))
+		ran += s.countRuns(fmt.Sprint("w-", i))
 	}
 	must.EqOp(t, n-refused, ran)
 	s.await(t, "the engines' work ends", func() bool { return s.engines[0].InFlight()+s.engines[1].InFlight() == 0 })
--- a/internal/site/suspensions_test.go
+++ b/internal/site/suspensions_test.go
@@ -25,83 +25,83 @@
 
 // suspension is one of a host.
 type suspension struct {
-	at time.Time
-	d  time.Duration
+	start  time.Time
+	length time.Duration
 }
 
-// history plays random suspensions of hosts while keys are withdrawn, endpoints come and leave, and the store fails.
-type history struct {
+// scenario plays random suspensions of hosts while keys are withdrawn, endpoints come and leave, and the store fails.
+type scenario struct {
 	*Site
-	rand  *rand.Rand
-	hosts []*Host
-	began time.Time
+	rand      *rand.Rand
+	hosts     []*Host
+	startedAt time.Time
 
 	mu          sync.Mutex
 	config      Config
-	keys        int
+	keyNumber   int
 	withdrawn   map[string]time.Time // by key
-	left        map[string]bool      // endpoints whose entry is gone
+	removed     map[string]bool      // endpoints whose entry is gone
 	endpoints   []*Endpoint
 	suspensions [][]suspension // by host
-	sent        map[string]sending
-	wrong       []string
+	sent        map[string]sentRequest
+	violations  []string
 }
 
-// sending is a request as a caller sent it.
-type sending struct {
+// sentRequest is a request as a caller sent it.
+type sentRequest struct {
 	host   int
 	key    string
 	answer Answer
 }
 
-// onTheWay is the time that a request may take from the last look of its host to the endpoint: a suspension in that time is seen by nobody
+// maxTransit is the time that a request may take from the last look of its host to the endpoint: a suspension in that time is seen by nobody
 // before the request is there.
-const onTheWay = 20 * time.Millisecond
+const maxTransit = 20 * time.Millisecond
 
-// clock gives a host's time, without suspensions of the last moment.
-func (h *history) clock(host int, at time.Time) time.Duration {
-	now := at.Sub(h.began)
+// hostTime gives a host's time, without suspensions of the last moment.
+func (h *scenario) hostTime(host int, at time.Time) time.Duration {
+	elapsed := at.Sub(h.startedAt)
 	for _, s := range h.suspensions[host] {
-		if s.at.Before(at.Add(-onTheWay)) {
-			now += s.d
+		if s.start.Before(at.Add(-maxTransit)) {
+			elapsed += s.length
 		}
 	}
-	return now
+	return elapsed
 }
 
-// put writes the configuration with its newest key.
-func (h *history) put() {
+// writeConfig writes the configuration with its newest key.
+func (h *scenario) writeConfig() {
 	h.config.Version++
 	h.Store.Put(platform.KeyConfig, h.config)
 }
 
-// rekey withdraws the key in use and gives another one.
-func (h *history) rekey() {
+// rotateKey withdraws the key in use and gives another one.
+func (h *scenario) rotateKey() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.config.Tenants[0].Keys[0]
-	h.keys++
-	h.config.Tenants[0].Keys = []string{fmt.Sprint("key-", h.keys)}
-	h.put()
+	h.keyNumber++
+	h.config.Tenants[0].Keys = []string{fmt.Sprint("key-", h.keyNumber)}
+	h.writeConfig()
 	h.withdrawn[old] = time.Now()
 }
 
-// leave removes the entry of an endpoint, which serves on, and adds another one.
-func (h *history) leave(t *testing.T) {
-	h.add(t)
+// removeEndpoint removes the entry of an endpoint, which serves on, and adds another one.
+func (h *scenario) removeEndpoint(t *testing.T) {
+	h.addEndpoint(t)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.endpoints {
-		if !h.left[e.Instance] {
+		if !h.removed[e.Instance] {
 			h.Store.Remove(platform.PrefixEndpoints + e.Instance)
-			h.left[e.Instance] = true
+			h.removed[e.Instance] = true
 			return
 		}
 	}
 }
 
-// add starts an endpoint of the plain service.
-func (h *history) add(t *testing.T) {
+// addEndpoint starts an endpoint of the plain service.
+func (h *scenario) addEndpoint(t *testing.T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e := &Endpoint{Instance: fmt.Sprint("p-", len(h.endpoints))}
@@ -112,55 +112,55 @@
 // suspend suspends some hosts, or all, for the same time. What happens in the world meanwhile is done before they hear of anything. Those that
 // stay awake would hear of it in that time, which passes for nobody here: so they are let to, first. Else one of them would truly say that
 // it knew of nothing newer some milliseconds ago, and mean a moment before the sleep.
-func (h *history) suspend(t *testing.T) {
-	d := suspensions[h.rand.IntN(len(suspensions))]
-	var some, awake []int
+func (h *scenario) suspend(t *testing.T) {
+	d := suspensionTimes[h.rand.IntN(len(suspensionTimes))]
+	var suspended, running []int
 	all := h.rand.IntN(2) == 0
 	for i := range h.hosts {
 		if all || h.rand.IntN(2) == 0 {
-			some = append(some, i)
+			suspended = append(suspended, i)
 			h.hosts[i].StallStore(true)
 		} else {
-			awake = append(awake, i)
+			running = append(running, i)
 		}
 	}
 	if h.rand.IntN(2) == 0 {
-		h.rekey()
+		h.rotateKey()
 	}
 	if h.rand.IntN(2) == 0 {
-		h.leave(t)
+		h.removeEndpoint(t)
 	}
-	for _, i := range awake {
-		(&scene{Site: h.Site}).await(t, "those awake know the key in use", func() bool {
-			return Do(h.hosts[i].Boot.Front, Call{Path: "/ask/a", Key: fmt.Sprint("key-", h.keys), ID: "known"}).Status == 200
+	for _, i := range running {
+		(&testSite{Site: h.Site}).await(t, "those awake know the key in use", func() bool {
+			return Do(h.hosts[i].Boot.Front, Call{Path: "/ask/a", Key: fmt.Sprint("key-", h.keyNumber), ID: "known"}).Status == 200
 		})
 	}
 	h.mu.Lock()
-	for _, i := range some {
+	for _, i := range suspended {
 		h.suspensions[i] = append(h.suspensions[i], suspension{time.Now(), d})
 		h.hosts[i].Suspend(d)
 	}
 	h.mu.Unlock()
 	time.Sleep(time.Duration(h.rand.IntN(60)) * time.Millisecond)
-	for _, i := range some {
+	for _, i := range suspended {
 		h.hosts[i].StallStore(false)
 	}
 }
 
 // outage takes the store away for a while.
-func (h *history) outage() {
+func (h *scenario) outage() {
 	h.Store.SetFault(StoreFault{Status: 503})
 	time.Sleep(time.Duration(h.rand.IntN(800)) * time.Millisecond)
 	h.Store.SetFault(StoreFault{})
 }
 
 // step does one thing.
-func (h *history) step(t *testing.T) {
+func (h *scenario) step(t *testing.T) {
 	switch h.rand.IntN(6) {
 	case 0:
-		h.rekey()
+		h.rotateKey()
 	case 1:
-		h.leave(t)
+		h.removeEndpoint(t)
 	case 2:
 		h.outage()
 	default:
@@ -169,8 +169,8 @@
 	time.Sleep(time.Duration(h.rand.IntN(300)) * time.Millisecond)
 }
 
-// call sends requests of all kinds, under the key in use and under old ones, until it is stopped.
-func (h *history) call(k int, r *rand.Rand, stop chan struct{}) {
+// runCaller sends requests of all kinds, under the key in use and under old ones, until it is stopped.
+func (h *scenario) runCaller(k int, r *rand.Rand, stop chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -178,9 +178,9 @@
 		default:
 		}
 		h.mu.Lock()
-		key := fmt.Sprint("key-", max(0, h.keys-r.IntN(3)))
+		key := fmt.Sprint("key-", max(0, h.keyNumber-r.IntN(3)))
 		h.mu.Unlock()
-		s := sending{host: r.IntN(len(h.hosts)), key: key}
+		s := sentRequest{host: r.IntN(len(h.hosts)), key: key}
 		id := fmt.Sprintf("call-%d-%d", k, n)
 		path := []string{"/ask/a", "/push/a", "/brief/a"}[r.IntN(3)]
 		s.answer = Do(h.hosts[s.host].Boot.Front, Call{Path: path, Key: key, ID: id, Body: "b"})
@@ -192,7 +192,7 @@
 }
 
 // check holds each run at an endpoint against what was withdrawn when it began, and each refusal against the runs.
-func (h *history) check() {
+func (h *scenario) check() {
 	runs := make(map[string]int)
 	for _, e := range h.endpoints {
 		for _, r := range e.Runs() {
@@ -202,15 +202,15 @@
 			if !known || !withdrawn {
 				continue
 			}
-			if old := h.clock(s.host, r.ReceivedAt) - h.clock(s.host, since); old > revokeTime {
-				h.wrong = append(h.wrong, fmt.Sprintf("%s ran at host %d under %s, withdrawn %v before", r.AttemptID, s.host, s.key, old))
+			if age := h.hostTime(s.host, r.ReceivedAt) - h.hostTime(s.host, since); age > revokeTime {
+				h.violations = append(h.violations, fmt.Sprintf("%s ran at host %d under %s, withdrawn %v before", r.AttemptID, s.host, s.key, age))
 			}
 		}
 	}
 	for id, s := range h.sent {
 		refused := s.answer.Status == 503 || s.answer.Status == 429
 		if refused && runs[id] > 0 {
-			h.wrong = append(h.wrong, fmt.Sprintf("%s was told not to have run, and ran", id))
+			h.violations = append(h.violations, fmt.Sprintf("%s was told not to have run, and ran", id))
 		}
 	}
 }
@@ -227,14 +227,14 @@
 			s := &Site{Log: logr.Discard()}
 			must.NoError(t, s.Start())
 			t.Cleanup(s.Stop)
-			h := &history{
-				Site: s, rand: rand.New(rand.NewPCG(seed, 41)), began: time.Now(), config: Example(), withdrawn: make(map[string]time.Time),
-				left: make(map[string]bool), sent: make(map[string]sending), suspensions: make([][]suspension, 3),
+			h := &scenario{
+				Site: s, rand: rand.New(rand.NewPCG(seed, 41)), startedAt: time.Now(), config: Example(), withdrawn: make(map[string]time.Time),
+				removed: make(map[string]bool), sent: make(map[string]sentRequest), suspensions: make([][]suspension, 3),
 			}
 			h.config.Tenants[0].Keys = []string{"key-0"}
-			h.put()
+			h.writeConfig()
 			for range 2 {
-				h.add(t)
+				h.addEndpoint(t)
 			}
 			for range 3 {
 				host, err := s.AddHost()
@@ -247,19 +247,19 @@
 					e.Stop()
 				}
 			})
-			must.SliceEmpty(t, h.wrong, must.Sprint(strings.Join(h.wrong, "\n")))
+			must.SliceEmpty(t, h.violations, must.Sprint(strings.Join(h.violations, "\n")))
 			must.Positive(t, len(h.sent))
 		})
 	}
 }
 
 // play does some steps while callers send.
-func (h *history) play(t *testing.T, steps int) {
+func (h *scenario) play(t *testing.T, steps int) {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for c := range 6 {
 		r := rand.New(rand.NewPCG(h.rand.Uint64(), uint64(c)))
-		callers.Go(func() { h.call(c, r, stop) })
+		callers.Go(func() { h.runCaller(c, r, stop) })
 	}
 	for range steps {
 		h.step(t)
--- a/internal/site/told_test.go
+++ b/internal/site/told_test.go
@@ -16,21 +16,21 @@
 	"github.com/heathkeel/heathkeel/outcome"
 )
 
-// buffer is a log in memory.
-type buffer struct {
+// logBuffer is a log in memory.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-// events reads what was logged of a request.
-func (b *buffer) events(t *testing.T, id string) []outcome.Event {
+// readEvents reads what was logged of a request.
+func (b *logBuffer) readEvents(t *testing.T, id string) []outcome.Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, err := outcome.Read(bytes.NewReader(b.b.Bytes()), id)
@@ -38,11 +38,11 @@
 	return e
 }
 
-// TestFailuresAreTold checks that the log of a host names the cause of every request
+// TestFailuresAreLogged checks that the log of a host names the cause of every request
 // that did not go well, and says nothing of those that did.
-func TestFailuresAreTold(t *testing.T) {
-	var out buffer
-	s := startWith(t, 1, func(s *Site) { s.Log, _ = logs.Open("test", "0", &out) })
+func TestFailuresAreLogged(t *testing.T) {
+	var out logBuffer
+	s := startTestSiteWith(t, 1, func(s *Site) { s.Log, _ = logs.Open("test", "0", &out) })
 	cases := []struct {
 		fault Fault
 		times int
@@ -65,12 +65,12 @@
 	for i, tc := range cases {
 		t.Run(fmt.Sprint(i, tc.fault, tc.call.Path), func(t *testing.T) {
 			tc.call.ID = fmt.Sprintf("told-%d.", i)
-			s.fail(tc.fault, tc.times)
+			s.setFaults(tc.fault, tc.times)
 			Do(s.Hosts[0].Boot.Front, tc.call)
-			s.fail(None, 0)
-			s.await(t, "the lines", func() bool { return len(out.events(t, tc.call.ID)) >= len(tc.want) })
+			s.setFaults(None, 0)
+			s.await(t, "the lines", func() bool { return len(out.readEvents(t, tc.call.ID)) >= len(tc.want) })
 			var got []outcome.Kind
-			events := out.events(t, tc.call.ID)
+			events := out.readEvents(t, tc.call.ID)
 			for _, e := range events {
 				got = append(got, e.Outcome)
 			}
@@ -83,8 +83,8 @@
 // TestTrace checks that a host that traces requests tells those that went well too, and
 // drops no line.
 func TestTrace(t *testing.T) {
-	var out buffer
-	s := startWith(t, 1, func(s *Site) {
+	var out logBuffer
+	s := startTestSiteWith(t, 1, func(s *Site) {
 		s.Log, _ = logs.Open("test", "0", &out)
 		s.Trace = true
 	})
@@ -100,8 +100,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			tc.call.ID = fmt.Sprintf("trace-%d.", i)
 			must.EqOp(t, 200, Do(s.Hosts[0].Boot.Front, tc.call).Status)
-			s.await(t, "the line", func() bool { return len(out.events(t, tc.call.ID)) == 1 })
-			e := out.events(t, tc.call.ID)[0]
+			s.await(t, "the line", func() bool { return len(out.readEvents(t, tc.call.ID)) == 1 })
+			e := out.readEvents(t, tc.call.ID)[0]
 			must.EqOp(t, outcome.Served, e.Outcome)
 			must.EqOp(t, 1, e.Sends)
 			must.EqOp(t, tc.events, e.Events)
@@ -114,7 +114,7 @@
 		for i := range n {
 			Do(s.Hosts[0].Boot.Front, Call{Path: "/none/a", Key: Key, ID: fmt.Sprintf("many-%d.", i)})
 		}
-		s.await(t, "all lines", func() bool { return len(out.events(t, fmt.Sprintf("many-%d.", n-1))) == 1 })
-		must.Len(t, 1, out.events(t, "many-250."))
+		s.await(t, "all lines", func() bool { return len(out.readEvents(t, fmt.Sprintf("many-%d.", n-1))) == 1 })
+		must.Len(t, 1, out.readEvents(t, "many-250."))
 	})
 }
--- a/internal/site/trial_test.go
+++ b/internal/site/trial_test.go
@@ -17,8 +17,8 @@
 // three sends from all of them together, none while the store does not tell how many are left, and callers are told the truth.
 func TestTrialsAreCounted(t *testing.T) {
 	cases := []struct {
-		name string
-		down StoreFault // of the store, in the first rounds
+		name  string
+		fault StoreFault // of the store, in the first rounds
 	}{
 		{"the store answers", StoreFault{}},
 		{"the store refuses first", StoreFault{Status: 503}},
@@ -26,18 +26,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFragileOf(t, fragileCase{
-				hosts: 6, endpoints: 12, service: Engines, events: 60, pace: 10 * time.Millisecond, delay: 200 * time.Millisecond, back: 300 * time.Millisecond, answers: true,
+			f := newCrashingSiteWith(t, crashingSiteOptions{
+				hosts: 6, endpoints: 12, service: Engines, events: 60, pace: 10 * time.Millisecond, crashDelay: 200 * time.Millisecond, restartDelay: 300 * time.Millisecond, answersBeforeCrash: true,
 			})
 			n := 0
 			call := func(i int) Call {
 				n++
-				return Call{Path: "/draft/a", Key: Key, ID: fmt.Sprintf("trial-%d-%d", i, n), Body: fatal}
+				return Call{Path: "/draft/a", Key: Key, ID: fmt.Sprintf("trial-%d-%d", i, n), Body: crashText}
 			}
 			for i := range 3 {
 				Do(f.hosts[i].Boot.Front, call(i))
 			}
-			must.SliceLen(t, 3, f.runsOf(fatal))
+			must.SliceLen(t, 3, f.sortedRuns(crashText))
 			time.Sleep(500 * time.Millisecond) // all hosts hear of it
 			round := func() []Answer {
 				answers := make([]Answer, len(f.hosts))
@@ -49,18 +49,18 @@
 				all.Wait()
 				return answers
 			}
-			if c.down != (StoreFault{}) {
-				f.Site.Store.SetFault(c.down)
+			if c.fault != (StoreFault{}) {
+				f.Site.Store.SetFault(c.fault)
 				for _, a := range round() {
 					must.EqOp(t, 503, a.Status)
 				}
-				must.SliceLen(t, 3, f.runsOf(fatal))
+				must.SliceLen(t, 3, f.sortedRuns(crashText))
 				f.Site.Store.SetFault(StoreFault{})
 			}
 			for range 4 {
 				round()
 			}
-			must.SliceLen(t, 3+3, f.runsOf(fatal))
+			must.SliceLen(t, 3+3, f.sortedRuns(crashText))
 			for _, a := range round() {
 				must.EqOp(t, 503, a.Status)
 				must.StrContains(t, a.Body, "crashed while they ran this request")
@@ -71,24 +71,24 @@
 
 // TestTrialClears lets a request that met the ends of others run on trial: it is answered, and sent as any other from then on.
 func TestTrialClears(t *testing.T) {
-	f := newFragileOf(t, fragileCase{hosts: 3, endpoints: 6, service: Engines, events: 60, pace: 10 * time.Millisecond, back: 300 * time.Millisecond})
+	f := newCrashingSiteWith(t, crashingSiteOptions{hosts: 3, endpoints: 6, service: Engines, events: 60, pace: 10 * time.Millisecond, restartDelay: 300 * time.Millisecond})
 	n := 0
-	try := func() Answer {
+	send := func() Answer {
 		n++
 		return Do(f.hosts[n%len(f.hosts)].Boot.Front, Call{Path: "/draft/a", Key: Key, ID: fmt.Sprint("victim-", n), Body: "unlucky"})
 	}
 	for lost := 0; lost < 3; {
 		answers := make(chan Answer, 1)
-		go func() { answers <- try() }()
+		go func() { answers <- send() }()
 		time.Sleep(30 * f.Template.Pace) // so late an end may be chance
-		(&scene{Site: f.Site}).await(t, "it runs", func() bool { return f.CrashRunning("unlucky") })
+		(&testSite{Site: f.Site}).await(t, "it runs", func() bool { return f.CrashRunning("unlucky") })
 		a := <-answers
 		must.False(t, a.Status == 200 && a.Complete)
 		lost++
 	}
 	time.Sleep(500 * time.Millisecond) // all hosts hear of it
 	for range 6 {
-		a := try()
+		a := send()
 		must.EqOp(t, 200, a.Status)
 		must.True(t, a.Complete)
 		time.Sleep(100 * time.Millisecond)
