--- a/internal/site/endpoint.go
+++ b/internal/site/endpoint.go
@@ -89,8 +89,8 @@
 	AnswersBeforeCrash bool
 	// OnCrash is called when it has crashed, or nil.
 	OnCrash func()
-	// Link is what all connections to it go over, or nil; it is started with the endpoint.
-	Link *link.Proxy
+	// Proxy is what all connections to it go over, or nil; it is started with the endpoint.
+	Proxy *link.Proxy
 	// Address is where it is reached.
 	Address string
 
@@ -111,12 +111,12 @@
 		return err
 	}
 	e.l, e.Address = l, l.Addr().String()
-	if e.Link != nil {
-		e.Link.Listen, e.Link.Target = "127.0.0.1:0", e.Address
-		if err := e.Link.Start(); err != nil {
+	if e.Proxy != nil {
+		e.Proxy.Listen, e.Proxy.Target = "127.0.0.1:0", e.Address
+		if err := e.Proxy.Start(); err != nil {
 			return err
 		}
-		e.Address = e.Link.Listen
+		e.Address = e.Proxy.Listen
 	}
 	go func() {
 		for {
--- a/internal/site/silent_test.go
+++ b/internal/site/silent_test.go
@@ -34,7 +34,7 @@
 		wg.Wait()
 		return len(other.Runs()) == n
 	})
-	e.Link.Silence()
+	e.Proxy.Silence()
 	lost, n := 0, 0
 	s.await(t, "it is served again", func() bool {
 		n++
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -150,7 +150,7 @@
 		plain[i] = &Endpoint{Instance: fmt.Sprintf("p-%d", i)}
 		engines[i] = &Endpoint{Instance: fmt.Sprintf("e-%d", i), Events: events, Pace: pace}
 		if s.ProxyEndpoints {
-			plain[i].Link, engines[i].Link = &link.Proxy{}, &link.Proxy{}
+			plain[i].Proxy, engines[i].Proxy = &link.Proxy{}, &link.Proxy{}
 		}
 		if err := s.AddEndpoint(Plain, plain[i]); err != nil {
 			return plain, engines, err
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -205,7 +205,7 @@
 	m, how, span := c.member(), c.rand.IntN(4), c.between(300*time.Millisecond, 3*time.Second)
 	return func() {
 		defer m.trouble()()
-		harm(m.Link, how, span)
+		harm(m.Proxy, how, span)
 	}
 }
 
@@ -213,7 +213,7 @@
 func (c *chaos) endpointSilent() func() {
 	m := c.member()
 	return func() {
-		m.Link.Silence()
+		m.Proxy.Silence()
 		m.trouble()()
 	}
 }
