--- a/internal/site/again_test.go
+++ b/internal/site/again_test.go
@@ -12,9 +12,10 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestEndpointRestarts lets an endpoint start again under its name while a request hangs there, on a connection that
-// does not tell: nothing of the older life is waited for. What may go on elsewhere does; what may not is
-// told at once that it may have run.
+// TestEndpointRestarts checks what happens to a request that hangs at an endpoint when the endpoint
+// restarts under its name and the connection is not closed. The host must not wait for the former
+// incarnation: it repeats the request elsewhere if that is allowed, and otherwise tells the caller
+// at once that it may have run.
 func TestEndpointRestarts(t *testing.T) {
 	cases := []struct {
 		name, path string
@@ -24,9 +25,9 @@
 	}{
 		{"a stream that may go on elsewhere, nothing came", "/review/a", Hang, 200, 2},
 		{"a stream that may go on elsewhere, some events came", "/review/a", HangEvent, 200, 2},
-		{"a stream that may not, nothing came", "/draft/a", Hang, 502, 1},
+		{"a stream that may not go on elsewhere, nothing came", "/draft/a", Hang, 502, 1},
 		{"a plain request that may be repeated", "/ask/a", Hang, 200, 2},
-		{"a plain request that may not", "/push/a", Hang, 502, 1},
+		{"a plain request that may not be repeated", "/push/a", Hang, 502, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// findEndpoint gives the first endpoint of which something is true, or nil.
+// findEndpoint returns the first endpoint for which ok returns true, or nil.
 func (s *testSite) findEndpoint(ok func(*Endpoint) bool) *Endpoint {
 	for i := range 2 {
 		for _, e := range []*Endpoint{s.plain[i], s.engines[i]} {
@@ -69,8 +70,9 @@
 	return nil
 }
 
-// TestForeignEntriesServe writes entries of another program beside those of the endpoints, and in the place of
-// one: all goes to the endpoints that are left, as before.
+// TestForeignEntriesServe writes entries that are invalid or of another program beside those of the
+// endpoints, and one in place of an endpoint's entry. The remaining endpoints must get all
+// requests.
 func TestForeignEntriesServe(t *testing.T) {
 	s := startTestSite(t, 1)
 	h := s.Hosts[0]
@@ -84,7 +86,7 @@
 	} {
 		s.Store.Put(platform.PrefixEndpoints+key, value)
 	}
-	s.await(t, "all goes to the other endpoint", func() bool {
+	s.await(t, "the other endpoint gets all requests", func() bool {
 		before := len(s.plain[0].Runs())
 		for range 10 {
 			a := s.doWithRetry(t, h, Call{Path: "/ask/a", Key: Key, ID: "f"})
--- a/internal/site/ask_test.go
+++ b/internal/site/ask_test.go
@@ -9,11 +9,13 @@
 	"time"
 )
 
-// maxRetries is how often a caller comes again after a refusal, each time after a host's usual time to come back.
+// maxRetries limits the retries of a call that a host refused.
 const maxRetries = 8
 
-// doWithRetry does a call as a caller that comes again. A host whose process does not run for a while, as this one on a busy machine, refuses requests until it has heard anew
-// what it must know, and counts each of them: only such an answer is asked for again. That hosts in time refuse nothing is held by tests on simulated time.
+// doWithRetry sends a call and retries it when the host refused it because its own data were stale.
+// On a busy machine a host's process may not run for a while; until it has received current data it
+// refuses requests and counts them, and only such a refusal is retried. Tests on simulated time
+// check that hosts which run in time refuse nothing.
 func (s *testSite) doWithRetry(t *testing.T, h *Host, c Call) Answer {
 	t.Helper()
 	for retries := 0; ; retries++ {
@@ -27,7 +29,7 @@
 	}
 }
 
-// staleRefusals is how many requests a host has refused because it had not heard in time what it must know.
+// staleRefusals returns how many requests a host has refused because its data were stale.
 func (s *testSite) staleRefusals(t *testing.T, h *Host) int64 {
 	t.Helper()
 	requests, _ := s.readCounters(t, h)
--- a/internal/site/bench_test.go
+++ b/internal/site/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// newBenchSite starts one host with streams of n events that come at once.
+// newBenchSite starts one host; streams have n events without a pause between them.
 func newBenchSite(b *testing.B, n int) *Site {
 	b.Helper()
 	s := &Site{Log: logr.Discard()}
@@ -32,7 +32,8 @@
 	return s
 }
 
-// BenchmarkRequest is a request that is no stream, with caller, host and endpoint in one process.
+// BenchmarkRequest measures a request that is no stream, with caller, host and endpoint in one
+// process.
 func BenchmarkRequest(b *testing.B) {
 	s := newBenchSite(b, 1)
 	b.ReportAllocs()
@@ -43,8 +44,8 @@
 	}
 }
 
-// BenchmarkStream is a stream by its number of events; the difference between two
-// sizes, by the number of events, is the cost of one at caller, host and endpoint.
+// BenchmarkStream measures streams of several lengths. The difference between two lengths, divided
+// by the number of events, is the cost of one event at caller, host and endpoint.
 func BenchmarkStream(b *testing.B) {
 	for _, n := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/site/call.go
+++ b/internal/site/call.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// Call is one request of a caller.
+// Call is a request of a caller.
 type Call struct {
-	// Path, Key, Body and Tokens are what is sent; an empty Key sends none.
+	// Path, Key, Body and Tokens are the parts of the request. An empty Key or Tokens omits its
+	// header; an empty Body makes it a GET.
 	Path, Key, Body, Tokens string
-	// ID is the request's name.
+	// ID is the request's ID; empty omits it.
 	ID string
-	// Deadline is the time in milliseconds that the caller waits; 0 sends none.
+	// Deadline is the time that the caller waits, in milliseconds; 0 omits it.
 	Deadline int
-	// Header is sent besides.
+	// Header holds additional header fields.
 	Header http.Header
 }
 
-// Answer is what came back.
+// Answer is the answer to a Call.
 type Answer struct {
-	// Status is 0 if there was no answer.
+	// Status is the HTTP status, or 0 if there was no answer.
 	Status int
-	// Header and Body are what came; Whole says that the body ended well.
+	// Header and Body are what was received. Complete reports that the body ended without an error.
 	Header   http.Header
 	Body     string
 	Complete bool
 }
 
-// Do sends a request to a host on a new connection.
+// Do sends a request to a host on a new connection and reads the answer.
 func Do(address string, c Call) Answer {
 	method, body := http.MethodGet, io.Reader(nil)
 	if c.Body != "" {
@@ -71,7 +72,7 @@
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(b), Complete: err == nil}
 }
 
-// Curl is a line that sends a request for a stream to a host.
+// Curl returns a command line that requests a stream from a host.
 func Curl(address string) string {
 	return fmt.Sprintf("curl -N http://%s/review/1 -H 'Host: %s' -H 'Authorization: Token %s' -H 'Heathkeel-Attempt-Id: 1' -H 'Heathkeel-Token-Count: 20,30' -d 'Hello'",
 		address, HostName, Key)
--- a/internal/site/config.go
+++ b/internal/site/config.go
@@ -4,19 +4,19 @@
 
 package site
 
-// Names of the example configuration.
+// Names in the example configuration.
 const (
-	// HostName is the host name that callers send.
+	// HostName is the HTTP host name that callers send.
 	HostName = "shop.example"
-	// Key is a key of the workspace that is called Workspace.
+	// Key is a key of the workspace named by Workspace.
 	Key       = "key-of-water-utility"
 	Workspace = "water-utility"
-	// Engines and Plain are the services.
+	// Engines and Plain are the names of the two services.
 	Engines = "engines"
 	Plain   = "plain"
 )
 
-// Route is a route of the configuration on the wire.
+// Route is a route as the configuration document has it.
 type Route struct {
 	Name, Host, PathPrefix, Kind, Service string
 	TimeoutMs, SloMs, GapSloMs            int
@@ -24,17 +24,17 @@
 	Public, Sticky, Resumable             bool
 }
 
-// Service is a service of the configuration on the wire.
+// Service is a service as the configuration document has it.
 type Service struct {
 	Name, HealthPath, Protocol string
 	MaxConns                   int
 	Engine                     *Engine `json:",omitempty"`
 }
 
-// Engine is what a configuration says of a service's engines.
+// Engine describes the engines of a service in the configuration document.
 type Engine struct{ Slots, KvCapacity, Stride int }
 
-// Tenant is a workspace of the configuration on the wire.
+// Tenant is a workspace as the configuration document has it.
 type Tenant struct {
 	Name        string
 	Keys        []string
@@ -44,7 +44,7 @@
 	PerS, Burst int
 }
 
-// Config is a configuration on the wire.
+// Config is a configuration document.
 type Config struct {
 	Version  int
 	Routes   []Route
@@ -53,7 +53,7 @@
 	Tenants  []Tenant
 }
 
-// Example is a configuration with a route of each kind.
+// Example returns a configuration with a route of each kind.
 func Example() Config {
 	c := Config{
 		Version: 1,
--- a/internal/site/crash.go
+++ b/internal/site/crash.go
@@ -15,7 +15,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// addConn notes a connection; it returns false if the endpoint has crashed.
+// addConn registers a connection. It returns false if the endpoint has crashed.
 func (e *Endpoint) addConn(c net.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,7 +26,7 @@
 	return !e.crashed
 }
 
-// closeConn closes a connection that is over.
+// closeConn closes a connection and removes it from the open ones.
 func (e *Endpoint) closeConn(c net.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,13 +34,13 @@
 	_ = c.Close()
 }
 
-// crashesOn tells whether a request crashes the endpoint.
+// crashesOn reports whether a request crashes the endpoint.
 func (e *Endpoint) crashesOn(r *http.Request, body string) bool {
 	return e.CrashText != "" && (strings.Contains(r.RequestURI, e.CrashText) || strings.Contains(body, e.CrashText))
 }
 
-// Crash ends the endpoint as the end of its process does: its port refuses connections, and those that were open are reset. It returns
-// false if it had crashed before.
+// Crash simulates the end of the endpoint's process: its port refuses connections, and open
+// connections are reset. It returns false if the endpoint had crashed before.
 func (e *Endpoint) Crash() bool {
 	e.mu.Lock()
 	if e.crashed {
@@ -59,15 +59,17 @@
 	return true
 }
 
-// CrashingService is a service whose endpoints crash under some requests and start again under other names. The exported fields must
-// be set before Start.
+// CrashingService is a service whose endpoints crash under some requests and are replaced by
+// endpoints with other names. The exported fields must be set before Start.
 type CrashingService struct {
 	// Site holds the endpoints' entries.
 	Site *Site
-	// Service is the service's name, and Model an endpoint of it; its name is the first part of the others'.
+	// Service is the name of the service. Template holds the properties of its endpoints; its
+	// instance name is the prefix of theirs.
 	Service  string
 	Template Endpoint
-	// RestartDelay is the time from a crash to the start of the next endpoint and the end of the old one's entry.
+	// RestartDelay is the time from a crash until the crashed endpoint's entry is removed and the
+	// next endpoint starts.
 	RestartDelay time.Duration
 
 	mu         sync.Mutex
@@ -76,7 +78,7 @@
 	stopped    bool
 }
 
-// Start starts some endpoints.
+// Start starts n endpoints.
 func (f *CrashingService) Start(n int) error {
 	for range n {
 		if err := f.add(); err != nil {
@@ -102,7 +104,7 @@
 	return f.Site.AddEndpoint(f.Service, e)
 }
 
-// noteCrash notes a crash and starts another endpoint later.
+// noteCrash records a crash and starts a replacement after RestartDelay.
 func (f *CrashingService) noteCrash(e *Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,12 +112,13 @@
 	time.AfterFunc(f.RestartDelay, func() {
 		f.Site.Store.Remove(platform.PrefixEndpoints + e.Instance)
 		if err := f.add(); err != nil {
-			f.Site.Log.Error(err, "endpoint does not start again")
+			f.Site.Log.Error(err, "replacement of a crashed endpoint does not start")
 		}
 	})
 }
 
-// CrashRunning crashes an endpoint that works on a request whose body holds a text; it returns false if none does.
+// CrashRunning crashes an endpoint that works on a request whose body contains text. It returns
+// false if there is none.
 func (f *CrashingService) CrashRunning(text string) bool {
 	f.mu.Lock()
 	all := append([]*Endpoint(nil), f.endpoints...)
@@ -142,7 +145,7 @@
 	}
 }
 
-// Stop ends all endpoints.
+// Stop stops all endpoints.
 func (f *CrashingService) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,14 +155,14 @@
 	}
 }
 
-// CrashTimes tells when endpoints crashed, in order.
+// CrashTimes returns the times of the crashes, in order.
 func (f *CrashingService) CrashTimes() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]time.Time(nil), f.crashTimes...)
 }
 
-// CountRuns counts the runs of requests, at all endpoints, whose body holds a text.
+// CountRuns counts the requests whose body contains text that all endpoints ran.
 func (f *CrashingService) CountRuns(text string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/site/crash_test.go
+++ b/internal/site/crash_test.go
@@ -18,21 +18,21 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// crashText is the text that crashes an endpoint.
+// crashText is a text in the body of a request that crashes an endpoint.
 const crashText = "fatal text"
 
-// maxLateSends is the number of endpoints that a request may still reach once three have crashed under it and all hosts had the
-// contact time to hear of that.
+// maxLateSends limits the endpoints that a request may still reach after three have crashed under
+// it and the contact time has passed, in which all hosts learn of the crashes.
 const maxLateSends = 3
 
-// TestCrashingRequest tells the story of a failure. Users saw short drafts fail, 74 of 370 in 16 s, while engine after engine ended
-// and came back: 26 and 15 of 18. Each had just begun to run a request with the same workspace, path and body; it had come again after each
-// failure, under a new ID, to another host. Each host took it for a new request, and each crash for a fault of the engine alone: the engine
-// was left alone, and the next one chosen as for any request. Evidence: all 39 engines that lost sends had been sent such a
-// request 76 to 474 ms before, and each host had sent it once under each ID.
+// TestCrashingRequest guards against a request that crashes one endpoint after another. The caller
+// repeats it after each failure, under a new ID and at another host. The hosts take it for a new
+// request each time and each crash for a fault of that engine alone, so they send it to the next
+// engine. In one such case 74 of 370 short drafts failed within 16 s; all 39 engines that lost
+// sends had received such a request 76 to 474 ms before.
 //
-// A caller repeats such a request at all hosts in turn, until three endpoints have crashed. After the contact time it comes ten times more.
-// Others go on all the while.
+// A caller repeats the request at all hosts in turn until three endpoints have crashed, and ten
+// times more after the contact time, while others send requests.
 func TestCrashingRequest(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -41,11 +41,11 @@
 		call    Call
 	}{
 		{"a stream that may not go on elsewhere", 3, Engines, Call{Path: "/draft/a", Body: crashText}},
-		{"a stream that may", 3, Engines, Call{Path: "/review/a", Body: crashText}},
+		{"a stream that may go on elsewhere", 3, Engines, Call{Path: "/review/a", Body: crashText}},
 		{"a plain request that may be repeated", 3, Plain, Call{Path: "/ask/a", Body: crashText}},
-		{"a plain one that may not", 3, Plain, Call{Path: "/push/a", Body: crashText}},
+		{"a plain request that may not be repeated", 3, Plain, Call{Path: "/push/a", Body: crashText}},
 		{"without a workspace", 3, Plain, Call{Path: "/open/a", Body: crashText}},
-		{"hosts that hear of each other by relays", 12, Engines, Call{Path: "/draft/a", Body: crashText}},
+		{"hosts that exchange digests through relays", 12, Engines, Call{Path: "/draft/a", Body: crashText}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			}
 			for len(f.CrashTimes()) < 3 && n < maxTries {
 				repeat()
-				time.Sleep(50 * time.Millisecond) // the endpoints that are left are told to the hosts
+				time.Sleep(50 * time.Millisecond) // time for hosts to learn which endpoints are left
 			}
 			must.Positive(t, len(f.CrashTimes()))
 			time.Sleep(contactTime)
@@ -83,35 +83,35 @@
 	}
 }
 
-// maxTries bounds the attempts until three endpoints have crashed, which may never be.
+// maxTries limits the attempts to make three endpoints crash; the request may be held before that.
 const maxTries = 40
 
 // contactTime is the contact time of the hosts of a Site.
 const contactTime = 3 * time.Second
 
-// crashingSite is a site with one fragile service.
+// crashingSite is a site with one CrashingService.
 type crashingSite struct {
 	*CrashingService
 	hosts []*Host
 }
 
-// crashingSiteOptions is a site with one fragile service.
+// crashingSiteOptions describes a crashingSite.
 type crashingSiteOptions struct {
 	hosts, endpoints         int
 	service                  string
 	events                   int           // of a stream
-	pace                     time.Duration // between two
-	crashDelay, restartDelay time.Duration // until a request crashes its endpoint, and until that is back
-	answersBeforeCrash       bool          // the endpoint answers until then
+	pace                     time.Duration // time before each event
+	crashDelay, restartDelay time.Duration // time until a request crashes its endpoint, and from then until the endpoint is replaced
+	answersBeforeCrash       bool          // the endpoint answers until it crashes
 }
 
-// newCrashingSite starts hosts before a service of six endpoints that crash.
+// newCrashingSite starts hosts and a service of six endpoints that crash.
 func newCrashingSite(t *testing.T, hosts int, service string) *crashingSite {
 	t.Helper()
 	return newCrashingSiteWith(t, crashingSiteOptions{hosts: hosts, endpoints: 6, service: service, events: streamEvents, pace: 5 * time.Millisecond, crashDelay: 30 * time.Millisecond, restartDelay: 300 * time.Millisecond})
 }
 
-// newCrashingSiteWith starts hosts before a service whose endpoints crash.
+// newCrashingSiteWith starts hosts and a service whose endpoints crash.
 func newCrashingSiteWith(t *testing.T, c crashingSiteOptions) *crashingSite {
 	t.Helper()
 	s := &Site{Log: logr.Discard()}
@@ -134,10 +134,10 @@
 	return f
 }
 
-// awaitServing waits until all hosts serve.
+// awaitServing waits until all hosts serve requests.
 func (f *crashingSite) awaitServing(t *testing.T) {
 	t.Helper()
-	(&testSite{Site: f.Site}).await(t, "first answers", func() bool {
+	(&testSite{Site: f.Site}).await(t, "all hosts serve requests", func() bool {
 		var served atomic.Int64
 		var all sync.WaitGroup
 		for i, h := range f.hosts {
@@ -155,7 +155,7 @@
 	})
 }
 
-// sendOthers sends other requests, one after the other, until it is stopped.
+// sendOthers sends other requests one after the other until stop is closed.
 func (f *crashingSite) sendOthers(k int, path string, stop chan struct{}, sent, served *atomic.Int64) {
 	for i := 0; ; i++ {
 		select {
@@ -172,8 +172,9 @@
 	}
 }
 
-// TestHeldRequest checks what callers get of a request that is held: a refusal that is true, says when to come back and why, from a host that
-// was told of the crashes by others as well; and that one byte more makes another request.
+// TestHeldRequest checks the refusal of a held request: it is true, states when to retry and why,
+// and comes from both hosts, also from one that learned of the crashes from the other. A request
+// with another body is not held.
 func TestHeldRequest(t *testing.T) {
 	f := newCrashingSite(t, 2, Engines)
 	call := Call{Path: "/review/a", Key: Key, Body: crashText}
@@ -198,8 +199,8 @@
 	must.EqOp(t, 200, send().Status)
 }
 
-// TestAnsweredRequestIsNotHeld checks that a request which many send, and which is mostly answered, is not held when endpoints that had
-// it crash under others.
+// TestAnsweredRequestIsNotHeld checks that a request which is sent often and mostly answered is not
+// held when endpoints that run it crash for other reasons.
 func TestAnsweredRequestIsNotHeld(t *testing.T) {
 	f := newCrashingSite(t, 2, Engines)
 	n := 0
@@ -212,7 +213,7 @@
 		go func() { answers <- popular() }()
 		for over := false; !over && !f.CrashRunning("the same"); {
 			select {
-			case a := <-answers: // it was over before
+			case a := <-answers: // the answer came before a crash
 				answers <- a
 				over = true
 			case <-time.After(time.Millisecond):
@@ -229,5 +230,5 @@
 	}
 }
 
-// crashesUntilHeld is the number of endpoints that crash under a request until it is held.
+// crashesUntilHeld is the number of endpoints that crash under a request before it is held.
 const crashesUntilHeld = 3
--- a/internal/site/endpoint.go
+++ b/internal/site/endpoint.go
@@ -18,80 +18,85 @@
 	"github.com/heathkeel/heathkeel/internal/link"
 )
 
-// Fault is what an endpoint does wrong with its next request.
+// Fault is a fault of an endpoint with one request.
 type Fault string
 
-// The faults.
+// Faults of an endpoint.
 const (
-	// None answers well.
+	// None answers as usual.
 	None Fault = ""
-	// Full says 503 and that it did not run the request.
+	// Full answers 503 and states that the request was not executed.
 	Full Fault = "full"
-	// Error answers 500 of its own.
+	// Error answers 500.
 	Error Fault = "error"
 	// Reset runs the request and resets the connection without an answer.
 	Reset Fault = "reset"
-	// Hang runs the request and says nothing.
+	// Hang runs the request and never answers.
 	Hang Fault = "hang"
-	// Truncated breaks the answer off in its middle.
+	// Truncated closes the connection in the middle of the answer.
 	Truncated Fault = "torn"
-	// TruncatedEvent breaks a stream off in the middle of its third event.
+	// TruncatedEvent closes the connection in the middle of a stream's third event.
 	TruncatedEvent Fault = "torn event"
-	// InvalidAnswer sends bytes that are no answer.
+	// InvalidAnswer sends bytes that are not HTTP.
 	InvalidAnswer Fault = "no answer"
-	// NoStamp answers without its stamp.
+	// NoStamp answers without the response stamp.
 	NoStamp Fault = "no stamp"
-	// ExtraAnswer sends a second answer behind the first.
+	// ExtraAnswer sends the answer twice.
 	ExtraAnswer Fault = "surplus"
-	// WrongAnswer sends the answer to another request first.
+	// WrongAnswer sends the answer to another request before its own.
 	WrongAnswer Fault = "foreign"
-	// Unframed answers without a length and closes.
+	// Unframed answers without a length and ends the answer by closing the connection.
 	Unframed Fault = "unframed"
-	// UnframedReset answers without a length and resets in the middle.
+	// UnframedReset answers without a length and resets the connection in the middle of the answer.
 	UnframedReset Fault = "unframed reset"
-	// HangEvent sends two events and then nothing.
+	// HangEvent sends two events of a stream and then nothing more.
 	HangEvent Fault = "hang event"
-	// SkipEvent leaves out the third event of a stream.
+	// SkipEvent omits the third event of a stream.
 	SkipEvent Fault = "skip event"
 	// DoubleEvent sends the third event of a stream twice.
 	DoubleEvent Fault = "double event"
-	// Closing says Connection: close.
+	// Closing sends Connection: close and closes the connection after the answer.
 	Closing Fault = "closing"
-	// Interim sends a 103 before its answer.
+	// Interim sends a 103 response before the answer.
 	Interim Fault = "interim"
 )
 
 // Run is a request that an endpoint ran.
 type Run struct {
-	// AttemptID, Method, URI and Body are what came.
+	// AttemptID, Method, URI and Body are the parts of the request.
 	AttemptID, Method, URI, Body string
-	// Header is its header.
+	// Header is the header of the request.
 	Header http.Header
-	// LastEvent is the last event that the sender had, or 0.
+	// LastEvent is the number of the last event that the sender has, or 0.
 	LastEvent int
-	// ReceivedAt is when it came, and Ended when the endpoint stopped working on it, zero while it works.
+	// ReceivedAt is the time of receipt. EndedAt is the time at which the endpoint stopped working
+	// on the request, zero while it works on it.
 	ReceivedAt, EndedAt time.Time
 }
 
-// Endpoint is a model runner or a plain service.
+// Endpoint is an engine or a plain service.
 type Endpoint struct {
-	// Instance is its name, and Born the Unix time of the start of this life in milliseconds, 0 if it does not tell.
+	// Instance is the endpoint's name. StartedMS is the Unix time of the start of this incarnation
+	// in milliseconds, or 0 if its entry does not state it.
 	Instance  string
 	StartedMS int64
-	// Events is the number of events of its streams; 0 makes it a plain service.
+	// Events is the number of events of a stream; 0 makes the endpoint a plain service.
 	Events int
-	// Pace is the time between events, and before the first; set it with SetPace once it runs.
+	// Pace is the time before each event, the first one included. Use SetPace to change it while
+	// the endpoint runs.
 	Pace time.Duration
-	// CrashText is a text that crashes the endpoint if the URI or the body of a request holds it, Delay after it began to run;
-	// empty for none. Answers says that it answers as usual until then; else it says nothing.
+	// A request whose URI or body contains CrashText crashes the endpoint CrashDelay after it began
+	// to run; empty means none. With AnswersBeforeCrash set, the endpoint answers as usual until
+	// then; otherwise it sends nothing.
 	CrashText          string
 	CrashDelay         time.Duration
 	AnswersBeforeCrash bool
-	// OnCrash is called when it has crashed, or nil.
+	// OnCrash is called after a crash; it may be nil.
 	OnCrash func()
-	// Proxy is what all connections to it go over, or nil; it is started with the endpoint.
+	// Proxy carries all connections to the endpoint. It is started with the endpoint; it may be
+	// nil.
 	Proxy *link.Proxy
-	// Address is where it is reached.
+	// Address is the address at which the endpoint is reached.
 	Address string
 
 	mu       sync.Mutex
@@ -104,7 +109,7 @@
 	crashed  bool
 }
 
-// Start listens on loopback.
+// Start listens on loopback and serves connections.
 func (e *Endpoint) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,48 +138,48 @@
 // Stop closes the listener.
 func (e *Endpoint) Stop() { _ = e.l.Close() }
 
-// SetFaults gives the faults of the next requests, in order.
+// SetFaults sets the faults of the next requests, in order.
 func (e *Endpoint) SetFaults(faults ...Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// SetPace changes the pace.
+// SetPace changes Pace while the endpoint runs.
 func (e *Endpoint) SetPace(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Pace = d
 }
 
-// currentPace is the pace in force.
+// currentPace returns Pace.
 func (e *Endpoint) currentPace() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Pace
 }
 
-// Runs returns the requests that ran.
+// Runs returns the requests that the endpoint ran so far.
 func (e *Endpoint) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Run(nil), e.runs...)
 }
 
-// InFlight tells how many requests it works on.
+// InFlight returns the number of requests that the endpoint works on.
 func (e *Endpoint) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.inFlight
 }
 
-// FaultQueue are faults of the next requests at any of several endpoints, in order.
+// FaultQueue holds faults that several endpoints share; their next requests take them in order.
 type FaultQueue struct {
 	mu   sync.Mutex
 	list []Fault
 }
 
-// take takes the next fault, or returns None.
+// take removes and returns the next fault, or None.
 func (f *FaultQueue) take() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,7 +191,8 @@
 	return n
 }
 
-// ShareFaults gives several endpoints the same faults: the next requests at any of them meet them.
+// ShareFaults gives several endpoints a common queue of faults for the next requests at any of
+// them.
 func ShareFaults(list []Fault, endpoints ...*Endpoint) {
 	f := &FaultQueue{list: list}
 	for _, e := range endpoints {
@@ -196,7 +202,7 @@
 	}
 }
 
-// nextFault takes the next fault.
+// nextFault removes and returns the fault of the next request. Shared faults come first.
 func (e *Endpoint) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +242,7 @@
 	}
 }
 
-// answer answers one request; it returns false if the connection is to be closed.
+// answer answers one request. It returns false if the connection must be closed.
 func (e *Endpoint) answer(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("Heathkeel-Attempt-Id")
 	if expected := r.Header.Get("Heathkeel-Expect-Instance"); expected != "" && expected != e.Instance {
@@ -292,13 +298,13 @@
 	return e.answerPlain(c, id, f, body)
 }
 
-// resetConn closes a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// responseHead starts an answer.
+// responseHead returns the status line and the first header fields of an answer.
 func (e *Endpoint) responseHead(id string, f Fault, status string) string {
 	h := "HTTP/1.1 " + status + "\r\nHeathkeel-Attempt-Id: " + id + "\r\n"
 	if f != NoStamp {
@@ -310,7 +316,7 @@
 	return h
 }
 
-// answerPlain answers with a body that names the request.
+// answerPlain sends an answer whose body names the request.
 func (e *Endpoint) answerPlain(c net.Conn, id string, f Fault, body string) bool {
 	status := "200 OK"
 	if f == Error {
@@ -340,10 +346,10 @@
 	return f != Closing
 }
 
-// EventText is the event with a number.
+// EventText returns the text of event n of a stream.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n) }
 
-// answerStream answers with events.
+// answerStream sends the events after lastEvent.
 func (e *Endpoint) answerStream(c net.Conn, id string, f Fault, lastEvent int) bool {
 	fmt.Fprint(c, e.responseHead(id, f, "200 OK")+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	chunk := func(s string) error {
@@ -377,7 +383,7 @@
 	return err == nil && f != Closing
 }
 
-// StreamBody is the whole body of a stream of n events.
+// StreamBody returns the complete body of a stream of n events.
 func StreamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
--- a/internal/site/late_crash_test.go
+++ b/internal/site/late_crash_test.go
@@ -16,23 +16,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestLateCrashingRequest tells the rest of the story of TestCrashingRequest. What users saw: a request that runs for a while before its
-// endpoint ends came again and again, and ended 7 to 10 endpoints; 5 and 7 sends reached endpoints later than the contact time after the third,
-// where three are allowed. Order of events: each end is seen by the host that had the request, and told to all; the verdict asks how unlikely the ends
-// are by chance, and an end after 1.5 s, where others end each second, says little. Cause: evidence that is weighed has no bound on what it
-// takes. Evidence: the hosts log each end with the surprise of all; sends go on while it is below the threshold, and no end is missing.
+// TestLateCrashingRequest guards against a request that crashes its endpoint only after it has run
+// for a while. A crash after 1.5 s proves little while other endpoints crash each second by chance,
+// so the surprisal of the crashes stays below the threshold and the request is sent on: 5 and 7
+// endpoints got such requests later than the contact time after the third crash, where three are
+// allowed, and 7 to 10 crashed. The number of sends must be limited even while the evidence is
+// weak.
 //
-// Three callers repeat such requests at all hosts in turn, long enough apart that each try after the third end is beyond the contact time. Others go on all the while.
+// Three callers repeat such requests at all hosts in turn. Their interval is more than half the
+// contact time, so that sends continue beyond it after the third crash. Other callers send requests
+// all the while.
 func TestLateCrashingRequest(t *testing.T) {
 	cases := []struct {
 		name          string
 		path          string
 		crashDelay    time.Duration
-		crashInterval time.Duration // time between the ends of other endpoints, 0 for none
+		crashInterval time.Duration // between crashes of other endpoints, 0 for none
 		span          time.Duration
 	}{
-		{"a stream that may not go on elsewhere, others end each second", "/draft/a", 1500 * time.Millisecond, time.Second, 30 * time.Second},
-		{"a stream that may go on elsewhere, others end each second", "/review/a", 800 * time.Millisecond, time.Second, 20 * time.Second},
+		{"a stream that may not go on elsewhere, others crash each second", "/draft/a", 1500 * time.Millisecond, time.Second, 30 * time.Second},
+		{"a stream that may go on elsewhere, others crash each second", "/review/a", 800 * time.Millisecond, time.Second, 20 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +59,7 @@
 			for g := range crashingCallers {
 				runs := f.sortedRuns(crashingBody(g))
 				late := countLateRuns(runs)
-				t.Logf("request %d reached %d endpoints, %d of them later than the contact time after the third end", g, len(runs), late)
+				t.Logf("request %d reached %d endpoints, %d of them later than the contact time after the third crash", g, len(runs), late)
 				must.LessEq(t, maxLateSends, late)
 			}
 			t.Logf("%d of %d other requests were served", served.Load(), sent.Load())
@@ -64,13 +67,13 @@
 	}
 }
 
-// crashingCallers is the number of callers with a request of their own that crashes endpoints.
+// crashingCallers is the number of callers that each have a request which crashes endpoints.
 const crashingCallers = 3
 
-// crashingBody is the request of one of them.
+// crashingBody returns the body of the request of caller g.
 func crashingBody(g int) string { return fmt.Sprint(crashText, " of caller ", g, ".") }
 
-// repeatRequest sends a caller's request again and again, at the hosts in turn, until it is stopped.
+// repeatRequest sends the request of caller g to the hosts in turn until stop is closed.
 func (f *crashingSite) repeatRequest(g int, path string, stop chan struct{}) {
 	for n := g; ; n++ {
 		Do(f.hosts[n%len(f.hosts)].Boot.Front, Call{Path: path, Key: Key, ID: fmt.Sprintf("guilty-%d-%d", g, n), Body: crashingBody(g)})
@@ -82,7 +85,7 @@
 	}
 }
 
-// crashOthers ends an endpoint at each interval, in turn, until it is stopped.
+// crashOthers crashes the oldest endpoint at each interval until stop is closed.
 func (f *crashingSite) crashOthers(interval time.Duration, stop chan struct{}) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -96,7 +99,8 @@
 	}
 }
 
-// sortedRuns gives the runs of a request at all endpoints, in order.
+// sortedRuns returns the runs, at all endpoints, of requests whose body contains text, in the order
+// of receipt.
 func (f *crashingSite) sortedRuns(text string) []Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +116,8 @@
 	return out
 }
 
-// countLateRuns counts the runs that came later than the contact time after the third endpoint had ended under a request.
+// countLateRuns counts the runs that began later than the contact time after the third endpoint had
+// crashed under a request.
 func countLateRuns(runs []Run) int {
 	crashTimes := make([]time.Time, len(runs))
 	for i := range runs {
--- a/internal/site/leave_test.go
+++ b/internal/site/leave_test.go
@@ -18,7 +18,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// readCounters reads a host's counters of requests, and how many it holds.
+// readCounters reads a host's request counters and the number of requests that it holds.
 func (s *testSite) readCounters(t *testing.T, h *Host) (requests map[string]int64, active int64) {
 	t.Helper()
 	resp, err := http.Get("http://" + h.Boot.Control + "/debug/vars")
@@ -34,25 +34,27 @@
 	return v.Edge.Requests, v.Edge.Active
 }
 
-// startWithLongTimeouts is a scene with one host, whose grace and routes' time-outs are far beyond what
-// a test waits, so that nothing but a caller's leaving ends a send that hangs.
+// startWithLongTimeouts starts a site with one host. The grace period and the timeouts of the
+// routes are far longer than any wait of a test, so that only the caller's disconnect ends a send
+// that hangs.
 func startWithLongTimeouts(t *testing.T) (*testSite, *Host) {
 	s := startTestSiteWith(t, 1, func(s *Site) { s.GracePeriod = time.Hour })
 	h := s.Hosts[0]
 	c := Example()
 	c.Version, c.Tenants[0].Keys = 2, []string{"new-key"}
 	for i := range c.Routes {
-		// Nor is any endpoint given up for its silence.
+		// Long objectives also keep the host from giving up an endpoint that is silent.
 		c.Routes[i].TimeoutMs, c.Routes[i].SloMs, c.Routes[i].GapSloMs = 3600_000, 3600_000, 3600_000
 	}
 	s.Store.Put(platform.KeyConfig, c)
-	s.await(t, "the new time-outs", func() bool {
+	s.await(t, "the new timeouts are applied", func() bool {
 		return Do(h.Boot.Front, Call{Path: "/ask/a", Key: "new-key", ID: "warm-3"}).Status == 200
 	})
 	return s, h
 }
 
-// openRequest opens a connection and sends a request, of whose body only a part may come.
+// openRequest opens a connection and sends a request. The body may be shorter than the length it
+// states.
 func openRequest(t *testing.T, h *Host, path, body string, length int) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", h.Boot.Front)
@@ -62,8 +64,8 @@
 	return conn
 }
 
-// TestCallerLeaves checks that endpoints stop when callers close their connections, whatever
-// state their request is in.
+// TestCallerLeaves checks that endpoints stop working on a request when the caller closes its
+// connection, whatever state the request is in.
 func TestCallerLeaves(t *testing.T) {
 	s, h := startWithLongTimeouts(t)
 	cases := []struct {
@@ -71,8 +73,8 @@
 		fault            Fault
 	}{
 		{"a request that may not run again", "/push/a", "b", Hang},
-		{"one that may", "/ask/a", "b", Hang},
-		{"a public one", "/open/a", "", Hang},
+		{"a request that may run again", "/ask/a", "b", Hang},
+		{"a public request", "/open/a", "", Hang},
 		{"a stream before its first event", "/draft/a", "b", Hang},
 		{"a stream under way", "/draft/a", "b", HangEvent},
 		{"a stream that may go on elsewhere", "/review/a", "b", HangEvent},
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestCallerLeavesMidBody checks that a caller that leaves while its body comes in costs
-// nothing afterwards, and that no endpoint hears of it.
+// TestCallerLeavesMidBody checks that the host holds nothing for a caller that disconnects while it
+// sends its body, and that no endpoint gets the request.
 func TestCallerLeavesMidBody(t *testing.T) {
 	s, h := startWithLongTimeouts(t)
 	runs := len(s.plain[0].Runs()) + len(s.plain[1].Runs())
@@ -112,8 +114,8 @@
 	must.EqOp(t, runs, len(s.plain[0].Runs())+len(s.plain[1].Runs()))
 }
 
-// TestCallerLeavesStoppingHost checks that a host which is stopping ends at once when the last
-// caller that it waits for has left.
+// TestCallerLeavesStoppingHost checks that a stopping host ends at once when the last caller that
+// it waits for has disconnected.
 func TestCallerLeavesStoppingHost(t *testing.T) {
 	s, h := startWithLongTimeouts(t)
 	s.setFaults(Hang, 9)
--- a/internal/site/life_test.go
+++ b/internal/site/life_test.go
@@ -21,8 +21,9 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestRevocation checks that a withdrawn key stops working, also at a host that
-// the store turns away, which learns of it from a peer or trusts its settings no more.
+// TestRevocation checks that a withdrawn key stops working, also at a host whose calls the store
+// refuses: it learns of the change from a peer, or stops accepting keys once its settings are too
+// old.
 func TestRevocation(t *testing.T) {
 	s := startTestSite(t, 2)
 	c := Example()
@@ -48,8 +49,8 @@
 	})
 }
 
-// TestLenientRevocation checks that without strict revocation a host that hears nothing of
-// the settings any more goes on with the keys that it knows, and refuses none as unknown.
+// TestLenientRevocation checks that, without strict revocation, a host whose settings are no longer
+// updated continues to accept the keys that it knows, and does not refuse a key as unknown.
 func TestLenientRevocation(t *testing.T) {
 	s := startTestSiteWith(t, 1, func(s *Site) { s.Lenient = true })
 	front := s.Hosts[0].Boot.Front
@@ -57,21 +58,21 @@
 	s.await(t, "settings are old", func() bool {
 		return Do(front, Call{Path: "/ask/a", Key: "unknown", ID: "r"}).Status == 503
 	})
-	time.Sleep(4 * time.Second) // a strict host takes no key from an age of 3 s on
+	time.Sleep(4 * time.Second) // a strict host accepts no key with settings older than 3 s
 	must.EqOp(t, 200, s.doWithRetry(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "r"}).Status)
 	must.EqOp(t, 503, Do(front, Call{Path: "/ask/a", Key: "unknown", ID: "r"}).Status)
 	s.Store.SetFault(StoreFault{})
-	s.await(t, "unknown keys are told again", func() bool {
+	s.await(t, "unknown keys are refused with 401 again", func() bool {
 		return Do(front, Call{Path: "/ask/a", Key: "unknown", ID: "r"}).Status == 401
 	})
 }
 
-// TestEndpointLeaves checks that a leaving endpoint gets no more work.
+// TestEndpointLeaves checks that a draining endpoint gets no more requests.
 func TestEndpointLeaves(t *testing.T) {
 	s := startTestSite(t, 1)
 	e := s.plain[0]
 	s.PutEntry(Plain, e, "draining")
-	s.await(t, "all goes to the other", func() bool {
+	s.await(t, "the other endpoint gets all requests", func() bool {
 		before := len(e.Runs())
 		for i := range 10 {
 			Do(s.Hosts[0].Boot.Front, Call{Path: "/ask/a", Key: Key, ID: fmt.Sprint("l", i)})
@@ -80,13 +81,14 @@
 	})
 }
 
-// TestReusedAddress checks that another instance at an endpoint's address runs nothing.
+// TestReusedAddress checks that an endpoint runs no request that was meant for another instance at
+// the same address.
 func TestReusedAddress(t *testing.T) {
 	s := startTestSite(t, 1)
 	for i := range 2 {
 		s.PutEntry(Plain, &Endpoint{Instance: fmt.Sprint("old-", i), Address: s.engines[i].Address}, "ready")
 	}
-	time.Sleep(time.Second) // let the host read the entries; whether it has does not decide the verdict
+	time.Sleep(time.Second) // lets the host read the entries; the checks below hold either way
 	for i := range 40 {
 		a := Do(s.Hosts[0].Boot.Front, Call{Path: "/ask/a", Key: Key, ID: fmt.Sprint("reuse-", i)})
 		must.True(t, a.Status == 200 || a.Status == 503)
@@ -98,12 +100,12 @@
 	}
 }
 
-// TestPlannedStop sends SIGTERM under load: no request is cut, the host leaves the
-// address answers of its peer at once and says that it is not ready.
+// TestPlannedStop sends SIGTERM under load. No request may be cut, and the host must report at once
+// that it is not ready and disappear from the other host's address answers.
 func TestPlannedStop(t *testing.T) {
 	s := startTestSite(t, 2)
 	h, other := s.Hosts[0], s.Hosts[1]
-	s.await(t, "both in the answer", func() bool {
+	s.await(t, "both hosts are in the address answer", func() bool {
 		list, err := s.Resolve(other)
 		return err == nil && len(list) == 2
 	})
@@ -116,17 +118,17 @@
 		go func() {
 			c := Call{Path: "/draft/a", Key: Key, ID: fmt.Sprint("stop-", i), Body: "b", Tokens: "10,30"}
 			a := Do(h.Boot.Front, c)
-			for a.Status == 503 && !stopping.Load() { // refused before the stop: all are to run at once
+			for a.Status == 503 && !stopping.Load() { // refused before the stop; all eight must run at once
 				time.Sleep(50 * time.Millisecond)
 				a = Do(h.Boot.Front, c)
 			}
 			running <- a
 		}()
 	}
-	s.await(t, "they run", func() bool { return s.engines[0].InFlight()+s.engines[1].InFlight() == 8 })
+	s.await(t, "all eight requests run", func() bool { return s.engines[0].InFlight()+s.engines[1].InFlight() == 8 })
 	stopping.Store(true)
 	h.Signals <- syscall.SIGTERM
-	s.await(t, "not ready", func() bool {
+	s.await(t, "the host reports that it is not ready", func() bool {
 		resp, err := http.Get("http://" + h.Boot.Ready + platform.PathReady)
 		if err != nil {
 			return true
@@ -134,7 +136,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == 503
 	})
-	s.await(t, "out of the answer", func() bool {
+	s.await(t, "the stopping host is out of the address answer", func() bool {
 		list, err := s.Resolve(other)
 		return err == nil && len(list) == 1 && list[0] == other.Boot.Front
 	})
@@ -148,7 +150,7 @@
 	<-h.Done
 }
 
-// TestReload changes a host's settings file, with a signal and without, and breaks it.
+// TestReload changes a host's settings file with SIGHUP and without, and writes an invalid value.
 func TestReload(t *testing.T) {
 	s := startTestSite(t, 1)
 	path := filepath.Join(t.TempDir(), "boot.conf")
@@ -167,14 +169,14 @@
 	h, err := s.Restart(&Host{Boot: boot, Path: path})
 	must.NoError(t, err)
 	status := func() int { return Do(h.Boot.Front, Call{Path: "/ask/a", Key: Key, ID: "h"}).Status }
-	s.await(t, "it serves", func() bool { return status() == 200 })
+	s.await(t, "the host serves requests", func() bool { return status() == 200 })
 	write("Timing.RevokeMs=1\n")
 	h.Signals <- syscall.SIGHUP
-	s.await(t, "the new bound holds", func() bool { return status() == 503 })
+	s.await(t, "the new limit is applied", func() bool { return status() == 503 })
 	write("Timing.RevokeMs=5000\n")
-	// One answer is not enough: settings that were proven in the last 0.6 ms are young enough
-	// even for the old bound.
-	s.await(t, "a silent change holds", func() bool {
+	// One answer is not enough: settings that were confirmed in the last 0.6 ms are young enough
+	// even for the former limit.
+	s.await(t, "a change without a signal is applied", func() bool {
 		for range 20 {
 			if status() != 200 {
 				return false
@@ -189,7 +191,7 @@
 	must.EqOp(t, 200, status())
 }
 
-// TestVars reads the figures of a host.
+// TestVars reads a host's published variables.
 func TestVars(t *testing.T) {
 	s := startTestSite(t, 1)
 	resp, err := http.Get("http://" + s.Hosts[0].Boot.Control + "/debug/vars")
@@ -208,7 +210,8 @@
 	must.Greater(t, 1, len(v.Edge.Series))
 }
 
-// TestStoreFaults checks that traffic goes on, and that the store is not hammered.
+// TestStoreFaults checks that public requests are served during faults of the store, and that the
+// host limits its calls to the store.
 func TestStoreFaults(t *testing.T) {
 	s := startTestSite(t, 1)
 	faults := []StoreFault{{Status: 503}, {Status: 429}, {Reset: true}, {Hang: time.Minute}, {Delay: 300 * time.Millisecond}, {LoseAnswer: true}}
@@ -228,7 +231,7 @@
 	}
 }
 
-// TestConfigurationRefused checks that a broken document changes nothing.
+// TestConfigurationRefused checks that an invalid configuration document changes nothing.
 func TestConfigurationRefused(t *testing.T) {
 	s := startTestSite(t, 1)
 	c := Example()
@@ -239,8 +242,8 @@
 	must.EqOp(t, 200, s.doWithRetry(t, s.Hosts[0], Call{Path: "/ask/a", Key: Key, ID: "c"}).Status)
 }
 
-// TestStartInOutage starts a host while the store answers nobody: it learns settings and
-// endpoints from another host and serves.
+// TestStartInOutage starts a host while the store refuses all calls. The host must get settings and
+// endpoints from another host and serve requests.
 func TestStartInOutage(t *testing.T) {
 	s := startTestSiteWith(t, 1, func(s *Site) { s.Lenient = true })
 	s.Store.SetFault(StoreFault{Status: 503})
--- a/internal/site/mutated_test.go
+++ b/internal/site/mutated_test.go
@@ -18,7 +18,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fragments are what mutations put into requests.
+// fragments are inserted into requests by mutate.
 var fragments = []string{
 	"\r\n", "\n", "\r", "\x00", " ", ":", ",", ";", "%00", "%2e%2e/", "//", "?", "#", "\t",
 	"Content-Length: 3\r\n", "Content-Length: -1\r\n", "Content-Length: 99999999999999999999\r\n",
@@ -30,14 +30,14 @@
 	"Heathkeel-Length-Hint: x\r\n", "Authorization: Token \r\n", "HTTP/1.0", "HTTP/9.9",
 }
 
-// mutate changes a request in some places.
+// mutate changes a request at one to three places.
 func mutate(r *rand.Rand, b []byte) []byte {
 	for range 1 + r.IntN(3) {
 		i := r.IntN(len(b))
 		switch r.IntN(5) {
 		case 0:
 			b = append(append(bytes.Clone(b[:i]), fragments[r.IntN(len(fragments))]...), b[i:]...)
-		case 1: // a line of its own in the header
+		case 1: // as a line of the header
 			if end := bytes.Index(b, []byte("\r\n")); end >= 0 {
 				fragment := fragments[r.IntN(len(fragments))]
 				b = append(append(bytes.Clone(b[:end+2]), fragment...), b[end+2:]...)
@@ -58,9 +58,9 @@
 	return b
 }
 
-// TestMutatedRequests sends requests with random damage, always the same ones, and
-// checks that whatever an endpoint ran stood in what a caller sent, with its name, and
-// that the host answers with no status but those of the pages.
+// TestMutatedRequests sends randomly damaged requests from a fixed seed. Whatever an endpoint ran
+// must be contained, with its ID, in what a caller sent, and hosts must answer with the documented
+// statuses only.
 func TestMutatedRequests(t *testing.T) {
 	s := startTestSite(t, 1)
 	r := rand.New(rand.NewPCG(7, 7))
--- a/internal/site/records_test.go
+++ b/internal/site/records_test.go
@@ -17,7 +17,8 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// restartAll kills all hosts at one moment, and waits until all that are started in their places serve.
+// restartAll kills all hosts at the same moment, restarts them, and waits until they serve
+// requests.
 func (f *crashingSite) restartAll(t *testing.T) {
 	t.Helper()
 	for _, h := range f.hosts {
@@ -32,8 +33,9 @@
 	f.awaitServing(t)
 }
 
-// TestHoldsSurviveRestartOfAllHosts kills all hosts at one moment after a request was held: they find the hold in the store when they start, and the request
-// reaches no endpoint again. Released, it runs, and its record is gone.
+// TestHoldsSurviveRestartOfAllHosts kills all hosts at the same moment after a request was held. On
+// start they must read the hold from the store, so that the request reaches no endpoint again.
+// After its release the request runs, and its record is removed.
 func TestHoldsSurviveRestartOfAllHosts(t *testing.T) {
 	f := newCrashingSite(t, 3, Engines)
 	ts := &testSite{Site: f.Site}
@@ -42,7 +44,7 @@
 		n++
 		return Do(f.hosts[n%len(f.hosts)].Boot.Front, Call{Path: "/draft/a", Key: Key, ID: fmt.Sprint("t-", n), Body: crashText})
 	}
-	ts.await(t, "it is held and that is kept", func() bool {
+	ts.await(t, "the request is held and recorded in the store", func() bool {
 		refused := 0
 		for range f.hosts {
 			if send().Status == 503 {
@@ -70,15 +72,16 @@
 		resp.Body.Close()
 		must.EqOp(t, want, resp.StatusCode)
 	}
-	ts.await(t, "the record is gone", func() bool { return !f.Site.Store.HasPrefix(platform.PrefixRecords) })
+	ts.await(t, "the record is removed", func() bool { return !f.Site.Store.HasPrefix(platform.PrefixRecords) })
 	ts.await(t, "it runs again", func() bool {
 		send()
 		return f.CountRuns(crashText) > runsBefore
 	})
 }
 
-// TestTrialsSurviveRestartOfAllHosts kills all hosts at one moment after three endpoints have ended under a request, and again after each further send of it: it
-// gets three in all.
+// TestTrialsSurviveRestartOfAllHosts kills all hosts at the same moment after three endpoints have
+// crashed under a request, and again before each further send of it. The request must get three
+// further sends in all.
 func TestTrialsSurviveRestartOfAllHosts(t *testing.T) {
 	f := newCrashingSiteWith(t, crashingSiteOptions{
 		hosts: 3, endpoints: 12, service: Engines, events: 60, pace: 10 * time.Millisecond, crashDelay: 300 * time.Millisecond, restartDelay: 300 * time.Millisecond, answersBeforeCrash: true,
@@ -92,7 +95,7 @@
 		send()
 	}
 	must.EqOp(t, 3, f.CountRuns(crashText))
-	(&testSite{Site: f.Site}).await(t, "it is kept", func() bool { return f.Site.Store.HasPrefix(platform.PrefixRecords) })
+	(&testSite{Site: f.Site}).await(t, "the crashes are recorded in the store", func() bool { return f.Site.Store.HasPrefix(platform.PrefixRecords) })
 	for range 5 {
 		f.restartAll(t)
 		send()
--- a/internal/site/silent_test.go
+++ b/internal/site/silent_test.go
@@ -15,8 +15,8 @@
 	"github.com/heathkeel/heathkeel/outcome"
 )
 
-// TestSilentEndpoint lets the connections to the only endpoint of a service fall silent: the first
-// request that is sent over one of them finds out, and no other one meets the rest of them.
+// TestSilentEndpoint silences the open connections to the only endpoint of a service. The first
+// request sent over one of them detects that; no other request may use the rest of them.
 func TestSilentEndpoint(t *testing.T) {
 	var out logBuffer
 	s := startTestSiteWith(t, 1, func(s *Site) {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -24,30 +24,31 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Host is a host of heathkeel and what ends it.
+// Host is one run of a heathkeel host within this process.
 type Host struct {
-	// Boot is its settings, and Path the file that they are read from again, or empty.
+	// Boot holds the host's settings. Path is the file that they are reloaded from; empty means
+	// none.
 	Boot platform.Boot
 	Path string
-	// Signals are what it is told.
+	// Signals delivers signals to the host.
 	Signals chan os.Signal
-	// Done is closed when it has ended.
+	// Done is closed when the host has ended.
 	Done chan struct{}
-	// StoreProxy is what its connections to the store go over.
+	// StoreProxy is the proxy that carries the host's connections to the store.
 	StoreProxy *link.Proxy
 
 	cancel    context.CancelFunc
-	suspended atomic.Int64 // for how long it has been suspended, in nanoseconds
+	suspended atomic.Int64 // total time of suspension, in nanoseconds
 }
 
-// Suspend lets the host's clock go on by a time that its process does not see, as a suspension does. What happens in the world meanwhile
-// is the caller's to do.
+// Suspend advances the host's clock by a time in which its process does not run, as a suspension
+// does. The caller makes the changes that happen elsewhere in that time.
 func (h *Host) Suspend(d time.Duration) { h.suspended.Add(int64(d)) }
 
-// SuspendedTime is for how long the host has been suspended in its life.
+// SuspendedTime returns the total time for which the host has been suspended.
 func (h *Host) SuspendedTime() time.Duration { return time.Duration(h.suspended.Load()) }
 
-// StallStore keeps the host from hearing the store, or lets it hear again.
+// StallStore stalls the traffic between the host and the store in both directions while on is true.
 func (h *Host) StallStore(on bool) {
 	h.StoreProxy.Stall(link.Upstream, on)
 	h.StoreProxy.Stall(link.Downstream, on)
@@ -56,22 +57,23 @@
 // Kill ends the host at once.
 func (h *Host) Kill() { h.cancel() }
 
-// Site is a store, endpoints and hosts.
+// Site holds a store, endpoints and hosts.
 type Site struct {
-	// Log takes the hosts' logs, with a line for every request if Trace is set.
+	// Log receives the hosts' logs. With Trace set, hosts log a line for every request.
 	Log   logr.Logger
 	Trace bool
-	// Lenient starts hosts that take keys whatever the age of their settings.
+	// Lenient starts hosts without strict revocation: they accept keys however old their settings
+	// are.
 	Lenient bool
-	// GracePeriod is the hosts' time from SIGTERM to their end; 0 is 8 s.
+	// GracePeriod is the time that hosts have from SIGTERM until they end; 0 means 8 s.
 	GracePeriod time.Duration
-	// ProxyEndpoints puts a link before each endpoint of the scene.
+	// ProxyEndpoints makes AddExampleEndpoints put a proxy in front of each endpoint.
 	ProxyEndpoints bool
 	// Store is the platform's store.
 	Store *Store
-	// StoreAddress is where it listens.
+	// StoreAddress is the address at which the store listens.
 	StoreAddress string
-	// Hosts are those started.
+	// Hosts lists all host runs in the order of their start, ended ones included.
 	Hosts []*Host
 
 	server   *http.Server
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// Stop ends all.
+// Stop ends all hosts and the store.
 func (s *Site) Stop() {
 	for _, h := range s.Hosts {
 		h.Kill()
@@ -103,7 +105,7 @@
 	_ = s.server.Close()
 }
 
-// freePort returns a port that is free on an address.
+// freePort returns a port that is free at an IP address.
 func freePort(ip string) (int, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -113,8 +115,8 @@
 	return l.Addr().(*net.TCPAddr).Port, nil
 }
 
-// AddHost starts a host on an address of its own. As on the platform, all hosts use
-// the same ports.
+// AddHost starts a host at an IP address of its own. As on the platform, all hosts use the same
+// ports.
 func (s *Site) AddHost() (*Host, error) {
 	n := len(s.Hosts) + 1
 	ip := fmt.Sprintf("127.0.0.%d", 10+n)
@@ -144,7 +146,8 @@
 	return s.Restart(&Host{Boot: b, StoreProxy: storeLink})
 }
 
-// AddExampleEndpoints starts two plain services and two engines with short streams.
+// AddExampleEndpoints starts two plain services, and two engines whose streams have the given
+// number of events, pace apart.
 func (s *Site) AddExampleEndpoints(events int, pace time.Duration) (plain, engines [2]*Endpoint, err error) {
 	for i := range 2 {
 		plain[i] = &Endpoint{Instance: fmt.Sprintf("p-%d", i)}
@@ -162,8 +165,8 @@
 	return plain, engines, nil
 }
 
-// waitAddressesFree waits until nothing listens at a host's addresses: what a life in this process that was killed had open is closed a moment later, where the end of a
-// process closes all at once.
+// waitAddressesFree waits until nothing listens at a host's addresses. The end of a process closes
+// its sockets at once, but a host that is killed within this process closes them a moment later.
 func waitAddressesFree(b *platform.Boot) {
 	peerAddress := fmt.Sprintf("%s:%d", b.IP, b.PeerPort)
 	for range 200 {
@@ -188,7 +191,8 @@
 	}
 }
 
-// Restart starts a host, or one that ended, with its settings.
+// Restart starts a host with the settings of h, which has not run yet or has ended, and waits until
+// it is ready.
 func (s *Site) Restart(h *Host) (*Host, error) {
 	waitAddressesFree(&h.Boot)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -204,7 +208,7 @@
 	for range 200 {
 		select {
 		case err := <-runErr:
-			return nil, eris.Wrap(err, "host ended")
+			return nil, eris.Wrap(err, "host ended before it was ready")
 		case <-time.After(25 * time.Millisecond):
 		}
 		resp, err := http.Get("http://" + restarted.Boot.Ready + platform.PathReady)
@@ -216,10 +220,10 @@
 			return restarted, nil
 		}
 	}
-	return nil, eris.New("host is not ready; look at its log")
+	return nil, eris.New("host did not become ready within 200 checks; see its log")
 }
 
-// AddEndpoint starts an endpoint and writes its entry.
+// AddEndpoint starts an endpoint and writes its entry to the store.
 func (s *Site) AddEndpoint(service string, e *Endpoint) error {
 	if err := e.Start(); err != nil {
 		return err
@@ -228,23 +232,23 @@
 	return nil
 }
 
-// PutEntry writes the entry of an endpoint in a state.
+// PutEntry writes an endpoint's entry with the given state to the store.
 func (s *Site) PutEntry(service string, e *Endpoint, state string) {
 	s.Store.Put(platform.PrefixEndpoints+e.Instance, EndpointEntry{
 		Service: service, Address: e.Address, Zone: "zone-1", Version: "v1", Slots: 8, State: state, StartedMS: e.StartedMS,
 	})
 }
 
-// EndpointEntry is an endpoint's entry in the store.
+// EndpointEntry is the entry of an endpoint in the store.
 type EndpointEntry struct {
 	Service, Address, Zone, State, Version string
 	Slots, Seq                             int
 	ColdLeftMs                             float64
-	// StartedMS is the Unix time of its start in milliseconds, 0 to leave it out.
+	// StartedMS is the Unix time of the endpoint's start in milliseconds; 0 omits it.
 	StartedMS int64 `json:"born,omitempty"`
 }
 
-// Resolve asks a host where callers may connect.
+// Resolve asks a host for the addresses to which callers may connect.
 func (s *Site) Resolve(h *Host) ([]string, error) {
 	resp, err := http.Get("http://" + h.Boot.Directory + platform.PathResolve + "?Name=x&Zone=zone-1")
 	if err != nil {
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -19,7 +19,7 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// streamEvents is the length of the endpoints' streams.
+// streamEvents is the number of events of the engines' streams.
 const streamEvents = 6
 
 // testSite is a site with two plain services and two engines.
@@ -28,13 +28,13 @@
 	plain, engines [2]*Endpoint
 }
 
-// startTestSite starts a scene with n hosts.
+// startTestSite starts a testSite with n hosts.
 func startTestSite(t *testing.T, n int) *testSite {
 	t.Helper()
 	return startTestSiteWith(t, n, func(*Site) {})
 }
 
-// startTestSiteWith starts a scene whose site was prepared.
+// startTestSiteWith starts a testSite with n hosts after prepare has changed its Site.
 func startTestSiteWith(t *testing.T, n int, prepare func(*Site)) *testSite {
 	t.Helper()
 	s := &testSite{Site: &Site{Log: logr.Discard()}}
@@ -53,14 +53,14 @@
 		_, err := s.AddHost()
 		must.NoError(t, err)
 	}
-	s.await(t, "first answers", func() bool {
+	s.await(t, "the first host serves requests", func() bool {
 		return Do(s.Hosts[0].Boot.Front, Call{Path: "/ask/x", Key: Key, ID: "warm-1"}).Status == 200 &&
 			Do(s.Hosts[0].Boot.Front, Call{Path: "/draft/x", Key: Key, ID: "warm-2", Body: "b"}).Status == 200
 	})
 	return s
 }
 
-// await waits for a condition; how long it takes is not part of any verdict.
+// await waits up to 30 s until ok returns true. No test depends on how long that takes.
 func (s *testSite) await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 600 {
@@ -69,10 +69,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("%s: not within half a minute", what)
+	t.Fatalf("%s: not within 30 s", what)
 }
 
-// setFaults lets the next n requests, at whichever endpoint, meet a fault.
+// setFaults sets the fault of the next n requests, whichever endpoints they reach.
 func (s *testSite) setFaults(f Fault, n int) {
 	list := make([]Fault, n)
 	for i := range list {
@@ -94,16 +94,16 @@
 	return n
 }
 
-// TestEndpointFaults sends one request of each kind while every endpoint's next
-// request meets a fault, and holds the answer against what may be told.
+// TestEndpointFaults sends one request of each kind while the next requests at all endpoints meet a
+// fault, and checks the answer against what callers may be told.
 func TestEndpointFaults(t *testing.T) {
 	s := startTestSite(t, 1)
-	const cut = -1 // the connection closes before the answer is whole
+	const cut = -1 // the connection closes before the answer is complete
 	cases := []struct {
 		fault Fault
-		times int // how many requests meet it
+		times int // number of requests that meet the fault
 		path  string
-		// status is wanted, with mostRuns runs at most.
+		// status is the expected status, and maxRuns the limit of runs.
 		status, maxRuns int
 	}{
 		{None, 1, "/push/a", 200, 1}, {None, 1, "/ask/a", 200, 1}, {None, 1, "/draft/a", 200, 1}, {None, 1, "/review/a", 200, 1},
@@ -151,25 +151,25 @@
 				}
 			}
 			if a.Status == 503 {
-				must.EqOp(t, 0, runs) // the promise
+				must.EqOp(t, 0, runs) // 503 promises that the request has not run
 				must.NotEq(t, "", a.Header.Get("Retry-After"))
 			}
-			// What the fault left behind must not reach the next request.
+			// Nothing that the fault left behind may reach the next request.
 			after := Do(s.Hosts[0].Boot.Front, Call{Path: "/ask/b", Key: Key, ID: id + "-after", Body: "b"})
 			must.EqOp(t, "ran "+id+"-after with b", after.Body)
 		})
 	}
 }
 
-// TestSmuggling sends requests that no honest caller sends, as bytes, and checks
-// that none of them runs anywhere in another form than the first line says.
+// TestSmuggling sends malformed or ambiguous requests as raw bytes and checks that the request
+// hidden in them runs at no endpoint.
 func TestSmuggling(t *testing.T) {
 	s := startTestSite(t, 1)
 	inner := "GET /open/hidden HTTP/1.1\r\nHost: " + HostName + "\r\nHeathkeel-Attempt-Id: hidden\r\n\r\n"
 	head := "POST /open/x HTTP/1.1\r\nHost: " + HostName + "\r\nHeathkeel-Attempt-Id: outer\r\n"
 	cases := []struct {
 		name, bytes string
-		statuses    []string // any of these; "" means that the connection closes without an answer
+		statuses    []string // accepted statuses; "" means that the connection closes without an answer
 	}{
 		{"two lengths", head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello" + inner, []string{"400"}},
 		{"length and chunks", head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", []string{"200", "400"}},
@@ -178,13 +178,13 @@
 		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + inner, []string{"400"}},
 		{"negative length", head + "Content-Length: -1\r\n\r\n", []string{"400"}},
 		{"space before the colon", head + "Content-Length : 5\r\n\r\nhello", []string{"400"}},
-		{"bare line feed in a value", head + "X-A: b\x00c\r\n\r\n", []string{"400"}},
+		{"NUL byte in a value", head + "X-A: b\x00c\r\n\r\n", []string{"400"}},
 		{"two hosts", "GET /open/x HTTP/1.1\r\nHost: a\r\nHost: " + HostName + "\r\n\r\n", []string{"400"}},
 		{"no host", "GET /open/x HTTP/1.1\r\nHeathkeel-Attempt-Id: outer\r\n\r\n", []string{"400"}},
 		{"two ids", head + "Heathkeel-Attempt-Id: hidden\r\n\r\n", []string{"400"}},
 		{"header too long", head + "X-Long: " + strings.Repeat("x", 40000) + "\r\n\r\n", []string{"431"}},
 		{"no request", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", []string{"400", ""}},
-		{"method with a line", "GET\r\nX /open/x HTTP/1.1\r\n\r\n", []string{"400"}},
+		{"line break after the method", "GET\r\nX /open/x HTTP/1.1\r\n\r\n", []string{"400"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -204,7 +204,7 @@
 	must.EqOp(t, 0, s.countRuns("hidden"))
 }
 
-// TestAdmission holds refusals before any decision against the pages.
+// TestAdmission checks the documented refusals that precede dispatch.
 func TestAdmission(t *testing.T) {
 	s := startTestSite(t, 1)
 	long := make([]byte, 100001)
@@ -241,7 +241,7 @@
 	}
 }
 
-// TestHeaders holds what an endpoint gets against the pages.
+// TestHeaders checks that an endpoint gets the documented header fields.
 func TestHeaders(t *testing.T) {
 	s := startTestSite(t, 1)
 	sent := http.Header{
@@ -269,7 +269,8 @@
 	must.NotEq(t, "", got.Header.Get("Heathkeel-Deadline-Ms"))
 }
 
-// TestRouteTimeout checks that an endpoint stops when the route's time-out has passed.
+// TestRouteTimeout checks that an endpoint stops working on a request when the route's timeout has
+// passed.
 func TestRouteTimeout(t *testing.T) {
 	s := startTestSite(t, 1)
 	s.setFaults(Hang, 9)
@@ -277,7 +278,7 @@
 	s.await(t, "the endpoint is free", s.idle)
 }
 
-// idle tells that no endpoint works on anything.
+// idle reports whether no endpoint works on a request.
 func (s *testSite) idle() bool {
 	n := 0
 	for i := range 2 {
@@ -286,9 +287,9 @@
 	return n == 0
 }
 
-// TestResumeFails lets a stream break off and the endpoint where it goes on answer
-// with something else than the rest of the stream: the caller must not take what it
-// got for the whole. Seen on litoral hunt-6dea-103 (ORDER).
+// TestResumeFails breaks a stream off and lets the endpoint that should resume it answer with
+// something other than the rest of the stream. The caller must not take what it got for the
+// complete stream.
 func TestResumeFails(t *testing.T) {
 	s := startTestSite(t, 1)
 	for _, second := range []Fault{Error, Full, NoStamp, Reset, InvalidAnswer} {
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -16,34 +16,35 @@
 	"github.com/gorilla/mux"
 )
 
-// StoreFault is a bad mood of the store.
+// StoreFault is a fault of the store. The zero value is none.
 type StoreFault struct {
-	// Status is what calls get instead of an answer; 0 is none.
+	// Status is sent in place of an answer; 0 means none.
 	Status int
-	// Hang calls get no answer for so long.
+	// Hang keeps calls waiting for this time and then closes their connections without an answer.
 	Hang time.Duration
-	// Reset closes connections without an answer.
+	// Reset closes connections at once without an answer.
 	Reset bool
-	// Delay delays each answer.
+	// Delay is added before each answer.
 	Delay time.Duration
-	// LoseAnswer does writes without answering them.
+	// LoseAnswer executes transactions and closes their connections without an answer.
 	LoseAnswer bool
 }
 
-// StoreItem is an item on the wire.
+// StoreItem is an item of the store on the wire.
 type StoreItem struct {
-	// TLSKey and Value are what was written.
+	// TLSKey is the key and Value the value that was written.
 	TLSKey string `json:"TlsKey"`
 	Value  []byte `json:",omitempty"`
-	// Revision is the last change, Made the creation and Lease what it hangs on.
+	// Revision is the revision of the last write and Created that of the first one. Lease is the ID
+	// of the lease with whose end the key is removed; 0 means none.
 	Revision uint64
 	Created  uint64 `json:"made,omitempty"`
 	Lease    uint64 `json:"lease,omitempty"`
-	// Removed says that the key was removed.
+	// Removed marks the removal of the key.
 	Removed bool `json:"gone,omitempty"`
 }
 
-// Store is the platform's store.
+// Store is a stand-in of the platform's store.
 type Store struct {
 	mu             sync.Mutex
 	items          map[string]StoreItem
@@ -56,7 +57,7 @@
 	calls          int
 }
 
-// storeLease is a lease and the moment it ends.
+// storeLease is a lease with its TTL and the time at which it expires.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
@@ -67,7 +68,7 @@
 	return &Store{items: make(map[string]StoreItem), leases: make(map[uint64]*storeLease), changed: make(chan struct{})}
 }
 
-// Handler speaks the store's protocol.
+// Handler returns a handler for the store's HTTP protocol.
 func (s *Store) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/-/kv-key", s.getKey).Methods(http.MethodGet)
@@ -84,7 +85,7 @@
 	})
 }
 
-// applyFault shows the fault in force; it returns false if the call is over.
+// applyFault applies the current fault to a call. It returns false if the call has been answered.
 func (s *Store) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.calls++
@@ -110,28 +111,28 @@
 	return true
 }
 
-// SetFault puts a fault in force.
+// SetFault sets the fault that applies to all calls from now on.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// DropHistory drops the history.
+// DropHistory drops the changes made so far, so that watches from older revisions get 410.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldestRevision = nil, s.revision
 }
 
-// Put writes a key as the operators and the endpoints do.
+// Put writes a key without a call, as operators and endpoints do.
 func (s *Store) Put(key string, value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -142,7 +143,7 @@
 	s.write(StoreItem{TLSKey: key, Value: b})
 }
 
-// HasPrefix tells whether there is a key below a prefix.
+// HasPrefix reports whether a key with the given prefix exists.
 func (s *Store) HasPrefix(prefix string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +156,7 @@
 	return false
 }
 
-// CountWrites counts the writes of keys below a prefix that the history holds.
+// CountWrites counts the changes in the history of keys with the given prefix.
 func (s *Store) CountWrites(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +176,7 @@
 	s.write(StoreItem{TLSKey: key, Removed: true})
 }
 
-// write makes one change; mu must be held.
+// write makes one change. The caller must hold mu.
 func (s *Store) write(it StoreItem) {
 	s.revision++
 	it.Revision = s.revision
@@ -193,7 +194,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that ran out; mu must be held.
+// expire removes expired leases. The caller must hold mu.
 func (s *Store) expire() {
 	for id, l := range s.leases {
 		if time.Now().After(l.expiresAt) {
@@ -202,7 +203,7 @@
 	}
 }
 
-// removeLease ends a lease and its keys; mu must be held.
+// removeLease removes a lease and its keys. The caller must hold mu.
 func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
 	for k, it := range s.items {
@@ -212,7 +213,7 @@
 	}
 }
 
-// storeAnswer is what reads answer.
+// storeAnswer is the answer to a read or a watch, and to a transaction whose condition failed.
 type storeAnswer struct {
 	Items  []StoreItem `json:",omitempty"`
 	More   bool        `json:"more"`
@@ -241,7 +242,7 @@
 	}{it, s.revision})
 }
 
-// maxPageItems is the most items of a page.
+// maxPageItems limits the items of an answer to a range read.
 const maxPageItems = 500
 
 func (s *Store) getRange(w http.ResponseWriter, r *http.Request) {
@@ -299,7 +300,7 @@
 	}
 }
 
-// txnBody is a transaction.
+// txnBody is the body of a transaction.
 type txnBody struct {
 	ExpectedRev []struct {
 		TLSKey   string `json:"TlsKey"`
@@ -354,7 +355,7 @@
 	reply(w, http.StatusOK, struct{ Revision uint64 }{s.revision})
 }
 
-// leaseBody is the body of lease calls and their answers.
+// leaseBody is the body of calls on leases and of their answers.
 type leaseBody struct {
 	Lease uint64 `json:"lease,omitempty"`
 	TTL   int64  `json:"ttl_ms,omitempty"`
--- a/internal/site/suspend_test.go
+++ b/internal/site/suspend_test.go
@@ -14,12 +14,14 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// suspensionTimes are the times for which hosts are suspended: less than any proof's life, about as long as one, and longer than all that a
-// host remembers.
+// suspensionTimes are the lengths of suspensions: shorter than the validity of any proof, about as
+// long, and longer than anything that a host remembers.
 var suspensionTimes = []time.Duration{300 * time.Millisecond, 2 * time.Second, 8 * time.Second, time.Minute}
 
-// TestSuspendedHostForgetsProofs suspends a host while a key is withdrawn and an endpoint leaves. The first request after it comes before the host
-// has heard anything: nothing runs on what was proven before. Once it hears, what is allowed is served and what is not is refused for good.
+// TestSuspendedHostForgetsProofs suspends a host while a key is withdrawn and endpoints leave.
+// Requests that arrive before the host has received anything after the suspension must not run on
+// what was confirmed before it. Once the host receives data again, it serves what is allowed and
+// refuses the withdrawn key.
 func TestSuspendedHostForgetsProofs(t *testing.T) {
 	for _, d := range suspensionTimes {
 		for _, path := range []string{"/ask/a", "/draft/a"} {
@@ -43,8 +45,8 @@
 				list, err := s.Resolve(h)
 				must.True(t, err != nil || len(list) == 0)
 				h.StallStore(false)
-				s.await(t, "the key is known to be withdrawn", func() bool { return Do(h.Boot.Front, Call{Path: path, Key: Key, ID: "late", Body: "b"}).Status == 401 })
-				s.await(t, "the new one works", func() bool {
+				s.await(t, "the withdrawn key is refused", func() bool { return Do(h.Boot.Front, Call{Path: path, Key: Key, ID: "late", Body: "b"}).Status == 401 })
+				s.await(t, "the new key works", func() bool {
 					return Do(h.Boot.Front, Call{Path: path, Key: "new-key", ID: "new", Body: "b"}).Status == 200
 				})
 				before := len(s.plain[0].Runs()) + len(s.engines[0].Runs())
@@ -57,15 +59,16 @@
 	}
 }
 
-// TestSuspendedWhileRequestsWait suspends a host while requests wait for a place: those past their deadline are answered at once, with the truth, and none
-// that waited runs under a key that was withdrawn meanwhile.
+// TestSuspendedWhileRequestsWait suspends a host while requests wait for a slot. Requests past
+// their deadline must be answered at once and truthfully, and no waiting request may run under a
+// key that was withdrawn meanwhile.
 func TestSuspendedWhileRequestsWait(t *testing.T) {
 	s := startTestSite(t, 1)
 	h := s.Hosts[0]
 	for i := range 2 {
 		s.engines[i].SetPace(400 * time.Millisecond)
 	}
-	const n = 60 // the engines take 16, and some beyond
+	const n = 60 // the engines run 16 or a few more at once
 	answers := make(chan Answer, n)
 	for i := range n {
 		go func() {
@@ -91,9 +94,9 @@
 	}
 	elapsed := time.Since(resumedAt)
 	h.StallStore(false)
-	t.Logf("%d ran when the host was suspended; %d refused, %d cut or failed, the last %v after it woke", running, refused, cut, elapsed)
+	t.Logf("%d ran when the host was suspended; %d refused, %d cut or failed, the last %v after it resumed", running, refused, cut, elapsed)
 	must.EqOp(t, n, refused+cut)
-	must.Less(t, 2*time.Second, elapsed) // the deadlines by the host's steady clock are 5 s away
+	must.Less(t, 2*time.Second, elapsed) // by the host's steady clock the deadlines are 5 s away
 	ran := 0
 	for i := range n {
 		ran += s.countRuns(fmt.Sprint("w-", i))
--- a/internal/site/suspensions_test.go
+++ b/internal/site/suspensions_test.go
@@ -20,16 +20,17 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// revokeTime is the time for which a withdrawn key may be used, by the settings of a Site's hosts.
+// revokeTime is the time for which hosts of a Site may still accept a withdrawn key.
 const revokeTime = 5 * time.Second
 
-// suspension is one of a host.
+// suspension is a suspension of a host.
 type suspension struct {
 	start  time.Time
 	length time.Duration
 }
 
-// scenario plays random suspensions of hosts while keys are withdrawn, endpoints come and leave, and the store fails.
+// scenario suspends hosts at random while keys are withdrawn, endpoints come and leave, and the
+// store fails.
 type scenario struct {
 	*Site
 	rand      *rand.Rand
@@ -39,26 +40,27 @@
 	mu          sync.Mutex
 	config      Config
 	keyNumber   int
-	withdrawn   map[string]time.Time // by key
-	removed     map[string]bool      // endpoints whose entry is gone
+	withdrawn   map[string]time.Time // time of withdrawal, by key
+	removed     map[string]bool      // endpoints whose entry was removed
 	endpoints   []*Endpoint
 	suspensions [][]suspension // by host
 	sent        map[string]sentRequest
 	violations  []string
 }
 
-// sentRequest is a request as a caller sent it.
+// sentRequest is a request that a caller sent and its answer.
 type sentRequest struct {
 	host   int
 	key    string
 	answer Answer
 }
 
-// maxTransit is the time that a request may take from the last look of its host to the endpoint: a suspension in that time is seen by nobody
-// before the request is there.
+// maxTransit is the longest time that a request takes from its host's last check to the endpoint. A
+// suspension in that time is detected only after the request has arrived.
 const maxTransit = 20 * time.Millisecond
 
-// hostTime gives a host's time, without suspensions of the last moment.
+// hostTime returns the time since the start by a host's clock, which counts suspensions, except
+// those that began within maxTransit before at.
 func (h *scenario) hostTime(host int, at time.Time) time.Duration {
 	elapsed := at.Sub(h.startedAt)
 	for _, s := range h.suspensions[host] {
@@ -69,13 +71,13 @@
 	return elapsed
 }
 
-// writeConfig writes the configuration with its newest key.
+// writeConfig writes the configuration with the next version.
 func (h *scenario) writeConfig() {
 	h.config.Version++
 	h.Store.Put(platform.KeyConfig, h.config)
 }
 
-// rotateKey withdraws the key in use and gives another one.
+// rotateKey replaces the current key by a new one.
 func (h *scenario) rotateKey() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +88,7 @@
 	h.withdrawn[old] = time.Now()
 }
 
-// removeEndpoint removes the entry of an endpoint, which serves on, and adds another one.
+// removeEndpoint adds an endpoint and removes the entry of an older one, which continues to serve.
 func (h *scenario) removeEndpoint(t *testing.T) {
 	h.addEndpoint(t)
 	h.mu.Lock()
@@ -109,9 +111,11 @@
 	h.endpoints = append(h.endpoints, e)
 }
 
-// suspend suspends some hosts, or all, for the same time. What happens in the world meanwhile is done before they hear of anything. Those that
-// stay awake would hear of it in that time, which passes for nobody here: so they are let to, first. Else one of them would truly say that
-// it knew of nothing newer some milliseconds ago, and mean a moment before the sleep.
+// suspend suspends some hosts, or all, for the same time. The changes that happen meanwhile are
+// written to the store before the suspended hosts receive anything. In reality the running hosts
+// would learn of the changes during the suspension, but no time passes for them here, so the
+// function waits until they know. Otherwise one of them would truthfully report that it knew of no
+// newer data some milliseconds ago, and mean a moment before the suspension.
 func (h *scenario) suspend(t *testing.T) {
 	d := suspensionTimes[h.rand.IntN(len(suspensionTimes))]
 	var suspended, running []int
@@ -131,7 +135,7 @@
 		h.removeEndpoint(t)
 	}
 	for _, i := range running {
-		(&testSite{Site: h.Site}).await(t, "those awake know the key in use", func() bool {
+		(&testSite{Site: h.Site}).await(t, "the running hosts know the current key", func() bool {
 			return Do(h.hosts[i].Boot.Front, Call{Path: "/ask/a", Key: fmt.Sprint("key-", h.keyNumber), ID: "known"}).Status == 200
 		})
 	}
@@ -147,14 +151,14 @@
 	}
 }
 
-// outage takes the store away for a while.
+// outage makes the store refuse all calls for a while.
 func (h *scenario) outage() {
 	h.Store.SetFault(StoreFault{Status: 503})
 	time.Sleep(time.Duration(h.rand.IntN(800)) * time.Millisecond)
 	h.Store.SetFault(StoreFault{})
 }
 
-// step does one thing.
+// step makes one random change.
 func (h *scenario) step(t *testing.T) {
 	switch h.rand.IntN(6) {
 	case 0:
@@ -169,7 +173,8 @@
 	time.Sleep(time.Duration(h.rand.IntN(300)) * time.Millisecond)
 }
 
-// runCaller sends requests of all kinds, under the key in use and under old ones, until it is stopped.
+// runCaller sends requests of all kinds, with the current key and with older ones, until stop is
+// closed.
 func (h *scenario) runCaller(k int, r *rand.Rand, stop chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -191,7 +196,8 @@
 	}
 }
 
-// check holds each run at an endpoint against what was withdrawn when it began, and each refusal against the runs.
+// check compares each run at an endpoint with the keys that were withdrawn when it began, and each
+// refusal with the runs.
 func (h *scenario) check() {
 	runs := make(map[string]int)
 	for _, e := range h.endpoints {
@@ -210,13 +216,14 @@
 	for id, s := range h.sent {
 		refused := s.answer.Status == 503 || s.answer.Status == 429
 		if refused && runs[id] > 0 {
-			h.violations = append(h.violations, fmt.Sprintf("%s was told not to have run, and ran", id))
+			h.violations = append(h.violations, fmt.Sprintf("%s was refused as not run, but ran", id))
 		}
 	}
 }
 
-// TestSuspensionsAtRandom plays random histories of suspensions: no key runs longer after its withdrawal than the revocation time by the clock of the
-// host, which counts suspensions; no refusal is untrue. HEATHKEEL_SEEDS plays more of them.
+// TestSuspensionsAtRandom plays random scenarios with suspensions. No request may run later than
+// the revocation time after its key was withdrawn, by the host's clock, which counts suspensions,
+// and no refusal may be untrue. HEATHKEEL_SEEDS sets the number of scenarios.
 func TestSuspensionsAtRandom(t *testing.T) {
 	seeds := 3
 	if v, err := strconv.Atoi(os.Getenv("HEATHKEEL_SEEDS")); err == nil {
@@ -253,7 +260,7 @@
 	}
 }
 
-// play does some steps while callers send.
+// play makes some steps while callers send requests.
 func (h *scenario) play(t *testing.T, steps int) {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
--- a/internal/site/told_test.go
+++ b/internal/site/told_test.go
@@ -29,7 +29,7 @@
 	return b.b.Write(p)
 }
 
-// readEvents reads what was logged of a request.
+// readEvents returns the events that were logged for a request.
 func (b *logBuffer) readEvents(t *testing.T, id string) []outcome.Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,8 +38,8 @@
 	return e
 }
 
-// TestFailuresAreLogged checks that the log of a host names the cause of every request
-// that did not go well, and says nothing of those that did.
+// TestFailuresAreLogged checks that a host's log names the cause of every request that failed, and
+// has no line for those that did not.
 func TestFailuresAreLogged(t *testing.T) {
 	var out logBuffer
 	s := startTestSiteWith(t, 1, func(s *Site) { s.Log, _ = logs.Open("test", "0", &out) })
@@ -68,7 +68,7 @@
 			s.setFaults(tc.fault, tc.times)
 			Do(s.Hosts[0].Boot.Front, tc.call)
 			s.setFaults(None, 0)
-			s.await(t, "the lines", func() bool { return len(out.readEvents(t, tc.call.ID)) >= len(tc.want) })
+			s.await(t, "the expected lines are logged", func() bool { return len(out.readEvents(t, tc.call.ID)) >= len(tc.want) })
 			var got []outcome.Kind
 			events := out.readEvents(t, tc.call.ID)
 			for _, e := range events {
@@ -80,8 +80,7 @@
 	}
 }
 
-// TestTrace checks that a host that traces requests tells those that went well too, and
-// drops no line.
+// TestTrace checks that a host that traces requests also logs successful ones, and drops no line.
 func TestTrace(t *testing.T) {
 	var out logBuffer
 	s := startTestSiteWith(t, 1, func(s *Site) {
@@ -100,7 +99,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			tc.call.ID = fmt.Sprintf("trace-%d.", i)
 			must.EqOp(t, 200, Do(s.Hosts[0].Boot.Front, tc.call).Status)
-			s.await(t, "the line", func() bool { return len(out.readEvents(t, tc.call.ID)) == 1 })
+			s.await(t, "the line is logged", func() bool { return len(out.readEvents(t, tc.call.ID)) == 1 })
 			e := out.readEvents(t, tc.call.ID)[0]
 			must.EqOp(t, outcome.Served, e.Outcome)
 			must.EqOp(t, 1, e.Sends)
@@ -114,7 +113,7 @@
 		for i := range n {
 			Do(s.Hosts[0].Boot.Front, Call{Path: "/none/a", Key: Key, ID: fmt.Sprintf("many-%d.", i)})
 		}
-		s.await(t, "all lines", func() bool { return len(out.readEvents(t, fmt.Sprintf("many-%d.", n-1))) == 1 })
+		s.await(t, "the last line is logged", func() bool { return len(out.readEvents(t, fmt.Sprintf("many-%d.", n-1))) == 1 })
 		must.Len(t, 1, out.readEvents(t, "many-250."))
 	})
 }
--- a/internal/site/trial_test.go
+++ b/internal/site/trial_test.go
@@ -13,12 +13,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestTrialsAreCounted lets a request that crashes its endpoints come to all hosts at the same moments once three have ended under it: it gets
-// three sends from all of them together, none while the store does not tell how many are left, and callers are told the truth.
+// TestTrialsAreCounted sends a request to all hosts at the same moments after three endpoints have
+// crashed under it. All hosts together may send it three times more, and not at all while the store
+// does not tell how many trials are left. Callers must get a truthful refusal.
 func TestTrialsAreCounted(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault StoreFault // of the store, in the first rounds
+		fault StoreFault // of the store, in the first round
 	}{
 		{"the store answers", StoreFault{}},
 		{"the store refuses first", StoreFault{Status: 503}},
@@ -38,7 +39,7 @@
 				Do(f.hosts[i].Boot.Front, call(i))
 			}
 			must.SliceLen(t, 3, f.sortedRuns(crashText))
-			time.Sleep(500 * time.Millisecond) // all hosts hear of it
+			time.Sleep(500 * time.Millisecond) // time for all hosts to learn of the crashes
 			round := func() []Answer {
 				answers := make([]Answer, len(f.hosts))
 				var all sync.WaitGroup
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestTrialClears lets a request that met the ends of others run on trial: it is answered, and sent as any other from then on.
+// TestTrialClears runs a request on trial that was running when endpoints crashed for other
+// reasons. The trial must succeed, and from then on the request is sent as any other.
 func TestTrialClears(t *testing.T) {
 	f := newCrashingSiteWith(t, crashingSiteOptions{hosts: 3, endpoints: 6, service: Engines, events: 60, pace: 10 * time.Millisecond, restartDelay: 300 * time.Millisecond})
 	n := 0
@@ -80,13 +82,13 @@
 	for lost := 0; lost < 3; {
 		answers := make(chan Answer, 1)
 		go func() { answers <- send() }()
-		time.Sleep(30 * f.Template.Pace) // so late an end may be chance
+		time.Sleep(30 * f.Template.Pace) // a crash this late may be by chance
 		(&testSite{Site: f.Site}).await(t, "it runs", func() bool { return f.CrashRunning("unlucky") })
 		a := <-answers
 		must.False(t, a.Status == 200 && a.Complete)
 		lost++
 	}
-	time.Sleep(500 * time.Millisecond) // all hosts hear of it
+	time.Sleep(500 * time.Millisecond) // time for all hosts to learn of the crashes
 	for range 6 {
 		a := send()
 		must.EqOp(t, 200, a.Status)
