--- a/internal/simsite/endpoint.go
+++ b/internal/simsite/endpoint.go
@@ -17,7 +17,7 @@
 
 // Endpoint is a plain service that answers at once.
 type Endpoint struct {
-	// Instance is its name.
+	// Instance is the endpoint's name.
 	Instance string
 
 	site    *Site
@@ -26,15 +26,15 @@
 
 	mu       sync.Mutex
 	arrivals []Arrival
-	left     time.Time // when the store took its leaving, zero while it stays
+	leftAt   time.Time // when the store accepted the endpoint's leaving, zero before
 }
 
 // Arrival is a request that reached an endpoint.
 type Arrival struct {
-	// From is the IP number of the host that sent it, and At when it came.
+	// From is the IP address of the host that sent the request, and ReceivedAt the time of receipt.
 	From       string
 	ReceivedAt time.Time
-	// AfterLeaving is the time since the store had taken the endpoint's leaving, 0 if it had not.
+	// AfterLeaving is the time since the store accepted the endpoint's leaving, 0 if it had not.
 	AfterLeaving time.Duration
 }
 
@@ -43,8 +43,8 @@
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
 	e.mu.Lock()
 	a := Arrival{From: ip, ReceivedAt: time.Now()}
-	if !e.left.IsZero() {
-		a.AfterLeaving = time.Since(e.left)
+	if !e.leftAt.IsZero() {
+		a.AfterLeaving = time.Since(e.leftAt)
 	}
 	e.arrivals = append(e.arrivals, a)
 	e.mu.Unlock()
@@ -54,33 +54,34 @@
 	_, _ = w.Write([]byte("ran " + id))
 }
 
-// Arrivals are the requests so far.
+// Arrivals returns the requests received so far.
 func (e *Endpoint) Arrivals() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Arrival(nil), e.arrivals...)
 }
 
-// Leave makes the endpoint leave: it says so, or its entry goes without a word. It serves on.
-func (e *Endpoint) Leave(says bool) {
-	if says {
-		e.tell("draining")
+// Leave makes the endpoint leave: with announced set its entry is marked as draining, otherwise the
+// entry is removed. The endpoint continues to serve.
+func (e *Endpoint) Leave(announced bool) {
+	if announced {
+		e.putEntry("draining")
 	} else {
 		e.site.Store.Remove(platform.PrefixEndpoints + e.Instance)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.left = time.Now()
+	e.leftAt = time.Now()
 }
 
-// tell writes the endpoint's entry.
-func (e *Endpoint) tell(state string) {
+// putEntry writes the endpoint's entry with the given state.
+func (e *Endpoint) putEntry(state string) {
 	e.site.Store.Put(platform.PrefixEndpoints+e.Instance, site.EndpointEntry{
 		Service: site.Plain, Address: e.address, Zone: e.zone, Version: "v1", Slots: 8, State: state,
 	})
 }
 
-// start listens and writes the entry.
+// start listens and writes the endpoint's entry.
 func (e *Endpoint) start(ip string) error {
 	e.address = ip + ":8000"
 	l, err := e.site.Net.Host(ip).Listen(context.Background(), "tcp", e.address)
@@ -90,6 +91,6 @@
 	srv := &http.Server{Handler: e, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
 	e.site.servers = append(e.site.servers, srv)
-	e.tell("ready")
+	e.putEntry("ready")
 	return nil
 }
--- a/internal/simsite/site.go
+++ b/internal/simsite/site.go
@@ -22,57 +22,60 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Site is a deployment on simulated time. The fields must be set before Start.
+// Site is a deployment on simulated time. The fields that configure it must be set before Start.
 type Site struct {
-	// Boot is the settings that all hosts have; names and addresses are filled in.
+	// Boot holds the settings that all hosts share; names and addresses are filled in.
 	Boot platform.Boot
-	// Zones is the number of availability zones, and Strong that of hosts in each which are four times as strong as the others.
+	// Zones is the number of availability zones. StrongPerZone is the number of hosts in each zone
+	// with four times the processor share of the others.
 	Zones, StrongPerZone int
-	// Latency is the time of a packet on its way.
+	// Latency is the one-way latency of the network.
 	Latency time.Duration
-	// Log takes the hosts' logs.
+	// Log receives the hosts' logs.
 	Log logr.Logger
 
-	// Net, Store, Hosts and Endpoints are what runs.
+	// Net, Store, Hosts and Endpoints are the parts of the deployment that Start creates.
 	Net       *simnet.Net
 	Store     *Store
 	Hosts     []*Host
 	Endpoints []*Endpoint
 
-	servers []*http.Server
-	started int
-	sent    int
+	servers       []*http.Server
+	endpointCount int
+	sent          int
 }
 
-// Host is a host and what ends it.
+// Host is a host that can be suspended, killed and restarted.
 type Host struct {
-	// Boot is its settings.
+	// Boot holds the host's settings.
 	Boot platform.Boot
-	// Edge is the host.
+	// Edge is the current run of the host.
 	Edge *edge.Host
 
-	net   *simnet.Host
-	kill  context.CancelFunc
-	done  chan struct{}
-	ahead atomic.Int64 // for how long it has been suspended, in nanoseconds
+	net       *simnet.Host
+	kill      context.CancelFunc
+	done      chan struct{}
+	suspended atomic.Int64 // total time of suspension, in nanoseconds
 }
 
-// Suspend lets the host's clock go on by a time that its process does not see, as a suspension does.
-func (h *Host) Suspend(d time.Duration) { h.ahead.Add(int64(d)) }
+// Suspend advances the host's clock by a time in which its process does not run, as a suspension
+// does.
+func (h *Host) Suspend(d time.Duration) { h.suspended.Add(int64(d)) }
 
-// suspended is for how long the host has been suspended.
-func (h *Host) suspended() time.Duration { return time.Duration(h.ahead.Load()) }
+// suspendedTime returns the total time for which the host has been suspended.
+func (h *Host) suspendedTime() time.Duration { return time.Duration(h.suspended.Load()) }
 
-// Addresses on the network: hosts and endpoints have 10.z.n.n and 20.z.n.n.
+// IP addresses of the store and of callers. Hosts have 10.z.n.n and endpoints 20.z.n.n, where z is
+// the zone.
 const (
 	storeIP  = "30.0.0.1"
 	callerIP = "40.0.0.1"
 )
 
-// Start starts the store with a configuration, endpoints and hosts.
+// Start starts the store with a configuration, the endpoints and the hosts.
 func (s *Site) Start(c site.Config, endpoints, hosts int) error {
 	s.Net = &simnet.Net{Latency: s.Latency}
-	s.Store = &Store{Store: site.NewStore(), next: make(map[nextKey][]Behavior), moods: make(map[string]Behavior), calls: make(map[string]int)}
+	s.Store = &Store{Store: site.NewStore(), nextBehaviors: make(map[behaviorKey][]Behavior), behaviors: make(map[string]Behavior), calls: make(map[string]int)}
 	s.Store.Put(platform.KeyConfig, c)
 	l, err := s.Net.Host(storeIP).Listen(context.Background(), "tcp", storeIP+":8225")
 	if err != nil {
@@ -87,7 +90,7 @@
 		}
 	}
 	for i := range hosts {
-		s.Hosts = append(s.Hosts, &Host{Boot: s.boot(i, hosts)})
+		s.Hosts = append(s.Hosts, &Host{Boot: s.hostBoot(i, hosts)})
 	}
 	for _, h := range s.Hosts {
 		s.StartHost(h)
@@ -95,14 +98,16 @@
 	return nil
 }
 
-// ip gives an address of a kind of machine.
-func ip(kind, zone, n int) string { return fmt.Sprintf("%d.%d.%d.%d", kind, zone, n/200, 1+n%200) }
+// machineIP returns the IP address of machine n of a kind in a zone.
+func machineIP(kind, zone, n int) string {
+	return fmt.Sprintf("%d.%d.%d.%d", kind, zone, n/200, 1+n%200)
+}
 
-// boot is the settings of a host.
-func (s *Site) boot(i, hosts int) platform.Boot {
+// hostBoot returns the settings of host i.
+func (s *Site) hostBoot(i, hosts int) platform.Boot {
 	b := s.Boot
 	zone := i % s.Zones
-	b.Host, b.Zone, b.Region, b.IP = fmt.Sprintf("host-%d", i), fmt.Sprintf("zone-%d", zone), "local", ip(10, zone, i)
+	b.Host, b.Zone, b.Region, b.IP = fmt.Sprintf("host-%d", i), fmt.Sprintf("zone-%d", zone), "local", machineIP(10, zone, i)
 	b.Front, b.Ready, b.Control, b.Directory = b.IP+":8221", b.IP+":8224", b.IP+":8229", b.IP+":8220"
 	b.PeerPort, b.Store, b.First = 7600, storeIP+":8225", true
 	b.Cores = 0.2
@@ -110,17 +115,17 @@
 		b.Cores = 0.8
 	}
 	for j := range min(3, hosts) {
-		b.Seeds = append(b.Seeds, ip(10, j%s.Zones, j)+":8229")
+		b.Seeds = append(b.Seeds, machineIP(10, j%s.Zones, j)+":8229")
 	}
 	return b
 }
 
-// StartHost starts a host, or starts one again that ended.
+// StartHost starts a host for the first time or after its end.
 func (s *Site) StartHost(h *Host) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.kill, h.done, h.net = cancel, make(chan struct{}), s.Net.Host(h.Boot.IP)
 	h.net.Start()
-	h.Edge = &edge.Host{Boot: h.Boot, Clock: clock.NewSteady().Skewed(h.suspended), Network: h.net, Log: s.Log}
+	h.Edge = &edge.Host{Boot: h.Boot, Clock: clock.NewSteady().Skewed(h.suspendedTime), Network: h.net, Log: s.Log}
 	h.Boot.First = false
 	go func(e *edge.Host, done chan struct{}) {
 		defer close(done)
@@ -130,14 +135,14 @@
 	}(h.Edge, h.done)
 }
 
-// Kill ends a host at once.
+// Kill ends the host at once and waits until it has ended.
 func (h *Host) Kill() {
 	h.kill()
 	h.net.Kill()
 	<-h.done
 }
 
-// KillOthers ends all hosts but one at once.
+// KillOthers kills all hosts but h.
 func (s *Site) KillOthers(h *Host) {
 	for _, other := range s.Hosts {
 		if other != h {
@@ -146,7 +151,8 @@
 	}
 }
 
-// MaxArrivalAfterLeaving is the longest time after its leaving at which a request reached an endpoint.
+// MaxArrivalAfterLeaving returns the longest time between the leaving of an endpoint and the
+// receipt of a request there.
 func (s *Site) MaxArrivalAfterLeaving() time.Duration {
 	latest := time.Duration(0)
 	for _, e := range s.Endpoints {
@@ -157,10 +163,10 @@
 	return latest
 }
 
-// Stall lets a host's packets wait for a time.
+// Stall delays the host's packets until d has passed.
 func (h *Host) Stall(d time.Duration) { h.net.Stall(d) }
 
-// Stop ends all.
+// Stop ends all hosts and servers.
 func (s *Site) Stop() {
 	for _, h := range s.Hosts {
 		h.Kill()
@@ -168,27 +174,28 @@
 	for _, srv := range s.servers {
 		_ = srv.Close()
 	}
-	time.Sleep(lastTimers)
+	time.Sleep(timerDrainTime)
 }
 
-// lastTimers is the time in which all that waits for a moment has found that it is over.
-const lastTimers = time.Minute
+// timerDrainTime is long enough for all pending timers to fire and their goroutines to end.
+const timerDrainTime = time.Minute
 
 // AddEndpoint starts an endpoint.
 func (s *Site) AddEndpoint() error {
-	e := &Endpoint{Instance: fmt.Sprintf("plain-%d", s.started), site: s, zone: fmt.Sprintf("zone-%d", s.started%s.Zones)}
-	if err := e.start(ip(20, s.started%s.Zones, s.started)); err != nil {
+	e := &Endpoint{Instance: fmt.Sprintf("plain-%d", s.endpointCount), site: s, zone: fmt.Sprintf("zone-%d", s.endpointCount%s.Zones)}
+	if err := e.start(machineIP(20, s.endpointCount%s.Zones, s.endpointCount)); err != nil {
 		return err
 	}
 	s.Endpoints = append(s.Endpoints, e)
-	s.started++
+	s.endpointCount++
 	return nil
 }
 
-// requestTimeout bounds a caller's request.
+// requestTimeout limits a request of SendRequest.
 const requestTimeout = 10 * time.Second
 
-// SendRequest sends one request to a host and returns its status, 0 for no answer.
+// SendRequest sends one request to a host and returns the status of the answer, or 0 if there was
+// none.
 func (s *Site) SendRequest(h *Host) int {
 	t := &http.Transport{DialContext: s.Net.Host(callerIP).DialContext, DisableKeepAlives: true, DisableCompression: true}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
--- a/internal/simsite/store.go
+++ b/internal/simsite/store.go
@@ -13,12 +13,12 @@
 	"github.com/heathkeel/heathkeel/internal/site"
 )
 
-// Behavior is what the store does with a call.
+// Behavior is the way the store treats a call.
 type Behavior int
 
-// The moods.
+// Behaviors of the store.
 const (
-	// Normal answers.
+	// Normal answers as usual.
 	Normal Behavior = iota
 	// Refuse answers 429.
 	Refuse
@@ -26,34 +26,34 @@
 	Hang
 )
 
-// Store is the platform's store, which may treat the calls of some hosts badly.
+// Store is the platform's store, which can refuse the calls of chosen hosts or let them hang.
 type Store struct {
 	*site.Store
 
-	mu    sync.Mutex
-	next  map[nextKey][]Behavior // what the next calls below a prefix meet
-	moods map[string]Behavior    // by IP number: what all calls meet
-	calls map[string]int         // by IP number
+	mu            sync.Mutex
+	nextBehaviors map[behaviorKey][]Behavior // for the next calls, consumed in order
+	behaviors     map[string]Behavior        // for all calls, by IP address of the host
+	calls         map[string]int             // by IP address of the host
 }
 
-// nextKey names the calls of a host below a prefix.
-type nextKey struct{ ip, prefix string }
+// behaviorKey identifies the calls of a host for a prefix.
+type behaviorKey struct{ ip, prefix string }
 
-// SetNextBehaviors says what the next readings below a prefix by a host meet, in order.
-func (s *Store) SetNextBehaviors(ip, prefix string, moods ...Behavior) {
+// SetNextBehaviors sets the behaviors, in order, for the next calls of a host for a prefix.
+func (s *Store) SetNextBehaviors(ip, prefix string, behaviors ...Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next[nextKey{ip, prefix}] = moods
+	s.nextBehaviors[behaviorKey{ip, prefix}] = behaviors
 }
 
-// SetBehavior says what all calls of a host meet from now on.
-func (s *Store) SetBehavior(ip string, m Behavior) {
+// SetBehavior sets the behavior for all calls of a host from now on.
+func (s *Store) SetBehavior(ip string, b Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.moods[ip] = m
+	s.behaviors[ip] = b
 }
 
-// TotalCalls counts the calls of all hosts, answered or not.
+// TotalCalls returns the number of calls of all hosts, answered or not.
 func (s *Store) TotalCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,18 +64,18 @@
 	return n
 }
 
-// mood takes what a call meets.
-func (s *Store) mood(ip, prefix string) Behavior {
+// takeBehavior counts a call and returns the behavior for it.
+func (s *Store) takeBehavior(ip, prefix string) Behavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[ip]++
-	if m := s.moods[ip]; m != Normal {
-		return m
+	if b := s.behaviors[ip]; b != Normal {
+		return b
 	}
-	key := nextKey{ip, prefix}
-	if list := s.next[key]; len(list) > 0 {
-		s.next[key] = list[1:]
-		return list[0]
+	key := behaviorKey{ip, prefix}
+	if queue := s.nextBehaviors[key]; len(queue) > 0 {
+		s.nextBehaviors[key] = queue[1:]
+		return queue[0]
 	}
 	return Normal
 }
@@ -83,11 +83,11 @@
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
-	switch s.mood(ip, r.URL.Query().Get("PathPrefix")) {
+	switch s.takeBehavior(ip, r.URL.Query().Get("PathPrefix")) {
 	case Refuse:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case Hang:
-		_, _ = io.Copy(io.Discard, r.Body) // the context ends with the connection only once the body is read
+		_, _ = io.Copy(io.Discard, r.Body) // the context is canceled with the connection only once the body is read
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	default:
