--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// conn is an end of a connection.
+// conn is one end of a connection.
 type conn struct {
 	host    *Host
 	in, out *stream
@@ -23,8 +23,8 @@
 	once    sync.Once
 }
 
-// pair joins two ends.
-func pair(a, b *Host, from, to netip.AddrPort) (near, far *conn) {
+// newConnPair returns the two ends of a connection.
+func newConnPair(a, b *Host, from, to netip.AddrPort) (near, far *conn) {
 	up, down := newStream(a, b), newStream(b, a)
 	return &conn{host: a, in: down, out: up, local: from, remote: to}, &conn{host: b, in: up, out: down, local: to, remote: from}
 }
@@ -35,11 +35,11 @@
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) { return c.out.write(b) }
 
-// Close implements net.Conn. What was written before still arrives.
+// Close implements net.Conn. Data written before it still arrives.
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		c.out.end(false)
-		c.in.end(true)
+		c.out.closeSide(false)
+		c.in.closeSide(true)
 		c.host.net.mu.Lock()
 		delete(c.host.conns, c)
 		c.host.net.mu.Unlock()
@@ -51,7 +51,7 @@
 func (c *conn) LocalAddr() net.Addr  { return net.TCPAddrFromAddrPort(c.local) }
 func (c *conn) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(c.remote) }
 
-// SetDeadline implements net.Conn. Writes never wait.
+// SetDeadline implements net.Conn. Writes never block.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.Conn.
@@ -63,23 +63,23 @@
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// stream is the bytes of one way.
+// stream carries the bytes of one direction of a connection.
 type stream struct {
 	from, to *Host
 
-	mu       sync.Mutex
-	changed  *sync.Cond
-	pieces   []piece
-	ended    bool // no more is written
-	broken   bool // nobody reads any more
-	deadline time.Time
-	timer    *time.Timer
+	mu          sync.Mutex
+	changed     *sync.Cond
+	segments    []segment
+	writeClosed bool // no more is written
+	readClosed  bool // no more is read
+	deadline    time.Time
+	timer       *time.Timer
 }
 
-// piece is bytes and the time at which they arrive.
-type piece struct {
-	bytes []byte
-	at    time.Time
+// segment holds bytes and the time at which they arrive.
+type segment struct {
+	bytes     []byte
+	arrivesAt time.Time
 }
 
 func newStream(from, to *Host) *stream {
@@ -88,60 +88,61 @@
 	return s
 }
 
-// wake lets a reader look again.
+// wake makes waiting readers check the stream again.
 func (s *stream) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changed.Broadcast()
 }
 
-// wakeAt lets a reader look again at a time.
+// wakeAt calls wake at time t.
 func (s *stream) wakeAt(t time.Time) { time.AfterFunc(time.Until(t), s.wake) }
 
-// write puts bytes on their way.
+// write sends bytes. They arrive in order, after the latency and after any stall of either host.
 func (s *stream) write(b []byte) (int, error) {
-	held := s.from.net.heldUntil(s.from, s.to)
+	stalledUntil := s.from.net.stalledUntil(s.from, s.to)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.writeClosed {
 		return 0, net.ErrClosed
 	}
-	if s.broken {
+	if s.readClosed {
 		return 0, syscall.EPIPE
 	}
-	at := time.Now()
-	if held.After(at) {
-		at = held
+	arrivesAt := time.Now()
+	if stalledUntil.After(arrivesAt) {
+		arrivesAt = stalledUntil
 	}
-	at = at.Add(s.from.net.Latency)
-	if n := len(s.pieces); n > 0 && s.pieces[n-1].at.After(at) {
-		at = s.pieces[n-1].at
+	arrivesAt = arrivesAt.Add(s.from.net.Latency)
+	if n := len(s.segments); n > 0 && s.segments[n-1].arrivesAt.After(arrivesAt) {
+		arrivesAt = s.segments[n-1].arrivesAt
 	}
-	s.pieces = append(s.pieces, piece{append([]byte(nil), b...), at})
-	s.wakeAt(at)
+	s.segments = append(s.segments, segment{append([]byte(nil), b...), arrivesAt})
+	s.wakeAt(arrivesAt)
 	return len(b), nil
 }
 
-// read takes bytes that have arrived.
+// read blocks until bytes have arrived, the stream has ended or the deadline has passed. It waits
+// while the reader's host is stalled.
 func (s *stream) read(b []byte) (int, error) {
 	for {
-		held := s.from.net.heldUntil(s.to, s.to)
+		stalledUntil := s.from.net.stalledUntil(s.to, s.to)
 		s.mu.Lock()
 		now := time.Now()
-		ready := !held.After(now)
+		ready := !stalledUntil.After(now)
 		switch {
-		case s.broken:
+		case s.readClosed:
 			s.mu.Unlock()
 			return 0, net.ErrClosed
-		case len(s.pieces) > 0 && ready && !s.pieces[0].at.After(now):
-			p := &s.pieces[0]
+		case len(s.segments) > 0 && ready && !s.segments[0].arrivesAt.After(now):
+			p := &s.segments[0]
 			n := copy(b, p.bytes)
 			if p.bytes = p.bytes[n:]; len(p.bytes) == 0 {
-				s.pieces = s.pieces[1:]
+				s.segments = s.segments[1:]
 			}
 			s.mu.Unlock()
 			return n, nil
-		case len(s.pieces) == 0 && s.ended && ready:
+		case len(s.segments) == 0 && s.writeClosed && ready:
 			s.mu.Unlock()
 			return 0, io.EOF
 		case !s.deadline.IsZero() && !s.deadline.After(now):
@@ -149,26 +150,26 @@
 			return 0, os.ErrDeadlineExceeded
 		}
 		if !ready {
-			s.wakeAt(held)
+			s.wakeAt(stalledUntil)
 		}
 		s.changed.Wait()
 		s.mu.Unlock()
 	}
 }
 
-// end ends one side: the writer's, or the reader's.
-func (s *stream) end(reader bool) {
+// closeSide closes the reader's or the writer's side.
+func (s *stream) closeSide(reader bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reader {
-		s.broken, s.pieces = true, nil
+		s.readClosed, s.segments = true, nil
 	} else {
-		s.ended = true
+		s.writeClosed = true
 	}
 	s.changed.Broadcast()
 }
 
-// setDeadline bounds reads.
+// setDeadline sets the deadline of reads.
 func (s *stream) setDeadline(t time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simnet/net.go
+++ b/internal/simnet/net.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Net joins hosts. The fields must be set before the first call.
+// Net connects hosts. Its fields must be set before the first call.
 type Net struct {
-	// Latency is the time of a packet on its way.
+	// Latency is the one-way latency of a packet.
 	Latency time.Duration
 
 	mu        sync.Mutex
@@ -25,17 +25,17 @@
 	sockets   map[netip.AddrPort]*socket
 }
 
-// Host is a host of a Net and its way to the others.
+// Host is a host of a Net and its interface to the network.
 type Host struct {
-	// IP is its address.
+	// IP is the host's address.
 	IP netip.Addr
 
-	net      *Net
-	nextPort uint16
-	conns    map[*conn]bool
-	held     time.Time // until when its packets wait
-	deaf     bool      // it gets no datagrams
-	off      bool      // it opens no connections
+	net           *Net
+	nextPort      uint16
+	conns         map[*conn]bool
+	stalledUntil  time.Time // its packets are delayed until then
+	dropDatagrams bool      // datagrams to it are dropped
+	killed        bool      // it cannot open connections
 }
 
 // Errors of a Net.
@@ -44,10 +44,10 @@
 	errInUse   = errors.New("address in use")
 )
 
-// firstPort is the first port that is given to connections.
+// firstPort precedes the first local port of outgoing connections.
 const firstPort = 40000
 
-// Host returns the host with an IP number, made when it is first asked for.
+// Host returns the host with an IP address and creates it on first use.
 func (n *Net) Host(ip string) *Host {
 	a := netip.MustParseAddr(ip)
 	n.mu.Lock()
@@ -66,33 +66,33 @@
 
 // Listen listens for connections.
 func (h *Host) Listen(_ context.Context, _, address string) (net.Listener, error) {
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	if h.net.listeners[at] != nil {
+	if h.net.listeners[addrPort] != nil {
 		return nil, errInUse
 	}
-	l := &listener{host: h, at: at, conns: make(chan *conn, backlog), closed: make(chan struct{})}
-	h.net.listeners[at] = l
+	l := &listener{host: h, address: addrPort, conns: make(chan *conn, backlog), closed: make(chan struct{})}
+	h.net.listeners[addrPort] = l
 	return l, nil
 }
 
 // ListenPacket opens a socket for datagrams.
 func (h *Host) ListenPacket(_ context.Context, _, address string) (net.PacketConn, error) {
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	if h.net.sockets[at] != nil {
+	if h.net.sockets[addrPort] != nil {
 		return nil, errInUse
 	}
-	s := newSocket(h, at)
-	h.net.sockets[at] = s
+	s := newSocket(h, addrPort)
+	h.net.sockets[addrPort] = s
 	return s, nil
 }
 
@@ -102,18 +102,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := h.travel(ctx, to.Addr()); err != nil {
+	if err := h.waitRoundTrip(ctx, to.Addr()); err != nil {
 		return nil, err
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	l := h.net.listeners[to]
-	if l == nil || h.off {
+	if l == nil || h.killed {
 		return nil, fmt.Errorf("dial %s: %w", address, errRefused)
 	}
 	h.nextPort++
 	from := netip.AddrPortFrom(h.IP, h.nextPort)
-	near, far := pair(h, l.host, from, to)
+	near, far := newConnPair(h, l.host, from, to)
 	select {
 	case l.conns <- far:
 	default:
@@ -123,13 +123,13 @@
 	return near, nil
 }
 
-// travel lets the time pass of a packet to a host and back, the waits of both hosts included.
-func (h *Host) travel(ctx context.Context, to netip.Addr) error {
+// waitRoundTrip waits for the round-trip time of a packet to a host, stalls of both hosts included.
+func (h *Host) waitRoundTrip(ctx context.Context, to netip.Addr) error {
 	h.net.mu.Lock()
 	wait := 2 * h.net.Latency
 	for _, x := range []*Host{h, h.net.hosts[to]} {
 		if x != nil {
-			wait = max(wait, time.Until(x.held)+2*h.net.Latency)
+			wait = max(wait, time.Until(x.stalledUntil)+2*h.net.Latency)
 		}
 	}
 	h.net.mu.Unlock()
@@ -143,12 +143,13 @@
 	}
 }
 
-// Stall lets all packets from and to the host wait for a time, as if its process got no processor.
+// Stall delays all packets from and to the host until d has passed, as if its process were not
+// scheduled.
 func (h *Host) Stall(d time.Duration) {
 	h.net.mu.Lock()
 	until := time.Now().Add(d)
-	if until.After(h.held) {
-		h.held = until
+	if until.After(h.stalledUntil) {
+		h.stalledUntil = until
 	}
 	conns := make([]*conn, 0, len(h.conns))
 	for c := range h.conns {
@@ -163,24 +164,24 @@
 	})
 }
 
-// DropDatagrams keeps datagrams from the host, or lets it get them again.
+// DropDatagrams drops datagrams to the host while on is true.
 func (h *Host) DropDatagrams(on bool) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.deaf = on
+	h.dropDatagrams = on
 }
 
-// Start lets a host that was killed open connections again.
+// Start lets a killed host open connections again.
 func (h *Host) Start() {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.off = false
+	h.killed = false
 }
 
-// Kill closes all that the host has open, and what is being opened.
+// Kill closes the host's connections, listeners and sockets and makes its pending dials fail.
 func (h *Host) Kill() {
 	h.net.mu.Lock()
-	h.off = true
+	h.killed = true
 	var conns []*conn
 	for c := range h.conns {
 		conns = append(conns, c)
@@ -209,26 +210,26 @@
 	}
 }
 
-// heldUntil is until when packets between two hosts wait.
-func (n *Net) heldUntil(a, b *Host) time.Time {
+// stalledUntil returns the time until which packets between two hosts are delayed.
+func (n *Net) stalledUntil(a, b *Host) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if a.held.After(b.held) {
-		return a.held
+	if a.stalledUntil.After(b.stalledUntil) {
+		return a.stalledUntil
 	}
-	return b.held
+	return b.stalledUntil
 }
 
-// backlog is the number of connections that wait for a listener.
+// backlog limits the connections that wait to be accepted by a listener.
 const backlog = 1024
 
-// listener takes connections.
+// listener accepts connections.
 type listener struct {
-	host   *Host
-	at     netip.AddrPort
-	conns  chan *conn
-	closed chan struct{}
-	once   sync.Once
+	host    *Host
+	address netip.AddrPort
+	conns   chan *conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Accept implements net.Listener.
@@ -245,7 +246,7 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.host.net.mu.Lock()
-		delete(l.host.net.listeners, l.at)
+		delete(l.host.net.listeners, l.address)
 		l.host.net.mu.Unlock()
 		close(l.closed)
 	})
@@ -253,4 +254,4 @@
 }
 
 // Addr implements net.Listener.
-func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.at) }
+func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
--- a/internal/simnet/socket.go
+++ b/internal/simnet/socket.go
@@ -12,59 +12,60 @@
 	"time"
 )
 
-// socket sends and gets datagrams. Those beyond its queue are lost.
+// socket sends and receives datagrams. Datagrams that exceed its queue are dropped.
 type socket struct {
-	host   *Host
-	at     netip.AddrPort
-	in     chan datagram
-	closed chan struct{}
-	once   sync.Once
+	host    *Host
+	address netip.AddrPort
+	in      chan datagram
+	closed  chan struct{}
+	once    sync.Once
 
 	mu       sync.Mutex
 	deadline time.Time
 }
 
-// datagram is a packet and who sent it.
+// datagram is a packet with the address of its sender.
 type datagram struct {
 	bytes []byte
 	from  netip.AddrPort
 }
 
-// mostQueued is the number of datagrams that wait to be read.
-const mostQueued = 4096
+// maxQueued limits the datagrams that wait to be read.
+const maxQueued = 4096
 
-func newSocket(h *Host, at netip.AddrPort) *socket {
-	return &socket{host: h, at: at, in: make(chan datagram, mostQueued), closed: make(chan struct{})}
+func newSocket(h *Host, address netip.AddrPort) *socket {
+	return &socket{host: h, address: address, in: make(chan datagram, maxQueued), closed: make(chan struct{})}
 }
 
 // WriteTo implements net.PacketConn.
 func (s *socket) WriteTo(b []byte, to net.Addr) (int, error) {
-	at := to.(*net.UDPAddr).AddrPort()
-	at = netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
+	address := to.(*net.UDPAddr).AddrPort()
+	address = netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	n := s.host.net
 	n.mu.Lock()
-	other := n.sockets[at]
+	receiver := n.sockets[address]
 	n.mu.Unlock()
-	if other == nil {
+	if receiver == nil {
 		return len(b), nil
 	}
-	other.deliver(datagram{append([]byte(nil), b...), s.at}, s.host)
+	receiver.deliver(datagram{append([]byte(nil), b...), s.address}, s.host)
 	return len(b), nil
 }
 
-// deliver lets a datagram arrive once neither host's packets wait.
+// deliver queues a datagram after the latency and after any stall of either host. It is repeated if
+// the receiver has been stalled meanwhile.
 func (s *socket) deliver(d datagram, from *Host) {
 	n := s.host.net
-	wait := max(0, time.Until(n.heldUntil(from, s.host))) + n.Latency
+	wait := max(0, time.Until(n.stalledUntil(from, s.host))) + n.Latency
 	time.AfterFunc(wait, func() {
-		if n.heldUntil(s.host, s.host).After(time.Now()) {
+		if n.stalledUntil(s.host, s.host).After(time.Now()) {
 			s.deliver(d, s.host)
 			return
 		}
 		n.mu.Lock()
-		deaf := s.host.deaf
+		drop := s.host.dropDatagrams
 		n.mu.Unlock()
-		if deaf {
+		if drop {
 			return
 		}
 		select {
@@ -79,16 +80,16 @@
 	s.mu.Lock()
 	deadline := s.deadline
 	s.mu.Unlock()
-	var late <-chan time.Time
+	var timeout <-chan time.Time
 	if !deadline.IsZero() {
 		t := time.NewTimer(time.Until(deadline))
 		defer t.Stop()
-		late = t.C
+		timeout = t.C
 	}
 	select {
 	case d := <-s.in:
 		return copy(b, d.bytes), net.UDPAddrFromAddrPort(d.from), nil
-	case <-late:
+	case <-timeout:
 		return 0, nil, os.ErrDeadlineExceeded
 	case <-s.closed:
 		return 0, nil, net.ErrClosed
@@ -99,7 +100,7 @@
 func (s *socket) Close() error {
 	s.once.Do(func() {
 		s.host.net.mu.Lock()
-		delete(s.host.net.sockets, s.at)
+		delete(s.host.net.sockets, s.address)
 		s.host.net.mu.Unlock()
 		close(s.closed)
 	})
@@ -107,9 +108,9 @@
 }
 
 // LocalAddr implements net.PacketConn.
-func (s *socket) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(s.at) }
+func (s *socket) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(s.address) }
 
-// SetDeadline implements net.PacketConn. Writes never wait.
+// SetDeadline implements net.PacketConn. Writes never block.
 func (s *socket) SetDeadline(t time.Time) error { return s.SetReadDeadline(t) }
 
 // SetReadDeadline implements net.PacketConn.
