--- a/internal/link/doc.go
+++ b/internal/link/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package link is a TCP proxy on loopback whose connections can be delayed, reset, cut one way
-// or silenced, for tests of what programs do when a connection fails without saying so.
-// It knows nothing of what is sent over it.
+// Package link is a TCP proxy on loopback whose connections can be delayed, reset, stalled in one
+// direction or silenced. It serves tests of what programs do when a connection fails without
+// notice. It does not interpret the data that it forwards.
 package link
--- a/internal/link/proxy.go
+++ b/internal/link/proxy.go
@@ -12,38 +12,40 @@
 	"time"
 )
 
-// Direction names the direction of bytes over a proxy.
+// Direction is the direction of data through a proxy.
 type Direction int
 
-// The ways.
+// Directions of data.
 const (
-	// Upstream is from who connected to the target, Down from the target back.
+	// Upstream is from the client to the target, and Downstream from the target to the client.
 	Upstream Direction = iota
 	Downstream
 )
 
 // Proxy forwards connections to a target. The exported fields must be set before Start.
 type Proxy struct {
-	// Listen is the address to listen at, Target the one to connect to.
+	// Listen is the address to listen at; Start replaces it by the actual one. Target is the
+	// address to connect to.
 	Listen, Target string
 
 	l     net.Listener
 	mu    sync.Mutex
 	pairs map[*pair]bool
 	delay time.Duration
-	// refuse resets new connections; drop loses the bytes of a way.
-	refuse bool
-	drop   [2]bool
-	held   *sync.Cond
+	// refuse makes the proxy reset new connections. stalled marks the directions that are stalled;
+	// stallChanged is signaled when they change.
+	refuse       bool
+	stalled      [2]bool
+	stallChanged *sync.Cond
 }
 
-// pair is one connection and its way on.
+// pair is a connection from a client and its connection to the target.
 type pair struct {
-	ends   [2]net.Conn // of who connected, and of the target
+	ends   [2]net.Conn // to the client and to the target
 	silent bool
 }
 
-// Start listens and forwards until Stop.
+// Start listens and forwards connections until Stop.
 func (p *Proxy) Start() error {
 	l, err := net.Listen("tcp", p.Listen)
 	if err != nil {
@@ -51,45 +53,45 @@
 	}
 	p.l, p.Listen = l, l.Addr().String()
 	p.pairs = make(map[*pair]bool)
-	p.held = sync.NewCond(&p.mu)
+	p.stallChanged = sync.NewCond(&p.mu)
 	go p.accept()
 	return nil
 }
 
-// Stop ends the listener and all connections.
+// Stop closes the listener and all connections.
 func (p *Proxy) Stop() {
 	_ = p.l.Close()
 	p.mu.Lock()
-	p.drop = [2]bool{}
+	p.stalled = [2]bool{}
 	for c := range p.pairs {
 		c.silent = false
 	}
-	p.held.Broadcast()
+	p.stallChanged.Broadcast()
 	p.mu.Unlock()
 	p.Reset()
 }
 
-// Delay makes each piece of data wait.
+// Delay sets the delay of each chunk of data.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Refuse resets new connections while on.
+// Refuse resets new connections while on is true.
 func (p *Proxy) Refuse(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refuse = on
 }
 
-// Stall keeps back what is sent one way while on, on all connections, new ones too. Nobody is
-// told; what was held goes on afterwards.
-func (p *Proxy) Stall(w Direction, on bool) {
+// Stall stops forwarding in one direction while on is true, on all connections, including new ones.
+// Neither end is notified. Data that was held back is forwarded afterwards.
+func (p *Proxy) Stall(dir Direction, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop[w] = on
-	p.held.Broadcast()
+	p.stalled[dir] = on
+	p.stallChanged.Broadcast()
 }
 
 // Reset resets all connections.
@@ -103,8 +105,8 @@
 	}
 }
 
-// Silence makes all connections that are open say nothing more, for good and without an end,
-// and returns their number. New ones work.
+// Silence stops forwarding on all open connections for good, without closing them, and returns how
+// many it silenced. New connections work.
 func (p *Proxy) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +120,7 @@
 	return n
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -126,7 +128,7 @@
 	_ = c.Close()
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		c, err := p.l.Accept()
@@ -144,35 +146,36 @@
 	}
 }
 
-// connect joins a connection to the target.
+// connect connects to the target and forwards data between c and the target until both directions
+// end.
 func (p *Proxy) connect(c net.Conn) {
 	t, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		reset(c)
 		return
 	}
-	both := &pair{ends: [2]net.Conn{c, t}}
+	joined := &pair{ends: [2]net.Conn{c, t}}
 	p.mu.Lock()
-	p.pairs[both] = true
+	p.pairs[joined] = true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, w := range []Direction{Upstream, Downstream} {
-		wg.Go(func() { p.forward(both, w) })
+	for _, dir := range []Direction{Upstream, Downstream} {
+		wg.Go(func() { p.forward(joined, dir) })
 	}
 	wg.Wait()
 	p.mu.Lock()
-	delete(p.pairs, both)
+	delete(p.pairs, joined)
 	p.mu.Unlock()
 }
 
-// forward copies one way until an end is closed. An end is passed on as what it was: a close
-// after all bytes closes, and an error resets.
-func (p *Proxy) forward(c *pair, w Direction) {
-	from, to := c.ends[w], c.ends[1-w]
+// forward copies data in one direction until an end closes. It passes the kind of close on: a close
+// after all data as a close, an error as a reset.
+func (p *Proxy) forward(c *pair, dir Direction) {
+	from, to := c.ends[dir], c.ends[1-dir]
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.await(c, w)
+		p.waitWhileStalled(c, dir)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				reset(from)
@@ -181,14 +184,14 @@
 			}
 		}
 		if err != nil {
-			p.finish(to, err)
+			p.forwardClose(to, err)
 			return
 		}
 	}
 }
 
-// finish passes an end on.
-func (p *Proxy) finish(to net.Conn, err error) {
+// forwardClose closes or resets the connection to which data was forwarded, as err tells.
+func (p *Proxy) forwardClose(to net.Conn, err error) {
 	t, ok := to.(*net.TCPConn)
 	if ok && errors.Is(err, io.EOF) {
 		_ = t.CloseWrite()
@@ -197,12 +200,12 @@
 	reset(to)
 }
 
-// await waits for as long as what was read may not go on.
-func (p *Proxy) await(c *pair, w Direction) {
+// waitWhileStalled waits while data in a direction may not be forwarded, and then for the delay.
+func (p *Proxy) waitWhileStalled(c *pair, dir Direction) {
 	p.mu.Lock()
 	d := p.delay
-	for p.drop[w] || c.silent {
-		p.held.Wait()
+	for p.stalled[dir] || c.silent {
+		p.stallChanged.Wait()
 	}
 	p.mu.Unlock()
 	time.Sleep(d)
--- a/internal/link/proxy_test.go
+++ b/internal/link/proxy_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// start gives a proxy before a server that sends each line back.
-func start(t *testing.T) *Proxy {
+// startProxy starts a proxy in front of a server that echoes its input.
+func startProxy(t *testing.T) *Proxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -39,7 +39,7 @@
 	return p
 }
 
-// dial connects.
+// dial connects to the proxy.
 func dial(t *testing.T, p *Proxy) net.Conn {
 	c, err := net.Dial("tcp", p.Listen)
 	must.NoError(t, err)
@@ -47,7 +47,7 @@
 	return c
 }
 
-// echo sends a line and returns what comes back; a short wait tells that nothing does.
+// echo sends a line and returns what comes back within wait.
 func echo(c net.Conn, wait time.Duration) (string, error) {
 	if _, err := io.WriteString(c, "hello\n"); err != nil {
 		return "", err
@@ -56,66 +56,68 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-// answers checks whether a connection answers.
-func answers(t *testing.T, c net.Conn, want bool) {
+// checkAnswers checks whether a connection answers as wanted.
+func checkAnswers(t *testing.T, c net.Conn, want bool) {
 	if want {
-		_, err := echo(c, long)
+		_, err := echo(c, maxWait)
 		must.NoError(t, err)
 		return
 	}
-	_, err := echo(c, short)
+	_, err := echo(c, silenceWait)
 	must.Error(t, err)
 }
 
-// long is a wait that is only reached if something is wrong, short one that shows nothing comes.
+// maxWait is reached only if something is wrong. silenceWait is long enough to show that no answer
+// comes.
 const (
-	long  = 30 * time.Second
-	short = 50 * time.Millisecond
+	maxWait     = 30 * time.Second
+	silenceWait = 50 * time.Millisecond
 )
 
 func TestProxy(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(p *Proxy)
-		// old and young tell whether a connection from before, and a new one, still answer.
+		// old and young state whether a connection opened before the fault, and one opened after
+		// it, still answer.
 		old, young bool
 	}{
 		{"nothing", func(*Proxy) {}, true, true},
 		{"slow", func(p *Proxy) { p.Delay(5 * time.Millisecond) }, true, true},
 		{"silent", func(p *Proxy) { p.Silence() }, false, true},
 		{"reset", func(p *Proxy) { p.Reset() }, false, true},
-		{"new ones refused", func(p *Proxy) { p.Refuse(true) }, true, false},
-		{"cut on the way there", func(p *Proxy) { p.Stall(Upstream, true) }, false, false},
-		{"cut on the way back", func(p *Proxy) { p.Stall(Downstream, true) }, false, false},
+		{"new connections refused", func(p *Proxy) { p.Refuse(true) }, true, false},
+		{"stalled upstream", func(p *Proxy) { p.Stall(Upstream, true) }, false, false},
+		{"stalled downstream", func(p *Proxy) { p.Stall(Downstream, true) }, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			p := start(t)
+			p := startProxy(t)
 			old := dial(t, p)
-			_, err := echo(old, long)
+			_, err := echo(old, maxWait)
 			must.NoError(t, err)
 			tc.fault(p)
-			answers(t, old, tc.old)
+			checkAnswers(t, old, tc.old)
 			young, err := net.Dial("tcp", p.Listen)
 			if err != nil {
 				must.False(t, tc.young)
 				return
 			}
 			defer young.Close()
-			answers(t, young, tc.young)
+			checkAnswers(t, young, tc.young)
 		})
 	}
 }
 
-// TestHeld holds that what was held back goes on.
-func TestHeld(t *testing.T) {
-	p := start(t)
+// TestStalledDataIsDelivered checks that data held back by a stall is forwarded after it.
+func TestStalledDataIsDelivered(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
 	p.Stall(Upstream, true)
-	_, err := echo(c, short)
+	_, err := echo(c, silenceWait)
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded))
 	p.Stall(Upstream, false)
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(maxWait))
 	line, err := bufio.NewReader(c).ReadString('\n')
 	must.NoError(t, err)
 	must.EqOp(t, "hello\n", line)
