--- a/internal/mesh/fleet_test.go
+++ b/internal/mesh/fleet_test.go
@@ -17,10 +17,11 @@
 	"github.com/heathkeel/heathkeel/fleet"
 )
 
-// bigEnv adds the fleet of two years to the sizes tried; it takes minutes.
+// bigEnv is the environment variable that adds the fleet sizes expected within two years; they take
+// minutes.
 const bigEnv = "HEATHKEEL_TEST_BIG"
 
-// fleetSizes are the numbers of hosts tried.
+// fleetSizes returns the numbers of hosts to test.
 func fleetSizes() []int {
 	if os.Getenv(bigEnv) != "" {
 		return []int{7, 30, 90, 300, 930}
@@ -28,14 +29,14 @@
 	return []int{7, 30, 90}
 }
 
-// leaveWithin is the bound on naming a host that is gone.
-const leaveWithin = 3 * time.Second
+// maxLeaveTime limits the time until no host considers a host live that has left or died.
+const maxLeaveTime = 3 * time.Second
 
-// settle is the time that a fleet started all at once gets before it is measured.
-const settle = 20 * time.Second
+// settleTime is the time between the start of all hosts at once and the measurement.
+const settleTime = 20 * time.Second
 
-// quiet is the time over which traffic is measured.
-const quiet = 10 * time.Second
+// measureTime is the time over which traffic is measured.
+const measureTime = 10 * time.Second
 
 func TestMembershipAndPropagation(t *testing.T) {
 	for _, n := range fleetSizes() {
@@ -43,38 +44,39 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				w := newWorld(t, ctx, n)
-				time.Sleep(settle)
+				w := newTestMesh(t, ctx, n)
+				time.Sleep(settleTime)
 				before, msgs, calls := w.traffic()
-				time.Sleep(quiet)
+				time.Sleep(measureTime)
 				after, msgs2, calls2 := w.traffic()
 				t.Logf("hosts %d: %.0f B/s of heartbeats a host, %.1f messages/s, %.2f calls/s to the key-value service in all",
-					n, float64(after-before)/quiet.Seconds()/float64(n), float64(msgs2-msgs)/quiet.Seconds()/float64(n),
-					float64(calls2-calls)/quiet.Seconds())
+					n, float64(after-before)/measureTime.Seconds()/float64(n), float64(msgs2-msgs)/measureTime.Seconds()/float64(n),
+					float64(calls2-calls)/measureTime.Seconds())
 
-				median, worst := w.untilAll(w.mustApply())
+				median, worst := w.awaitRevision(w.mustDeclareNext())
 				t.Logf("hosts %d: change in force: median %.3f s, worst %.3f s", n, median.Seconds(), worst.Seconds())
-				must.LessEq(t, inForceIn, worst)
+				must.LessEq(t, maxApplyTime, worst)
 
-				gone := w.all[n/2]
+				gone := w.hosts[n/2]
 				gone.Kill()
-				took := w.untilUnnamed(gone)
-				t.Logf("hosts %d: killed host no longer named anywhere after %.2f s", n, took.Seconds())
-				must.LessEq(t, leaveWithin, took)
+				took := w.awaitNotLive(gone)
+				t.Logf("hosts %d: killed host no longer considered live anywhere after %.2f s", n, took.Seconds())
+				must.LessEq(t, maxLeaveTime, took)
 
-				leaving := w.all[n/3]
+				leaving := w.hosts[n/3]
 				leaving.Agent.Update(func(h *fleet.Host) { h.Leaving = true })
-				took = w.untilUnnamed(leaving)
-				t.Logf("hosts %d: leaving host no longer named anywhere after %.3f s", n, took.Seconds())
-				must.LessEq(t, leaveWithin, took)
+				took = w.awaitNotLive(leaving)
+				t.Logf("hosts %d: leaving host no longer considered live anywhere after %.3f s", n, took.Seconds())
+				must.LessEq(t, maxLeaveTime, took)
 			})
 		})
 	}
 }
 
-// traffic sums bytes and messages of all hosts and calls to the key-value service.
-func (w *world) traffic() (bytes, messages, calls int64) {
-	for _, n := range w.all {
+// traffic returns the bytes and messages of all hosts and the number of calls to the key-value
+// service.
+func (w *testMesh) traffic() (bytes, messages, calls int64) {
+	for _, n := range w.hosts {
 		bytes += n.Bytes.Load()
 		messages += n.Messages.Load()
 	}
@@ -82,48 +84,48 @@
 	return bytes, messages, c.Reads + c.Writes
 }
 
-// untilUnnamed waits until no living host would name one.
-func (w *world) untilUnnamed(gone *Node) time.Duration {
+// awaitNotLive waits until no running host considers a host live, and returns how long that took.
+func (w *testMesh) awaitNotLive(gone *Node) time.Duration {
 	start := time.Now()
 	for range 2000 {
-		named := 0
-		for _, n := range w.all {
-			if n != gone && !n.dead.Load() && n.ConsidersLive(gone) {
-				named++
+		considering := 0
+		for _, n := range w.hosts {
+			if n != gone && !n.killed.Load() && n.ConsidersLive(gone) {
+				considering++
 			}
 		}
-		if named == 0 {
+		if considering == 0 {
 			return time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.t.Fatalf("%s is named for ever", gone.Name)
+	w.t.Fatalf("%s is still considered live after 20 s", gone.Name)
 	return 0
 }
 
-func TestCutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		w := newWorld(t, ctx, 12)
-		w.untilKnown(12)
+		w := newTestMesh(t, ctx, 12)
+		w.awaitMembers(12)
 		w.SetPartition(func(a, b *Node) bool { return (a.Zone == "z1") != (b.Zone == "z1") })
-		for i, g := range w.gaps {
-			g.cut.Store(w.all[i].Zone == "z1")
+		for i, g := range w.kvs {
+			g.unavailable.Store(w.hosts[i].Zone == "z1")
 		}
 		time.Sleep(10 * time.Minute)
-		must.Eq(t, 4, w.all[0].LiveCount())
-		must.Eq(t, 8, w.all[1].LiveCount())
-		rev := w.mustApply()
+		must.Eq(t, 4, w.hosts[0].LiveCount())
+		must.Eq(t, 8, w.hosts[1].LiveCount())
+		rev := w.mustDeclareNext()
 		time.Sleep(10 * time.Second)
-		must.Eq(t, rev-1, w.all[0].Follower.Revision())
+		must.Eq(t, rev-1, w.hosts[0].Follower.Revision())
 		w.SetPartition(nil)
 		start := time.Now()
-		w.untilKnown(12)
-		t.Logf("zone known again %.1f s after a cut of 10 minutes", time.Since(start).Seconds())
-		// The zone has no way to the key-value service still; peers bring the change.
-		_, worst := w.untilAll(rev)
-		must.LessEq(t, inForceIn, worst)
+		w.awaitMembers(12)
+		t.Logf("zone live again everywhere %.1f s after a partition of 10 minutes", time.Since(start).Seconds())
+		// The zone still cannot reach the key-value service; it gets the change from peers.
+		_, worst := w.awaitRevision(rev)
+		must.LessEq(t, maxApplyTime, worst)
 	})
 }
 
@@ -131,15 +133,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		w := newWorld(t, ctx, 9)
-		w.untilKnown(9)
-		a, b := w.all[0], w.all[4]
+		w := newTestMesh(t, ctx, 9)
+		w.awaitMembers(9)
+		a, b := w.hosts[0], w.hosts[4]
 		w.SetPartition(func(x, y *Node) bool { return (x == a && y == b) || (x == b && y == a) })
-		// The two suspect each other for as long as the cut lasts; whoever else is
-		// told hears the accused's own word soon and names both again.
+		// The two suspect each other while they are partitioned. Any other host that learns of a
+		// suspicion soon hears from the suspect itself and considers both live again.
 		time.Sleep(time.Minute)
 		w.SetPartition(nil)
-		w.untilKnown(9)
+		w.awaitMembers(9)
 	})
 }
 
@@ -153,14 +155,14 @@
 		must.True(t, ok)
 		must.True(t, h.Gone)
 		must.Len(t, 2, tab.Live())
-		// A late message of the old incarnation must not bring it back for good.
+		// A late message of the old incarnation must not make it live again.
 		tab.Merge(3, []fleet.Host{old})
 		h, _ = tab.Find(2)
 		must.True(t, h.Gone)
 	})
 }
 
-func TestAccusedIsTold(t *testing.T) {
+func TestSuspectIsInformed(t *testing.T) {
 	tab := fleet.NewTable(fleet.Host{Name: "a", Incarnation: 1, Address: "a"})
 	b := fleet.Host{Name: "b", Incarnation: 2, Address: "b", Seq: 1}
 	tab.Heard(1, b)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -23,49 +23,50 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Mesh is a set of hosts that reach each other by function calls. Set the
-// exported fields, then add hosts.
+// Mesh is a set of hosts that reach each other by function calls. Its exported fields must be set
+// before hosts are added.
 type Mesh struct {
-	// Latency is the time of a message one way.
+	// Latency is the one-way latency of a message.
 	Latency time.Duration
 	// HeartbeatInterval is the time between heartbeats; 0 means fleet.DefaultInterval.
 	HeartbeatInterval time.Duration
-	// Zones are given to hosts in turn.
+	// Zones are assigned to hosts in turn.
 	Zones []string
-	// HostList is the platform's list; it may be nil.
+	// HostList is the platform's list of hosts; it may be nil.
 	HostList keyval.HostList
 
-	mu    sync.Mutex
-	nodes map[string]*Node
-	cut   func(a, b *Node) bool
+	mu          sync.Mutex
+	nodes       map[string]*Node
+	partitioned func(a, b *Node) bool
 }
 
-// Node is one host of a mesh.
+// Node is a host of a mesh.
 type Node struct {
-	// Agent and Follower are the host's parts.
+	// Agent and Follower run the host's membership and settings.
 	Agent    *fleet.Agent
 	Follower *revision.Follower
-	// Name and Zone identify it.
+	// Name and Zone identify the host.
 	Name, Zone string
-	// Bytes counts the JSON content that it sent and received in heartbeats and settings.
+	// Bytes counts the bytes of JSON that the host sent and received in heartbeats and settings.
 	Bytes atomic.Int64
-	// Messages counts the heartbeats that it sent or answered.
+	// Messages counts the heartbeats that the host sent or answered.
 	Messages atomic.Int64
 
 	mesh   *Mesh
 	cancel context.CancelFunc
-	dead   atomic.Bool
+	killed atomic.Bool
 }
 
-// SetPartition sets which pairs of hosts cannot reach each other; nil means none.
-func (m *Mesh) SetPartition(cut func(a, b *Node) bool) {
+// SetPartition sets the function that reports which pairs of hosts cannot reach each other; nil
+// means none.
+func (m *Mesh) SetPartition(partitioned func(a, b *Node) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut = cut
+	m.partitioned = partitioned
 }
 
-// Add starts a host with a key-value service of its own view. Of each zone the
-// first two hosts watch the head.
+// Add starts a host that uses kv as its key-value service. On average two hosts of each zone, those
+// added first, watch the head.
 func (m *Mesh) Add(ctx context.Context, kv keyval.KV) *Node {
 	m.mu.Lock()
 	i := len(m.nodes)
@@ -79,7 +80,7 @@
 	n.Follower = &revision.Follower{
 		KV: kv, Peers: n, Log: logr.Discard(),
 		Relay:     func() bool { return i < 2*len(m.Zones) },
-		HostCount: m.size,
+		HostCount: m.hostCount,
 	}
 	n.Agent = &fleet.Agent{
 		Clock: clock.NewSteady(),
@@ -100,57 +101,58 @@
 	return n
 }
 
-// size is the number of hosts.
-func (m *Mesh) size() int {
+// hostCount returns the number of hosts.
+func (m *Mesh) hostCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.nodes)
 }
 
-// Kill ends a host without a word.
+// Kill ends the host without notice to others.
 func (n *Node) Kill() {
-	n.dead.Store(true)
+	n.killed.Store(true)
 	n.cancel()
 }
 
 // errUnreachable means that a message got no answer.
 var errUnreachable = errors.New("mesh: no answer")
 
-// reach waits for the latency and returns the host at an address.
+// reach waits for a round trip and returns the host at an address. If that host cannot be reached,
+// it blocks until ctx ends.
 func (n *Node) reach(ctx context.Context, address string) (*Node, error) {
 	m := n.mesh
 	m.mu.Lock()
-	to, cut := m.nodes[address], m.cut
+	to, partitioned := m.nodes[address], m.partitioned
 	m.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(2 * m.Latency):
 	}
-	if to == nil || to.dead.Load() || n.dead.Load() || (cut != nil && cut(n, to)) {
+	if to == nil || to.killed.Load() || n.killed.Load() || (partitioned != nil && partitioned(n, to)) {
 		<-ctx.Done()
 		return nil, errUnreachable
 	}
 	return to, nil
 }
 
-// Heartbeat implements fleet.Caller; messages are coded as on the wire.
+// Heartbeat implements fleet.Caller. Messages are encoded as on the wire.
 func (n *Node) Heartbeat(ctx context.Context, address string, hb *fleet.Heartbeat) (*fleet.Heartbeat, error) {
 	to, err := n.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	var in, out fleet.Heartbeat
-	if err := n.code(to, hb, &in); err != nil {
+	if err := n.transcode(to, hb, &in); err != nil {
 		return nil, err
 	}
 	n.Messages.Add(1)
 	to.Messages.Add(1)
-	return &out, n.code(to, to.Agent.Receive(&in), &out)
+	return &out, n.transcode(to, to.Agent.Receive(&in), &out)
 }
 
-// code passes a message through JSON and counts its bytes at both ends.
-func (n *Node) code(to *Node, in, out any) error {
+// transcode encodes a message as JSON, decodes it, and counts its bytes at both hosts.
+func (n *Node) transcode(to *Node, in, out any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -162,16 +164,16 @@
 
 // Head implements revision.Peer.
 func (n *Node) Head(ctx context.Context, address string) ([]byte, error) {
-	return n.content(ctx, address, func(to *Node) []byte { return to.Follower.Head() })
+	return n.fetch(ctx, address, func(to *Node) []byte { return to.Follower.Head() })
 }
 
 // Chunk implements revision.Peer.
 func (n *Node) Chunk(ctx context.Context, address, digest string) ([]byte, error) {
-	return n.content(ctx, address, func(to *Node) []byte { return to.Follower.Chunk(digest) })
+	return n.fetch(ctx, address, func(to *Node) []byte { return to.Follower.Chunk(digest) })
 }
 
-// content reads something from another host and counts its bytes.
-func (n *Node) content(ctx context.Context, address string, get func(*Node) []byte) ([]byte, error) {
+// fetch reads data from another host and counts its bytes at both hosts.
+func (n *Node) fetch(ctx context.Context, address string, get func(*Node) []byte) ([]byte, error) {
 	to, err := n.reach(ctx, address)
 	if err != nil {
 		return nil, err
@@ -185,20 +187,20 @@
 	return b, nil
 }
 
-// LiveCount returns the number of hosts that n would name, itself included.
+// LiveCount returns the number of hosts that n considers live, itself included.
 func (n *Node) LiveCount() int {
 	live := 0
 	n.Agent.View(func(t *fleet.Table) { live = len(t.Live()) })
 	return live
 }
 
-// ConsidersLive reports whether n would name another host.
+// ConsidersLive reports whether n considers another host live.
 func (n *Node) ConsidersLive(other *Node) bool {
-	named := false
+	live := false
 	id := other.Agent.Self.Incarnation
 	n.Agent.View(func(t *fleet.Table) {
 		h, ok := t.Find(id)
-		named = ok && h.Live()
+		live = ok && h.Live()
 	})
-	return named
+	return live
 }
