--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -65,8 +65,8 @@
 	m.partitioned = partitioned
 }
 
-// Add starts a host that uses kv as its key-value service. On average two hosts of each zone, those
-// added first, watch the head.
+// Add starts a host that uses kv as its key-value service. The first two hosts of each zone watch
+// the head.
 func (m *Mesh) Add(ctx context.Context, kv keyval.KV) *Node {
 	m.mu.Lock()
 	i := len(m.nodes)
--- a/internal/simsite/site.go
+++ b/internal/simsite/site.go
@@ -98,16 +98,14 @@
 	return nil
 }
 
-// machineIP returns the IP address of machine n of a kind in a zone.
-func machineIP(kind, zone, n int) string {
-	return fmt.Sprintf("%d.%d.%d.%d", kind, zone, n/200, 1+n%200)
-}
+// ip returns the IP address of machine n of a kind in a zone.
+func ip(kind, zone, n int) string { return fmt.Sprintf("%d.%d.%d.%d", kind, zone, n/200, 1+n%200) }
 
 // hostBoot returns the settings of host i.
 func (s *Site) hostBoot(i, hosts int) platform.Boot {
 	b := s.Boot
 	zone := i % s.Zones
-	b.Host, b.Zone, b.Region, b.IP = fmt.Sprintf("host-%d", i), fmt.Sprintf("zone-%d", zone), "local", machineIP(10, zone, i)
+	b.Host, b.Zone, b.Region, b.IP = fmt.Sprintf("host-%d", i), fmt.Sprintf("zone-%d", zone), "local", ip(10, zone, i)
 	b.Front, b.Ready, b.Control, b.Directory = b.IP+":8221", b.IP+":8224", b.IP+":8229", b.IP+":8220"
 	b.PeerPort, b.Store, b.First = 7600, storeIP+":8225", true
 	b.Cores = 0.2
@@ -115,7 +113,7 @@
 		b.Cores = 0.8
 	}
 	for j := range min(3, hosts) {
-		b.Seeds = append(b.Seeds, machineIP(10, j%s.Zones, j)+":8229")
+		b.Seeds = append(b.Seeds, ip(10, j%s.Zones, j)+":8229")
 	}
 	return b
 }
@@ -183,7 +181,7 @@
 // AddEndpoint starts an endpoint.
 func (s *Site) AddEndpoint() error {
 	e := &Endpoint{Instance: fmt.Sprintf("plain-%d", s.endpointCount), site: s, zone: fmt.Sprintf("zone-%d", s.endpointCount%s.Zones)}
-	if err := e.start(machineIP(20, s.endpointCount%s.Zones, s.endpointCount)); err != nil {
+	if err := e.start(ip(20, s.endpointCount%s.Zones, s.endpointCount)); err != nil {
 		return err
 	}
 	s.Endpoints = append(s.Endpoints, e)
