--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -17,22 +17,22 @@
 	"github.com/heathkeel/heathkeel/internal/site"
 )
 
-// events is the length of streams.
-const events = 12
+// streamEvents is the number of events of a stream.
+const streamEvents = 12
 
-// keys are the keys of the workspaces in a generation of the configuration.
-func keys(generation int) [2]string {
+// workspaceKeys returns the keys of the large and the small workspace in a generation of keys.
+func workspaceKeys(generation int) [2]string {
 	return [2]string{fmt.Sprint("large-key-", generation), fmt.Sprint("small-key-", generation)}
 }
 
-// The small workspace's amount, in tokens: a rate, and a burst above it.
+// The small workspace's quota in tokens: the rate per second and the burst.
 const (
 	smallRate  = 400
 	smallBurst = 400
 )
 
-// config is a configuration of the example's routes with two workspaces.
-func config(version int, k [2]string) site.Config {
+// newConfig returns a configuration with the example's routes and two workspaces.
+func newConfig(version int, k [2]string) site.Config {
 	c := site.Example()
 	c.Version = version
 	large := c.Tenants[0]
@@ -50,81 +50,84 @@
 	stream     bool
 }
 
-// kinds are those that callers send.
+// kinds are the kinds of requests that callers send.
 var kinds = []kind{{"/push/", false, false}, {"/ask/", true, false}, {"/draft/", false, true}, {"/review/", true, true}}
 
-// sent is a request and what became of it, as its caller saw it.
-type sent struct {
-	id         string
-	kind       kind
-	host       *host
-	generation int
-	small      bool
-	at, over   time.Time
-	left       bool // the caller left at over
-	status     int
-	body       string
-	stamp      string
-	whole      bool
-	// planned says that when it was over its host was being stopped and nothing else disturbed it.
-	planned bool
-	// inTouch says that nothing had disturbed its host for the contact time when it was over.
-	inTouch bool
+// sentRequest is a request and its outcome, as its caller saw it.
+type sentRequest struct {
+	id              string
+	kind            kind
+	host            *host
+	generation      int
+	small           bool
+	sentAt, endedAt time.Time
+	callerLeft      bool // the caller disconnected at endedAt
+	status          int
+	body            string
+	stamp           string
+	complete        bool
+	// duringStop is set if the host was being stopped when the request ended and nothing else
+	// disturbed it.
+	duringStop bool
+	// hostUndisturbed is set if nothing had disturbed the host for the contact time when the
+	// request ended.
+	hostUndisturbed bool
 }
 
-// clients send requests until told to stop.
+// clients send requests until their context ends.
 type clients struct {
-	f *fleet
+	fleet *fleet
 
 	mu         sync.Mutex
-	generation int // of the keys in force
-	// withdrawn is when a generation of keys was withdrawn at the store.
+	generation int // of the current keys
+	// withdrawn holds the time at which each generation of keys was withdrawn at the store.
 	withdrawn map[int]time.Time
-	sent      []*sent
+	sent      []*sentRequest
 }
 
-// tokens is what each request counts.
-const tokens = 40
+// requestTokens is the number of tokens that each request counts for.
+const requestTokens = 40
 
-// run is one caller: it keeps connections and uses them until they end.
+// run sends the requests of one caller, which keeps connections open and reuses them.
 func (c *clients) run(ctx context.Context, r *rand.Rand) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	h := c.f.hosts[r.IntN(len(c.f.hosts))]
+	h := c.fleet.hosts[r.IntN(len(c.fleet.hosts))]
 	for ctx.Err() == nil {
 		if r.IntN(12) == 0 {
-			h = c.f.hosts[r.IntN(len(c.f.hosts))]
+			h = c.fleet.hosts[r.IntN(len(c.fleet.hosts))]
 		}
-		s := c.next(h, r)
+		s := c.nextRequest(h, r)
 		leave := time.Duration(0)
 		if r.IntN(10) == 0 {
 			leave = time.Duration(1+r.IntN(250)) * time.Millisecond
 		}
 		c.do(transport, s, leave)
 		if s.status != http.StatusOK {
-			h = c.f.hosts[r.IntN(len(c.f.hosts))] // as a caller that leaves out an address that failed it
+			h = c.fleet.hosts[r.IntN(len(c.fleet.hosts))] // as a caller that avoids an address that failed
 		}
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 	}
 }
 
-// next is the next request of a caller.
-func (c *clients) next(h *host, r *rand.Rand) *sent {
+// nextRequest creates and records the next request of a caller.
+func (c *clients) nextRequest(h *host, r *rand.Rand) *sentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := &sent{id: fmt.Sprint("id-", len(c.sent)+1), kind: kinds[r.IntN(len(kinds))], host: h, generation: c.generation, small: r.IntN(4) == 0, at: time.Now()}
+	s := &sentRequest{id: fmt.Sprint("id-", len(c.sent)+1), kind: kinds[r.IntN(len(kinds))], host: h, generation: c.generation, small: r.IntN(4) == 0, sentAt: time.Now()}
 	if c.generation > 0 && r.IntN(15) == 0 {
-		s.generation-- // a caller that has not heard of the new key
+		s.generation-- // a caller that does not have the new key yet
 	}
 	c.sent = append(c.sent, s)
 	return s
 }
 
-// once is a body that cannot be sent again: the library repeats nothing by itself.
-type once struct{ io.Reader }
+// oneTimeBody is a body that cannot be read again, so that the HTTP library repeats no request by
+// itself.
+type oneTimeBody struct{ io.Reader }
 
-// do sends a request and waits for its answer; leave is when the caller leaves, 0 for never.
-func (c *clients) do(t *http.Transport, s *sent, leave time.Duration) {
+// do sends a request and waits for its answer. The caller disconnects after leave; 0 means never.
+func (c *clients) do(t *http.Transport, s *sentRequest, leave time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if leave > 0 {
@@ -134,22 +137,22 @@
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		s.over = time.Now()
-		s.left = leave > 0 && ctx.Err() != nil
-		s.planned, s.inTouch = s.host.onlyStopping(s.at), s.host.inTouch(s.over)
+		s.endedAt = time.Now()
+		s.callerLeft = leave > 0 && ctx.Err() != nil
+		s.duringStop, s.hostUndisturbed = s.host.onlyStopping(s.sentAt), s.host.isUndisturbed(s.endedAt)
 	}()
-	k := keys(s.generation)[0]
+	k := workspaceKeys(s.generation)[0]
 	if s.small {
-		k = keys(s.generation)[1]
+		k = workspaceKeys(s.generation)[1]
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.host.front+s.kind.path+"x", once{strings.NewReader("body of " + s.id)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.host.front+s.kind.path+"x", oneTimeBody{strings.NewReader("body of " + s.id)})
 	if err != nil {
 		panic(err)
 	}
 	req.Host = site.HostName
 	req.Header.Set("Heathkeel-Attempt-Id", s.id)
 	req.Header.Set("Authorization", "Token "+k)
-	req.Header.Set("Heathkeel-Token-Count", fmt.Sprintf("%d,%d", tokens/2, tokens/2))
+	req.Header.Set("Heathkeel-Token-Count", fmt.Sprintf("%d,%d", requestTokens/2, requestTokens/2))
 	req.Header.Set("Heathkeel-Deadline-Ms", "8000")
 	resp, err := t.RoundTrip(req)
 	if err != nil {
@@ -159,44 +162,44 @@
 	b, err := io.ReadAll(resp.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.status, s.body, s.whole = resp.StatusCode, string(b), err == nil
+	s.status, s.body, s.complete = resp.StatusCode, string(b), err == nil
 	s.stamp = resp.Header.Get("Heathkeel-Response-Stamp")
 }
 
-// inForce is the generation of the keys in force.
-func (c *clients) inForce() int {
+// currentGeneration returns the generation of the current keys.
+func (c *clients) currentGeneration() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.generation
 }
 
-// rotate makes callers use the next keys.
-func (c *clients) rotate() {
+// rotateKeys makes callers use the next generation of keys.
+func (c *clients) rotateKeys() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.generation++
 }
 
-// withdraw notes that a generation of keys was withdrawn at the store.
-func (c *clients) withdraw(generation int) {
+// noteWithdrawn records that a generation of keys was withdrawn at the store.
+func (c *clients) noteWithdrawn(generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.withdrawn[generation] = time.Now()
 }
 
-// all are the requests so far.
-func (c *clients) all() []*sent {
+// requests returns all requests so far.
+func (c *clients) requests() []*sentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]*sent(nil), c.sent...)
+	return append([]*sentRequest(nil), c.sent...)
 }
 
-// recent are the newest requests.
-func (c *clients) recent() []*sent {
+// recent returns the latest requests.
+func (c *clients) recent() []*sentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]*sent(nil), c.sent[max(0, len(c.sent)-recentRequests):]...)
+	return append([]*sentRequest(nil), c.sent[max(0, len(c.sent)-recentRequests):]...)
 }
 
-// recentRequests covers those that were sent in the last seconds.
+// recentRequests is large enough for the requests of the last seconds.
 const recentRequests = 2000
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -2,14 +2,14 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package soak is a randomized test of the real programs: it starts hkedge as processes of its own on
-// loopback, before stand-ins of the platform's store and of endpoints, with callers, and brings
-// about faults from outside: proxies that delay, hold, reset and silence connections, signals, changes
-// of settings, a store that fails, endpoints that fail and leave. The promises are checked
-// from what callers and endpoints see.
+// Package soak is a randomized test of the real programs. It starts hkedge as separate processes on
+// loopback, with stand-ins of the platform's store and of endpoints behind them and callers in
+// front of them. It injects faults from outside: proxies that delay, stall, reset and silence
+// connections, signals, changes of settings, a store that fails, and endpoints that fail and leave.
+// The promises are checked against what callers and endpoints see.
 //
-// The package holds tests only. The rule that a process starts no other is one of the product's
-// programs; the driver here is a developers' tool. It ends only processes that it started.
+// The package holds tests only. The rule that a process starts no other process applies to the
+// product's programs; this driver is a developers' tool. It ends only processes that it started.
 //
 //	go test ./internal/soak                                          one short run with a fixed seed, as in CI
 //	HEATHKEEL_SOAK=50 go test -v -timeout 1h ./internal/soak         fifty seeds, with the promises about time
@@ -17,7 +17,8 @@
 //	HEATHKEEL_SOAK=1 HEATHKEEL_SOAK_HOSTS=60 go test -v ./internal/soak
 //	HEATHKEEL_SOAK_LEAVERS=1 go test -v -run TestLeaversAtSize ./internal/soak
 //
-// The last plays 78 processes on one core of the machine, each stopped for moments, and holds them to the drain time.
+// The last command runs 78 processes on one core of the machine, stops each of them again and again
+// for short times, and checks the drain time.
 //
-// A seed gives the same faults in the same order, not at the same moments.
+// A seed gives the same faults in the same order, but not at the same times.
 package soak
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -17,80 +17,81 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// chaos brings faults about, several at once.
-type chaos struct {
-	f    *fleet
-	c    *clients
-	rand *rand.Rand
+// faultInjector injects faults, several at once.
+type faultInjector struct {
+	fleet   *fleet
+	clients *clients
+	rand    *rand.Rand
 
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	busy  map[*host]bool // hosts whose process is being ended
-	log   []string
-	began time.Time
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	claimed   map[*host]bool // hosts whose process one of the faults ends or pauses
+	begun     []string
+	startedAt time.Time
 
-	writing sync.Mutex // one operator at a time
-	version int
+	configMu      sync.Mutex // held while the configuration is changed
+	configVersion int
 }
 
-// fault is one thing that goes wrong, or is changed. What it draws, it draws before it waits.
+// fault is a fault or a change. prepare makes all random choices and returns the function that
+// injects the fault and waits for its end, so that a seed always gives the same choices.
 type fault struct {
-	name string
-	do   func(c *chaos) func()
+	name    string
+	prepare func(c *faultInjector) func()
 }
 
-// faults are all, in a fixed order.
+// faults lists all faults in a fixed order.
 var faults = []fault{
-	{"store-down", (*chaos).storeDown},
-	{"store-slow", (*chaos).storeSlow},
-	{"store-forgets", (*chaos).storeForgets},
-	{"store-link", (*chaos).storeLink},
-	{"store-silent", (*chaos).storeSilent},
-	{"kill", (*chaos).kill},
-	{"stop", (*chaos).stop},
-	{"pause", (*chaos).pause},
-	{"hup", (*chaos).hup},
-	{"callers-link", (*chaos).callersLink},
-	{"endpoint-link", (*chaos).endpointLink},
-	{"endpoint-silent", (*chaos).endpointSilent},
-	{"endpoint-fails", (*chaos).endpointFails},
-	{"endpoint-leaves", (*chaos).endpointLeaves},
-	{"endpoint-leaves", (*chaos).endpointLeaves},
-	{"settings", (*chaos).settings},
+	{"store-down", (*faultInjector).storeDown},
+	{"store-slow", (*faultInjector).storeSlow},
+	{"store-forgets", (*faultInjector).storeDropsHistory},
+	{"store-link", (*faultInjector).disturbStoreProxy},
+	{"store-silent", (*faultInjector).silenceStore},
+	{"kill", (*faultInjector).kill},
+	{"stop", (*faultInjector).stop},
+	{"pause", (*faultInjector).pause},
+	{"hup", (*faultInjector).reloadSettings},
+	{"callers-link", (*faultInjector).disturbCallerProxy},
+	{"endpoint-link", (*faultInjector).disturbEndpointProxy},
+	{"endpoint-silent", (*faultInjector).silenceEndpoint},
+	{"endpoint-fails", (*faultInjector).endpointFails},
+	{"endpoint-leaves", (*faultInjector).endpointLeaves},
+	{"endpoint-leaves", (*faultInjector).endpointLeaves},
+	{"settings", (*faultInjector).changeSettings},
 }
 
-// run begins faults until ctx ends, and waits for those that go on.
-func (c *chaos) run(ctx context.Context) {
+// run begins faults until ctx ends, and then waits for the pending ones.
+func (c *faultInjector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f := faults[c.rand.IntN(len(faults))]
-		end := f.do(c)
-		c.note(f.name)
+		end := f.prepare(c)
+		c.logFault(f.name)
 		c.wg.Go(end)
 		time.Sleep(time.Duration(150+c.rand.IntN(900)) * time.Millisecond)
 	}
 	c.wg.Wait()
 }
 
-// note keeps what was begun when, for the report of a run.
-func (c *chaos) note(what string) {
+// logFault records which fault began and when, for the report of a failed run.
+func (c *faultInjector) logFault(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log = append(c.log, fmt.Sprintf("%.2f s %s", time.Since(c.began).Seconds(), what))
+	c.begun = append(c.begun, fmt.Sprintf("%.2f s %s", time.Since(c.startedAt).Seconds(), what))
 }
 
-// between draws a time.
-func (c *chaos) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.rand.Int64N(int64(most-least)))
+// randomDuration returns a duration from shortest up to longest.
+func (c *faultInjector) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(c.rand.Int64N(int64(longest-shortest)))
 }
 
-// pick draws a host.
-func (c *chaos) pick() *host { return c.f.hosts[c.rand.IntN(len(c.f.hosts))] }
+// randomHost returns a random host.
+func (c *faultInjector) randomHost() *host { return c.fleet.hosts[c.rand.IntN(len(c.fleet.hosts))] }
 
-// everyone notes a trouble of all hosts.
-func (c *chaos) everyone() func() {
+// disturbAllHosts begins a disturbance of all hosts and returns the function that ends it.
+func (c *faultInjector) disturbAllHosts() func() {
 	var ends []func()
-	for _, h := range c.f.hosts {
-		ends = append(ends, h.trouble())
+	for _, h := range c.fleet.hosts {
+		ends = append(ends, h.beginDisturbance())
 	}
 	return func() {
 		for _, end := range ends {
@@ -99,216 +100,218 @@
 	}
 }
 
-// storeDown lets the store answer nobody.
-func (c *chaos) storeDown() func() {
-	moods := []site.StoreFault{{Status: 503}, {Reset: true}, {Hang: 3 * time.Second}, {Status: 429}}
-	mood, span, forgets := moods[c.rand.IntN(len(moods))], c.between(300*time.Millisecond, 6*time.Second), c.rand.IntN(3) == 0
+// storeDown makes the store fail all calls for some time.
+func (c *faultInjector) storeDown() func() {
+	storeFaults := []site.StoreFault{{Status: 503}, {Reset: true}, {Hang: 3 * time.Second}, {Status: 429}}
+	storeFault, duration, dropHistory := storeFaults[c.rand.IntN(len(storeFaults))], c.randomDuration(300*time.Millisecond, 6*time.Second), c.rand.IntN(3) == 0
 	return func() {
-		calm := c.everyone()
-		c.f.store.SetFault(mood)
-		time.Sleep(span)
-		if forgets {
-			c.f.store.DropHistory()
+		end := c.disturbAllHosts()
+		c.fleet.store.SetFault(storeFault)
+		time.Sleep(duration)
+		if dropHistory {
+			c.fleet.store.DropHistory()
 		}
-		c.f.store.SetFault(site.StoreFault{})
-		calm()
+		c.fleet.store.SetFault(site.StoreFault{})
+		end()
 	}
 }
 
-// storeSlow makes its answers late.
-func (c *chaos) storeSlow() func() {
-	slow, span := c.between(50*time.Millisecond, 700*time.Millisecond), c.between(time.Second, 4*time.Second)
+// storeSlow delays the store's answers for some time.
+func (c *faultInjector) storeSlow() func() {
+	delay, duration := c.randomDuration(50*time.Millisecond, 700*time.Millisecond), c.randomDuration(time.Second, 4*time.Second)
 	return func() {
-		calm := c.everyone()
-		c.f.store.SetFault(site.StoreFault{Delay: slow})
-		time.Sleep(span)
-		c.f.store.SetFault(site.StoreFault{})
-		calm()
+		end := c.disturbAllHosts()
+		c.fleet.store.SetFault(site.StoreFault{Delay: delay})
+		time.Sleep(duration)
+		c.fleet.store.SetFault(site.StoreFault{})
+		end()
 	}
 }
 
-// storeForgets drops its history.
-func (c *chaos) storeForgets() func() {
+// storeDropsHistory makes the store drop its history of changes.
+func (c *faultInjector) storeDropsHistory() func() {
 	return func() {
-		c.f.store.DropHistory()
-		c.everyone()()
+		c.fleet.store.DropHistory()
+		c.disturbAllHosts()()
 	}
 }
 
-// storeLink harms a host's way to the store.
-func (c *chaos) storeLink() func() {
-	h, how, span := c.pick(), c.rand.IntN(4), c.between(500*time.Millisecond, 6*time.Second)
+// disturbStoreProxy disturbs the connections between a host and the store.
+func (c *faultInjector) disturbStoreProxy() func() {
+	h, mode, duration := c.randomHost(), c.rand.IntN(4), c.randomDuration(500*time.Millisecond, 6*time.Second)
 	return func() {
-		defer h.trouble()()
-		harm(h.store, how, span)
+		defer h.beginDisturbance()()
+		disturbProxy(h.storeProxy, mode, duration)
 	}
 }
 
-// storeSilent silences the connections to the store that are open, of one host or of all.
-func (c *chaos) storeSilent() func() {
-	hosts := c.f.hosts
+// silenceStore silences the open connections to the store, of one host or of all.
+func (c *faultInjector) silenceStore() func() {
+	hosts := c.fleet.hosts
 	if c.rand.IntN(2) == 0 {
-		hosts = []*host{c.pick()}
+		hosts = []*host{c.randomHost()}
 	}
 	return func() {
 		for _, h := range hosts {
-			h.store.Silence()
-			h.trouble()()
+			h.storeProxy.Silence()
+			h.beginDisturbance()()
 		}
 	}
 }
 
-// harm harms a link for a time.
-func harm(p *link.Proxy, how int, span time.Duration) {
-	switch how {
+// disturbProxy disturbs a proxy for some time, in one of four modes.
+func disturbProxy(p *link.Proxy, mode int, duration time.Duration) {
+	switch mode {
 	case 0:
 		p.Refuse(true)
 		p.Reset()
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.Refuse(false)
 	case 1:
 		p.Stall(link.Upstream, true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.Stall(link.Upstream, false)
 	case 2:
 		p.Stall(link.Downstream, true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.Stall(link.Downstream, false)
 	default:
 		p.Delay(40 * time.Millisecond)
-		time.Sleep(span)
+		time.Sleep(duration)
 		p.Delay(0)
 	}
 }
 
-// callersLink harms the way from callers to a host; at times its connections fall silent.
-func (c *chaos) callersLink() func() {
-	h, how, span := c.pick(), c.rand.IntN(5), c.between(300*time.Millisecond, 2*time.Second)
+// disturbCallerProxy disturbs the connections between callers and a host, or silences the open
+// ones.
+func (c *faultInjector) disturbCallerProxy() func() {
+	h, mode, duration := c.randomHost(), c.rand.IntN(5), c.randomDuration(300*time.Millisecond, 2*time.Second)
 	return func() {
-		defer h.trouble()()
-		if how == 4 {
-			h.calls.Silence()
+		defer h.beginDisturbance()()
+		if mode == 4 {
+			h.callerProxy.Silence()
 			return
 		}
-		harm(h.calls, how, span)
+		disturbProxy(h.callerProxy, mode, duration)
 	}
 }
 
-// member draws an endpoint that stays.
-func (c *chaos) member() *member {
-	list := c.f.staying("")
+// randomEndpoint returns a random endpoint that is not leaving.
+func (c *faultInjector) randomEndpoint() *fleetEndpoint {
+	list := c.fleet.stayingEndpoints("")
 	return list[c.rand.IntN(len(list))]
 }
 
-// endpointLink harms the way to an endpoint.
-func (c *chaos) endpointLink() func() {
-	m, how, span := c.member(), c.rand.IntN(4), c.between(300*time.Millisecond, 3*time.Second)
+// disturbEndpointProxy disturbs the connections to an endpoint.
+func (c *faultInjector) disturbEndpointProxy() func() {
+	m, mode, duration := c.randomEndpoint(), c.rand.IntN(4), c.randomDuration(300*time.Millisecond, 3*time.Second)
 	return func() {
-		defer m.trouble()()
-		harm(m.Proxy, how, span)
+		defer m.beginDisturbance()()
+		disturbProxy(m.Proxy, mode, duration)
 	}
 }
 
-// endpointSilent silences the connections to an endpoint that are open.
-func (c *chaos) endpointSilent() func() {
-	m := c.member()
+// silenceEndpoint silences the open connections to an endpoint.
+func (c *faultInjector) silenceEndpoint() func() {
+	m := c.randomEndpoint()
 	return func() {
 		m.Proxy.Silence()
-		m.trouble()()
+		m.beginDisturbance()()
 	}
 }
 
-// endpointFails lets an endpoint fail some requests.
-func (c *chaos) endpointFails() func() {
+// endpointFails sets faults for some requests at an endpoint.
+func (c *faultInjector) endpointFails() func() {
 	list := []site.Fault{
 		site.Full, site.Error, site.Reset, site.Hang, site.Truncated, site.TruncatedEvent, site.InvalidAnswer, site.NoStamp, site.ExtraAnswer,
 		site.WrongAnswer, site.Unframed, site.UnframedReset, site.HangEvent, site.SkipEvent, site.DoubleEvent, site.Closing, site.Interim,
 	}
-	m := c.member()
+	m := c.randomEndpoint()
 	var some []site.Fault
 	for range 1 + c.rand.IntN(5) {
 		some = append(some, list[c.rand.IntN(len(list))])
 	}
 	return func() {
-		defer m.trouble()()
+		defer m.beginDisturbance()()
 		m.SetFaults(some...)
 		time.Sleep(time.Second)
 	}
 }
 
-// endpointLeaves lets an endpoint leave after another one has come: most say so, some do not,
-// and some go on for long.
-func (c *chaos) endpointLeaves() func() {
-	m, says, stays := c.member(), c.rand.IntN(3) > 0, c.between(c.f.drain, 9*time.Second)
-	if len(c.f.staying(m.service)) < 2 {
+// endpointLeaves retires an endpoint, unless its service would keep none. Two thirds of leaving
+// endpoints announce it, and some serve for long after that.
+func (c *faultInjector) endpointLeaves() func() {
+	m, announced, entryTime := c.randomEndpoint(), c.rand.IntN(3) > 0, c.randomDuration(c.fleet.drain, 9*time.Second)
+	if len(c.fleet.stayingEndpoints(m.service)) < 2 {
 		return func() {}
 	}
-	return func() { c.f.letLeave(m, says, stays, stays/2) }
+	return func() { c.fleet.retireEndpoint(m, announced, entryTime, entryTime/2) }
 }
 
-// letLeave lets an endpoint leave, with or without a word, after another one has come. Its entry is gone after a time at the latest, and it
-// serves on for some time more.
-func (f *fleet) letLeave(m *member, says bool, stays, more time.Duration) {
+// retireEndpoint starts a replacement and makes an endpoint leave: with announced set its entry is
+// marked as draining and removed after entryTime, otherwise it is removed at once. The
+// endpoint serves for entryTime and then for serveTime more.
+func (f *fleet) retireEndpoint(m *fleetEndpoint, announced bool, entryTime, serveTime time.Duration) {
 	if err := f.addEndpoint(m.service); err != nil {
 		panic(err)
 	}
 	key := platform.PrefixEndpoints + m.Instance
-	if says {
+	if announced {
 		f.store.Put(key, f.entry(m, "draining"))
 	} else {
 		f.store.Remove(key)
 	}
 	m.mu.Lock()
-	m.left = time.Now()
+	m.leftAt = time.Now()
 	m.mu.Unlock()
-	time.Sleep(stays)
-	if says {
+	time.Sleep(entryTime)
+	if announced {
 		f.store.Remove(key)
 	}
-	time.Sleep(more)
+	time.Sleep(serveTime)
 	m.Stop()
 }
 
-// settings changes the configuration, often with new keys, several times in a row.
-func (c *chaos) settings() func() {
+// changeSettings changes the configuration up to three times in a row, often with new keys.
+func (c *faultInjector) changeSettings() func() {
 	times, rotate := 1+c.rand.IntN(3), c.rand.IntN(2) == 0
 	return func() {
 		for range times {
-			c.change(rotate)
+			c.changeConfig(rotate)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// change writes a configuration. New keys are added before the old ones are withdrawn.
-func (c *chaos) change(rotate bool) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	generation := c.c.inForce()
+// changeConfig writes a configuration. New keys are added before the old ones are withdrawn.
+func (c *faultInjector) changeConfig(rotate bool) {
+	c.configMu.Lock()
+	defer c.configMu.Unlock()
+	generation := c.clients.currentGeneration()
 	if !rotate {
-		c.version++
-		c.f.store.Put(platform.KeyConfig, config(c.version, keys(generation)))
+		c.configVersion++
+		c.fleet.store.Put(platform.KeyConfig, newConfig(c.configVersion, workspaceKeys(generation)))
 		return
 	}
-	both := config(c.version+1, keys(generation))
-	for i, k := range keys(generation + 1) {
+	both := newConfig(c.configVersion+1, workspaceKeys(generation))
+	for i, k := range workspaceKeys(generation + 1) {
 		both.Tenants[i].Keys = append(both.Tenants[i].Keys, k)
 	}
-	c.f.store.Put(platform.KeyConfig, both)
-	time.Sleep(settle)
-	c.c.rotate()
-	time.Sleep(settle / 2)
-	c.version += 2
-	c.f.store.Put(platform.KeyConfig, config(c.version, keys(generation+1)))
-	c.c.withdraw(generation)
+	c.fleet.store.Put(platform.KeyConfig, both)
+	time.Sleep(applyTime)
+	c.clients.rotateKeys()
+	time.Sleep(applyTime / 2)
+	c.configVersion += 2
+	c.fleet.store.Put(platform.KeyConfig, newConfig(c.configVersion, workspaceKeys(generation+1)))
+	c.clients.noteWithdrawn(generation)
 }
 
-// settle is the time in which hosts in touch put a configuration in force.
-const settle = 2500 * time.Millisecond
+// applyTime is the time in which undisturbed hosts put a configuration in force.
+const applyTime = 2500 * time.Millisecond
 
-// story is what was begun, in order.
-func (c *chaos) story() []string {
+// faultLog returns the faults begun so far, in order.
+func (c *faultInjector) faultLog() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.log)
+	return slices.Clone(c.begun)
 }
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -26,124 +26,125 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Bounds of the platform as the hosts' settings files give them.
+// Limits in the hosts' settings files.
 const (
-	revoke = 5 * time.Second
-	grace  = 4 * time.Second
-	// quotaWindow, quotaOvershoot and quotaSlack are what hosts may get wrong of an amount.
+	revokeTime  = 5 * time.Second
+	gracePeriod = 4 * time.Second
+	// quotaWindow, quotaOvershoot and quotaSlack bound the excess over a quota.
 	quotaWindow    = 8 * time.Second
 	quotaOvershoot = 0.1
 	quotaSlack     = 400
 )
 
-// bounds are those that depend on the size of a deployment.
-type bounds struct {
+// limits are the limits that depend on the size of a deployment.
+type limits struct {
 	contact, drain, config time.Duration
-	strict                 bool // keys are not taken by settings that may be too old
+	strict                 bool // hosts accept no keys when their settings may be too old
 }
 
-// The bounds of deployments of a few hosts, and of tens.
+// Limits for deployments of a few hosts and of tens of hosts.
 var (
-	fewBounds  = bounds{contact: 3 * time.Second, drain: 2 * time.Second, config: 2 * time.Second, strict: true}
-	manyBounds = bounds{contact: 4 * time.Second, drain: 3 * time.Second, config: 3 * time.Second}
+	smallFleetLimits = limits{contact: 3 * time.Second, drain: 2 * time.Second, config: 2 * time.Second, strict: true}
+	largeFleetLimits = limits{contact: 4 * time.Second, drain: 3 * time.Second, config: 3 * time.Second}
 )
 
-// host is a host's process, the links to it, and since when nothing disturbs it.
+// host is a host with its process, its proxies and its disturbances.
 type host struct {
-	bounds
-	name  string
-	front string // where callers connect: a link
-	boot  string // the text of its settings file
-	path  string
-	ready string
-	store *link.Proxy // to the store
-	calls *link.Proxy // from callers
-
-	mu       sync.Mutex
-	process  *exec.Cmd
-	ended    chan struct{}
-	lives    int
-	troubles int       // faults on it now
-	calmFrom time.Time // when the last one ended
-	stopping time.Time // when SIGTERM was sent, zero if not
+	limits
+	name         string
+	front        string // address for callers, of callerProxy
+	settings     string // content of the settings file
+	settingsPath string
+	readyAddress string
+	storeProxy   *link.Proxy // to the store
+	callerProxy  *link.Proxy // from callers
+
+	mu               sync.Mutex
+	process          *exec.Cmd
+	ended            chan struct{}
+	starts           int
+	disturbances     int       // number of current faults
+	undisturbedSince time.Time // when the last fault ended
+	stoppingSince    time.Time // when SIGTERM was sent, zero if it was not
 }
 
-// trouble notes the begin of a fault, and returns what notes its end.
-func (h *host) trouble() func() {
+// beginDisturbance records the begin of a fault and returns the function that records its end.
+func (h *host) beginDisturbance() func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.troubles++
+	h.disturbances++
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.troubles--
-		h.calmFrom = time.Now()
+		h.disturbances--
+		h.undisturbedSince = time.Now()
 	}
 }
 
-// inTouch reports whether nothing has disturbed a host for the contact time.
-func (h *host) inTouch(at time.Time) bool {
+// isUndisturbed reports whether nothing has disturbed the host for the contact time before at.
+func (h *host) isUndisturbed(at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.troubles == 0 && at.Sub(h.calmFrom) > h.contact
+	return h.disturbances == 0 && at.Sub(h.undisturbedSince) > h.contact
 }
 
-// onlyStopping reports whether a host is being stopped, and nothing else has disturbed it since
-// the contact time before a moment.
+// onlyStopping reports whether the host is being stopped and nothing else has disturbed it from the
+// contact time before since until now.
 func (h *host) onlyStopping(since time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.stopping.IsZero() && h.troubles == 0 && since.Sub(h.calmFrom) > h.contact
+	return !h.stoppingSince.IsZero() && h.disturbances == 0 && since.Sub(h.undisturbedSince) > h.contact
 }
 
-// fleet is the hosts, the store and the endpoints of one run.
+// fleet holds the hosts, the store and the endpoints of one run.
 type fleet struct {
-	bounds
-	dir       string
-	program   string
-	hosts     []*host
-	store     *site.Store
-	server    *http.Server
-	mu        sync.Mutex
-	endpoints []*member
-	started   int
-	cores     []int
+	limits
+	dir           string
+	program       string
+	hosts         []*host
+	store         *site.Store
+	server        *http.Server
+	mu            sync.Mutex
+	endpoints     []*fleetEndpoint
+	endpointCount int
+	cores         []int
 }
 
-// member is an endpoint and what disturbs the link to it.
-type member struct {
-	bounds
+// fleetEndpoint is an endpoint with the disturbances of its proxy.
+type fleetEndpoint struct {
+	limits
 	*site.Endpoint
 	service string
 
-	mu       sync.Mutex
-	left     time.Time // when its leaving was acknowledged, zero while it stays
-	troubles int
-	calmFrom time.Time
+	mu               sync.Mutex
+	leftAt           time.Time // when the store accepted its leaving, zero before
+	disturbances     int
+	undisturbedSince time.Time
 }
 
-// trouble notes the begin of a fault, and returns what notes its end.
-func (m *member) trouble() func() {
+// beginDisturbance records the begin of a fault and returns the function that records its end.
+func (m *fleetEndpoint) beginDisturbance() func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.troubles++
+	m.disturbances++
 	return func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.troubles--
-		m.calmFrom = time.Now()
+		m.disturbances--
+		m.undisturbedSince = time.Now()
 	}
 }
 
-// calm reports whether its link was sound for the contact time.
-func (m *member) calm(at time.Time) bool {
+// isUndisturbed reports whether nothing has disturbed the endpoint's proxy for the contact time
+// before at.
+func (m *fleetEndpoint) isUndisturbed(at time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.troubles == 0 && at.Sub(m.calmFrom) > m.contact
+	return m.disturbances == 0 && at.Sub(m.undisturbedSince) > m.contact
 }
 
-// build makes the program once for all runs.
-var build = sync.OnceValues(func() (string, error) {
+// buildProgram builds hkedge once for all runs and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return "", err
@@ -156,57 +157,58 @@
 	return path, nil
 })
 
-// newFleet starts a fleet of a few endpoints.
-func newFleet(t *testing.T, base, hosts int) *fleet {
-	return newFleetOf(t, base, size{bounds: fewBounds, hosts: hosts, plain: 3, engines: 3})
+// newFleet starts a fleet with a few endpoints.
+func newFleet(t *testing.T, runNumber, hosts int) *fleet {
+	return newFleetWith(t, runNumber, fleetOptions{limits: smallFleetLimits, hosts: hosts, plain: 3, engines: 3})
 }
 
-// size is what a fleet is like.
-type size struct {
-	bounds
+// fleetOptions describes a fleet.
+type fleetOptions struct {
+	limits
 	hosts, plain, engines int
-	// cores are the processors that the hosts' processes share, nil for all.
+	// cores lists the processors that the hosts' processes share; nil means all.
 	cores []int
 }
 
-// newFleetOf starts the store, endpoints and hosts; base tells runs beside each other apart.
-func newFleetOf(t *testing.T, base int, z size) *fleet {
-	program, err := build()
+// newFleetWith starts the store, endpoints and hosts. Concurrent runs must have different run
+// numbers, which determine addresses.
+func newFleetWith(t *testing.T, runNumber int, opts fleetOptions) *fleet {
+	program, err := buildProgram()
 	must.NoError(t, err)
-	f := &fleet{bounds: z.bounds, cores: z.cores, dir: t.TempDir(), program: program, store: site.NewStore()}
+	f := &fleet{limits: opts.limits, cores: opts.cores, dir: t.TempDir(), program: program, store: site.NewStore()}
 	if keep := os.Getenv("HEATHKEEL_SOAK_LOGS"); keep != "" {
-		f.dir = filepath.Join(keep, fmt.Sprint("run-", base))
+		f.dir = filepath.Join(keep, fmt.Sprint("run-", runNumber))
 		must.NoError(t, os.MkdirAll(f.dir, 0o755))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	f.server = &http.Server{Handler: f.store.Handler(), ReadHeaderTimeout: time.Minute}
 	go func() { _ = f.server.Serve(l) }()
-	f.store.Put(platform.KeyConfig, config(1, keys(0)))
-	for range z.plain {
+	f.store.Put(platform.KeyConfig, newConfig(1, workspaceKeys(0)))
+	for range opts.plain {
 		must.NoError(t, f.addEndpoint(site.Plain))
 	}
-	for range z.engines {
+	for range opts.engines {
 		must.NoError(t, f.addEndpoint(site.Engines))
 	}
 	t.Cleanup(f.stop)
-	for i := range z.hosts {
-		h, err := f.newHost(base, i, l.Addr().String())
+	for i := range opts.hosts {
+		h, err := f.newHost(runNumber, i, l.Addr().String())
 		must.NoError(t, err)
 		f.hosts = append(f.hosts, h)
 	}
 	for _, h := range f.hosts {
-		h.boot = strings.ReplaceAll(h.boot, "SEEDS", f.seeds())
+		h.settings = strings.ReplaceAll(h.settings, "SEEDS", f.seeds())
 		must.NoError(t, f.start(h))
 	}
 	return f
 }
 
-// seeds are the control addresses of the first three hosts.
+// seeds returns the control addresses of the first three hosts.
 func (f *fleet) seeds() string {
 	var out []string
 	for _, h := range f.hosts[:min(3, len(f.hosts))] {
-		for _, line := range strings.Split(h.boot, "\n") {
+		for _, line := range strings.Split(h.settings, "\n") {
 			if at, ok := strings.CutPrefix(line, "Listen.Control="); ok {
 				out = append(out, at)
 			}
@@ -215,26 +217,26 @@
 	return strings.Join(out, ",")
 }
 
-// ports are the ports of every host, alike on all of a run. They lie below those that the system
-// hands out.
-func ports(base int) int { return 12000 + base%200*16 }
+// basePort returns the first port of every host of a run. Ports are below the range from which the
+// system assigns ephemeral ports.
+func basePort(runNumber int) int { return 12000 + runNumber%200*16 }
 
-// newHost lays a host's settings and links.
-func (f *fleet) newHost(base, i int, store string) (*host, error) {
-	ip := fmt.Sprintf("127.%d.%d.%d", 20+base%200, i/200, 1+i%200)
-	p := ports(base)
-	at := func(n int) string { return fmt.Sprintf("%s:%d", ip, p+n) }
+// newHost creates a host's settings and starts its proxies.
+func (f *fleet) newHost(runNumber, i int, storeAddress string) (*host, error) {
+	ip := fmt.Sprintf("127.%d.%d.%d", 20+runNumber%200, i/200, 1+i%200)
+	p := basePort(runNumber)
+	address := func(n int) string { return fmt.Sprintf("%s:%d", ip, p+n) }
 	h := &host{
-		bounds: f.bounds, name: fmt.Sprintf("host-%d", i), ready: at(1), path: filepath.Join(f.dir, fmt.Sprintf("host-%d.conf", i)),
-		store: &link.Proxy{Listen: "127.0.0.1:0", Target: store}, calls: &link.Proxy{Listen: "127.0.0.1:0", Target: at(0)},
+		limits: f.limits, name: fmt.Sprintf("host-%d", i), readyAddress: address(1), settingsPath: filepath.Join(f.dir, fmt.Sprintf("host-%d.conf", i)),
+		storeProxy: &link.Proxy{Listen: "127.0.0.1:0", Target: storeAddress}, callerProxy: &link.Proxy{Listen: "127.0.0.1:0", Target: address(0)},
 	}
-	for _, p := range []*link.Proxy{h.store, h.calls} {
+	for _, p := range []*link.Proxy{h.storeProxy, h.callerProxy} {
 		if err := p.Start(); err != nil {
 			return nil, err
 		}
 	}
-	h.front = h.calls.Listen
-	h.boot = fmt.Sprintf(`Node=%s
+	h.front = h.callerProxy.Listen
+	h.settings = fmt.Sprintf(`Node=%s
 Zone=zone-%d
 Region=local
 Ip=%s
@@ -263,12 +265,13 @@
 Timing.QuotaSlack=%d
 Timing.ttl_max_s=5
 Platform.Address=%s
-`, h.name, i%3, ip, at(0), at(1), at(2), at(3), p+4, p+15, f.share(i), h.contact.Milliseconds(), h.drain.Milliseconds(), int(grace.Seconds()), h.config.Milliseconds(), revoke.Milliseconds(), h.strict, quotaSlack, h.store.Listen)
+`, h.name, i%3, ip, address(0), address(1), address(2), address(3), p+4, p+15, f.cpuShare(i), h.contact.Milliseconds(), h.drain.Milliseconds(), int(gracePeriod.Seconds()), h.config.Milliseconds(), revokeTime.Milliseconds(), h.strict, quotaSlack, h.storeProxy.Listen)
 	return h, nil
 }
 
-// share is the part of a core that a host says it has: the first ones are stronger than the others.
-func (f *fleet) share(i int) float64 {
+// cpuShare returns the part of a core that host i has by its settings. The first hosts are stronger
+// than the others.
+func (f *fleet) cpuShare(i int) float64 {
 	if i < strongHosts {
 		return 0.8
 	}
@@ -279,23 +282,23 @@
 func (f *fleet) start(h *host) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lives++
-	log, err := os.Create(filepath.Join(f.dir, fmt.Sprintf("%s-%d.log", h.name, h.lives)))
+	h.starts++
+	log, err := os.Create(filepath.Join(f.dir, fmt.Sprintf("%s-%d.log", h.name, h.starts)))
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(h.path, []byte(h.boot), 0o600); err != nil {
+	if err := os.WriteFile(h.settingsPath, []byte(h.settings), 0o600); err != nil {
 		return err
 	}
 	h.process = exec.Command(f.program)
-	h.process.Env = append(os.Environ(), platform.BootVariable+"="+h.path, "GOMAXPROCS=1")
+	h.process.Env = append(os.Environ(), platform.BootVariable+"="+h.settingsPath, "GOMAXPROCS=1")
 	h.process.Stdout, h.process.Stderr = log, log
 	if err := startOn(h.process, f.cores); err != nil {
 		return err
 	}
-	h.ended, h.stopping, h.calmFrom = make(chan struct{}), time.Time{}, time.Now()
-	// The file says so only while the whole system starts for the first time.
-	h.boot = strings.ReplaceAll(h.boot, "Bootstrap=true", "Bootstrap=false")
+	h.ended, h.stoppingSince, h.undisturbedSince = make(chan struct{}), time.Time{}, time.Now()
+	// Bootstrap is true only while the whole system starts for the first time.
+	h.settings = strings.ReplaceAll(h.settings, "Bootstrap=true", "Bootstrap=false")
 	go func(p *exec.Cmd, ended chan struct{}) {
 		_ = p.Wait()
 		_ = log.Close()
@@ -304,7 +307,8 @@
 	return nil
 }
 
-// startOn starts a process on some processors: it inherits them from the thread that starts it.
+// startOn starts a process on the given processors. The process inherits them from the thread that
+// starts it.
 func startOn(cmd *exec.Cmd, cores []int) error {
 	if len(cores) == 0 {
 		return cmd.Start()
@@ -328,26 +332,26 @@
 	return err
 }
 
-// signal tells a host's process something.
+// signal sends a signal to the host's process.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s == syscall.SIGTERM {
-		h.stopping = time.Now()
+		h.stoppingSince = time.Now()
 	}
-	_ = h.process.Process.Signal(s) // it may have ended by itself
+	_ = h.process.Process.Signal(s) // the process may have ended by itself
 }
 
-// over is closed when the process in force has ended.
-func (h *host) over() <-chan struct{} {
+// done returns a channel that is closed when the current process has ended.
+func (h *host) done() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
-// isReady asks whether a host takes requests.
+// isReady reports whether the host accepts requests.
 func (h *host) isReady() bool {
-	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + h.ready + platform.PathReady)
+	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + h.readyAddress + platform.PathReady)
 	if err != nil {
 		return false
 	}
@@ -355,14 +359,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// addEndpoint starts an endpoint behind a link and writes its entry.
+// addEndpoint starts an endpoint behind a proxy and writes its entry.
 func (f *fleet) addEndpoint(service string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.started++
-	m := &member{bounds: f.bounds, Endpoint: &site.Endpoint{Instance: fmt.Sprintf("%s-%d", service, f.started), Pace: 20 * time.Millisecond, Proxy: &link.Proxy{}}, service: service}
+	f.endpointCount++
+	m := &fleetEndpoint{limits: f.limits, Endpoint: &site.Endpoint{Instance: fmt.Sprintf("%s-%d", service, f.endpointCount), Pace: 20 * time.Millisecond, Proxy: &link.Proxy{}}, service: service}
 	if service == site.Engines {
-		m.Events = events
+		m.Events = streamEvents
 	}
 	if err := m.Start(); err != nil {
 		return err
@@ -372,19 +376,20 @@
 	return nil
 }
 
-// entry is an endpoint's entry in the store.
-func (f *fleet) entry(m *member, state string) site.EndpointEntry {
+// entry returns an endpoint's entry for the store.
+func (f *fleet) entry(m *fleetEndpoint, state string) site.EndpointEntry {
 	return site.EndpointEntry{Service: m.service, Address: m.Address, Zone: "zone-1", Version: "v1", Slots: 8, State: state}
 }
 
-// staying are the endpoints of a service that do not leave.
-func (f *fleet) staying(service string) []*member {
+// stayingEndpoints returns the endpoints of a service that are not leaving. An empty service means
+// all services.
+func (f *fleet) stayingEndpoints(service string) []*fleetEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []*member
+	var out []*fleetEndpoint
 	for _, m := range f.endpoints {
 		m.mu.Lock()
-		if m.left.IsZero() && (service == "" || m.service == service) {
+		if m.leftAt.IsZero() && (service == "" || m.service == service) {
 			out = append(out, m)
 		}
 		m.mu.Unlock()
@@ -392,16 +397,16 @@
 	return out
 }
 
-// all are all endpoints so far.
-func (f *fleet) all() []*member {
+// allEndpoints returns all endpoints started so far.
+func (f *fleet) allEndpoints() []*fleetEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*member(nil), f.endpoints...)
+	return append([]*fleetEndpoint(nil), f.endpoints...)
 }
 
-// stop ends all that was started.
+// stop ends everything that was started.
 func (f *fleet) stop() {
-	// All at once: those that run on keep the others' processor busy.
+	// Signal all hosts before waiting for one: those that still run compete for the processor.
 	for _, h := range f.hosts {
 		if h.process != nil && h.process.Process != nil {
 			h.signal(syscall.SIGCONT)
@@ -410,12 +415,12 @@
 	}
 	for _, h := range f.hosts {
 		if h.process != nil && h.process.Process != nil {
-			<-h.over()
+			<-h.done()
 		}
-		h.store.Stop()
-		h.calls.Stop()
+		h.storeProxy.Stop()
+		h.callerProxy.Stop()
 	}
-	for _, m := range f.all() {
+	for _, m := range f.allEndpoints() {
 		m.Stop()
 		m.Proxy.Stop()
 	}
--- a/internal/soak/leavers_test.go
+++ b/internal/soak/leavers_test.go
@@ -20,46 +20,51 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Sizes of a run with leavers.
+// Sizes of a run with leaving endpoints.
 const (
 	leaverHosts   = 78
 	leaverEngines = 90
 	leaverPlain   = 3
 	leaverCallers = 60
-	leaverSpan    = 40 * time.Second
-	// roundTime is the time between two rounds, in each of which leavers leave.
-	roundTime = 4 * time.Second
-	leavers   = 8
-	// serveOn is the time for which an endpoint serves after its leaving.
-	serveOn = 15 * time.Second
-	// moreRoutes is the number of routes of a large configuration.
-	moreRoutes = 1400
-	// stopShare is the part of the time for which each process is stopped, for leastStop to mostStop at once.
+	leaverRunTime = 40 * time.Second
+	// roundInterval is the time between two rounds, in each of which leaversPerRound endpoints
+	// leave.
+	roundInterval   = 4 * time.Second
+	leaversPerRound = 8
+	// leaverServeTime is the time for which an endpoint serves after its leaving.
+	leaverServeTime = 15 * time.Second
+	// extraRoutes is the number of routes added in a large configuration.
+	extraRoutes = 1400
+	// stopShare is the part of the time for which each process is stopped, for minStop to maxStop
+	// at a time.
 	stopShare = 0.3
-	leastStop = 20 * time.Millisecond
-	mostStop  = 200 * time.Millisecond
+	minStop   = 20 * time.Millisecond
+	maxStop   = 200 * time.Millisecond
 )
 
-// TestLeaversAtSize lets endpoints leave by tens in a fleet of real processes that share one core and are stopped for moments, while the
-// store is sound, and holds every arrival at an endpoint against the drain time. Such stops are what a machine short of processor does; they are no
-// fault that would excuse a host. It takes a machine to itself: another process beside it is one more fault.
+// TestLeaversAtSize makes tens of endpoints leave in a fleet of real processes that share one core
+// and are stopped for short times, as on a machine short of processor time. The store works
+// throughout, and such stops do not excuse a host. Every arrival at an endpoint is checked against
+// the drain time. The test needs a machine to itself: any other process on it is a further fault.
 //
-// This is what users saw on machines of their own: requests reached endpoints later than the drain time after the store had taken that they leave. Three causes came to
-// light here, each by the hosts' own lines: lists up to 19.4 s old at the send, sends to endpoints that the host had logged as leaving before, and
-// calls that were late because the process waited for the processor, taken for an outage of the store, which excuses an old list.
+// The test guards against requests that reach endpoints later than the drain time after the store
+// has accepted their leaving. That comes about in three ways: the host sends by an old list (19.4 s
+// old at worst); it sends to an endpoint that it has already logged as leaving; or it takes a call
+// that is late because its own process waited for the processor for an outage of the store, which
+// excuses an old list.
 func TestLeaversAtSize(t *testing.T) {
-	runs := number(t, "HEATHKEEL_SOAK_LEAVERS", 0)
+	runs := envInt(t, "HEATHKEEL_SOAK_LEAVERS", 0)
 	if runs == 0 {
-		t.Skip("takes a machine to itself; set HEATHKEEL_SOAK_LEAVERS=1")
+		t.Skip("needs a machine to itself; set HEATHKEEL_SOAK_LEAVERS=1")
 	}
-	first := number(t, "HEATHKEEL_SOAK_SEED", rand.IntN(1e6))
+	first := envInt(t, "HEATHKEEL_SOAK_SEED", rand.IntN(1e6))
 	kinds := []struct {
 		name  string
 		round func(l *leaverRun)
 	}{
-		{"large configurations", (*leaverRun).writeLarge},
+		{"large configurations", (*leaverRun).writeLargeConfig},
 		{"strong hosts killed", (*leaverRun).killStrong},
-		{"one host turned away", (*leaverRun).turnAway},
+		{"one host refused by the store", (*leaverRun).refuseStore},
 	}
 	for i := range runs {
 		for _, k := range kinds {
@@ -68,58 +73,58 @@
 	}
 }
 
-// leaverRun is a run with leavers.
+// leaverRun is a run with leaving endpoints.
 type leaverRun struct {
-	*chaos
-	version int
-	tasks   sync.WaitGroup
+	*faultInjector
+	configVersion int
+	tasks         sync.WaitGroup
 }
 
-// playLeavers plays a run in which something more happens in each round.
+// playLeavers plays a run and calls round in each of its rounds.
 func playLeavers(t *testing.T, seed int, round func(l *leaverRun)) {
-	hosts := number(t, "HEATHKEEL_SOAK_HOSTS", leaverHosts)
-	f := newFleetOf(t, seed, size{bounds: manyBounds, hosts: hosts, plain: leaverPlain, engines: leaverEngines, cores: []int{0}})
+	hosts := envInt(t, "HEATHKEEL_SOAK_HOSTS", leaverHosts)
+	f := newFleetWith(t, seed, fleetOptions{limits: largeFleetLimits, hosts: hosts, plain: leaverPlain, engines: leaverEngines, cores: []int{0}})
 	for _, h := range f.hosts {
 		await(t, h.name+" is ready", h.isReady)
 	}
 	time.Sleep(f.contact)
-	c := &clients{f: f, withdrawn: make(map[int]time.Time)}
+	c := &clients{fleet: f, withdrawn: make(map[int]time.Time)}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &leaverRun{version: 1, chaos: &chaos{f: f, c: c, rand: rand.New(rand.NewPCG(uint64(seed), 0)), busy: make(map[*host]bool), began: time.Now()}}
+	l := &leaverRun{configVersion: 1, faultInjector: &faultInjector{fleet: f, clients: c, rand: rand.New(rand.NewPCG(uint64(seed), 0)), claimed: make(map[*host]bool), startedAt: time.Now()}}
 	for i := range leaverCallers {
 		own := rand.New(rand.NewPCG(uint64(seed), uint64(i)+1))
 		l.tasks.Go(func() { c.run(ctx, own) })
 	}
 	for i, h := range f.hosts {
 		own := rand.New(rand.NewPCG(uint64(seed), uint64(leaverCallers+i)+1))
-		l.tasks.Go(func() { stutter(ctx, h, own) })
+		l.tasks.Go(func() { stopRepeatedly(ctx, h, own) })
 	}
-	for end := time.Now().Add(leaverSpan); time.Now().Before(end); time.Sleep(roundTime) {
-		for range leavers {
+	for end := time.Now().Add(leaverRunTime); time.Now().Before(end); time.Sleep(roundInterval) {
+		for range leaversPerRound {
 			l.leave()
 		}
 		round(l)
 	}
 	stop()
 	l.tasks.Wait()
-	late, broken := f.lateArrivals(c.all())
-	for _, b := range broken {
+	late, violations := f.lateArrivals(c.requests())
+	for _, b := range violations {
 		t.Log(b)
 	}
 	refused := 0
-	for _, s := range c.all() {
+	for _, s := range c.requests() {
 		if s.status != 200 {
 			refused++
 		}
 	}
-	t.Logf("seed %d: %d requests, %d not served, %d arrivals after a leaving, the latest of them %s after it", seed, len(c.all()), refused, len(late), slices.Max(append(late, 0)))
-	must.SliceEmpty(t, broken)
+	t.Logf("seed %d: %d requests, %d not served, %d arrivals after a leaving, the latest of them %s after it", seed, len(c.requests()), refused, len(late), slices.Max(append(late, 0)))
+	must.SliceEmpty(t, violations)
 }
 
-// stutter stops a host's process again and again for a moment.
-func stutter(ctx context.Context, h *host, r *rand.Rand) {
+// stopRepeatedly stops a host's process again and again for a short time until ctx ends.
+func stopRepeatedly(ctx context.Context, h *host, r *rand.Rand) {
 	for ctx.Err() == nil {
-		d := leastStop + time.Duration(r.Int64N(int64(mostStop-leastStop)))
+		d := minStop + time.Duration(r.Int64N(int64(maxStop-minStop)))
 		h.signal(syscall.SIGSTOP)
 		time.Sleep(d)
 		h.signal(syscall.SIGCONT)
@@ -127,76 +132,77 @@
 	}
 }
 
-// lateArrivals gives the times after their leaving at which requests reached endpoints, and tells of those beyond the drain time.
-func (f *fleet) lateArrivals(all []*sent) (late []time.Duration, broken []string) {
-	byID := make(map[string]*sent, len(all))
+// lateArrivals returns the time after the endpoint's leaving of each request that arrived later,
+// and describes those beyond the drain time whose host was undisturbed.
+func (f *fleet) lateArrivals(all []*sentRequest) (late []time.Duration, violations []string) {
+	byID := make(map[string]*sentRequest, len(all))
 	for _, s := range all {
 		byID[s.id] = s
 	}
-	for _, m := range f.all() {
+	for _, m := range f.allEndpoints() {
 		for _, run := range m.Runs() {
-			if m.left.IsZero() || run.ReceivedAt.Before(m.left) {
+			if m.leftAt.IsZero() || run.ReceivedAt.Before(m.leftAt) {
 				continue
 			}
-			d := run.ReceivedAt.Sub(m.left)
+			d := run.ReceivedAt.Sub(m.leftAt)
 			late = append(late, d)
-			if s := byID[run.AttemptID]; d > f.drain && s != nil && s.host.inTouch(run.ReceivedAt) {
-				broken = append(broken, fmt.Sprintf("%s reached %s from %s %s after it left, %s after it was sent", s.id, m.Instance, s.host.name, d, run.ReceivedAt.Sub(s.at)))
+			if s := byID[run.AttemptID]; d > f.drain && s != nil && s.host.isUndisturbed(run.ReceivedAt) {
+				violations = append(violations, fmt.Sprintf("%s reached %s from %s %s after it left, %s after it was sent", s.id, m.Instance, s.host.name, d, run.ReceivedAt.Sub(s.sentAt)))
 			}
 		}
 	}
-	return late, broken
+	return late, violations
 }
 
-// leave lets an endpoint leave after another one has come; it serves on for long.
+// leave retires a random endpoint, which serves for leaverServeTime.
 func (l *leaverRun) leave() {
-	m, says := l.member(), l.rand.IntN(3) > 0
-	if m.service == site.Plain && len(l.f.staying(m.service)) < 2 {
+	m, announced := l.randomEndpoint(), l.rand.IntN(3) > 0
+	if m.service == site.Plain && len(l.fleet.stayingEndpoints(m.service)) < 2 {
 		return
 	}
 	m.mu.Lock()
-	m.left = time.Now() // it is drawn once
+	m.leftAt = time.Now() // no later call draws it again
 	m.mu.Unlock()
-	l.tasks.Go(func() { l.f.letLeave(m, says, serveOn, 0) })
+	l.tasks.Go(func() { l.fleet.retireEndpoint(m, announced, leaverServeTime, 0) })
 }
 
-// writeLarge writes a large configuration anew.
-func (l *leaverRun) writeLarge() {
-	l.version++
-	d := config(l.version, keys(0))
-	for i := range moreRoutes {
+// writeLargeConfig writes a large configuration with a new version.
+func (l *leaverRun) writeLargeConfig() {
+	l.configVersion++
+	d := newConfig(l.configVersion, workspaceKeys(0))
+	for i := range extraRoutes {
 		r := d.Routes[0]
 		r.Name, r.PathPrefix = fmt.Sprint("more-", i), fmt.Sprintf("/more/%d/", i)
 		d.Routes = append(d.Routes, r)
 	}
-	l.f.store.Put(platform.KeyConfig, d)
+	l.fleet.store.Put(platform.KeyConfig, d)
 }
 
-// strongHosts is the number of hosts that say that they are stronger than the others.
+// strongHosts is the number of hosts with a larger processor share than the others.
 const strongHosts = 6
 
-// killStrong kills one of the strongest hosts, which relay for others, and starts it again.
+// killStrong kills one of the strongest hosts, which relay for others, and restarts it.
 func (l *leaverRun) killStrong() {
-	h := l.f.hosts[l.rand.IntN(min(strongHosts, len(l.f.hosts)))]
+	h := l.fleet.hosts[l.rand.IntN(min(strongHosts, len(l.fleet.hosts)))]
 	l.tasks.Go(func() {
-		defer h.trouble()()
+		defer h.beginDisturbance()()
 		h.signal(syscall.SIGKILL)
-		<-h.over()
+		<-h.done()
 		time.Sleep(startTime)
-		if err := l.f.start(h); err != nil {
+		if err := l.fleet.start(h); err != nil {
 			panic(err)
 		}
 	})
 }
 
-// turnAway refuses one host's connections to the store for a time.
-func (l *leaverRun) turnAway() {
-	h := l.pick()
+// refuseStore refuses a host's connections to the store for startTime.
+func (l *leaverRun) refuseStore() {
+	h := l.randomHost()
 	l.tasks.Go(func() {
-		defer h.trouble()()
-		h.store.Refuse(true)
-		h.store.Reset()
+		defer h.beginDisturbance()()
+		h.storeProxy.Refuse(true)
+		h.storeProxy.Reset()
 		time.Sleep(startTime)
-		h.store.Refuse(false)
+		h.storeProxy.Refuse(false)
 	})
 }
--- a/internal/soak/processes_test.go
+++ b/internal/soak/processes_test.go
@@ -10,50 +10,51 @@
 	"time"
 )
 
-// claim takes a host whose process nobody else ends, or returns nil. One host in three stays.
-func (c *chaos) claim() *host {
-	h := c.pick()
+// claim returns a random host for a fault that affects its process, or nil if that host is claimed
+// already or more than two thirds of the hosts are.
+func (c *faultInjector) claim() *host {
+	h := c.randomHost()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[h] || len(c.busy) > len(c.f.hosts)*2/3 {
+	if c.claimed[h] || len(c.claimed) > len(c.fleet.hosts)*2/3 {
 		return nil
 	}
-	c.busy[h] = true
+	c.claimed[h] = true
 	return h
 }
 
-// free gives a host back.
-func (c *chaos) free(h *host) {
+// release releases a claimed host.
+func (c *faultInjector) release(h *host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, h)
+	delete(c.claimed, h)
 }
 
-// kill ends a host's process at once and starts it again.
-func (c *chaos) kill() func() {
-	h, down := c.claim(), c.between(50*time.Millisecond, 2*time.Second)
+// kill kills a host's process and restarts it after some time.
+func (c *faultInjector) kill() func() {
+	h, down := c.claim(), c.randomDuration(50*time.Millisecond, 2*time.Second)
 	return func() {
 		if h == nil {
 			return
 		}
-		defer c.free(h)
-		defer h.trouble()()
+		defer c.release(h)
+		defer h.beginDisturbance()()
 		h.signal(syscall.SIGKILL)
-		<-h.over()
+		<-h.done()
 		time.Sleep(down)
 		c.restart(h)
 	}
 }
 
-// restart starts a host that ended, as the platform does again and again if it ends by itself: its
-// settings file may be broken at that moment.
-func (c *chaos) restart(h *host) {
-	for range mostStarts {
-		if err := c.f.start(h); err != nil {
+// restart starts a host that has ended. Like the platform, it starts a process that ends by itself
+// again and again, since the settings file may be broken at that moment.
+func (c *faultInjector) restart(h *host) {
+	for range maxStarts {
+		if err := c.fleet.start(h); err != nil {
 			panic(err)
 		}
 		select {
-		case <-h.over():
+		case <-h.done():
 		case <-time.After(startTime):
 			return
 		}
@@ -61,65 +62,68 @@
 	panic(h.name + " ends at each start; is another run's process at its address? See its last log")
 }
 
-// mostStarts bounds the starts of a process that ends by itself: a settings file is broken for 0.3 s.
-const mostStarts = 100
+// maxStarts limits the starts of a process that ends by itself. A settings file is broken for 0.3
+// s.
+const maxStarts = 100
 
 // startTime is the time after which a process that runs has read its settings file.
 const startTime = 500 * time.Millisecond
 
-// stop stops a host's process as planned and starts it again; at times it is killed meanwhile.
-func (c *chaos) stop() func() {
+// stop stops a host's process with SIGTERM and restarts it. In one case of four the process is
+// killed after a quarter of the grace period.
+func (c *faultInjector) stop() func() {
 	h, early := c.claim(), c.rand.IntN(4) == 0
 	return func() {
 		if h == nil {
 			return
 		}
-		defer c.free(h)
+		defer c.release(h)
 		h.signal(syscall.SIGTERM)
-		wait := grace
+		wait := gracePeriod
 		if early {
-			wait = grace / 4
+			wait = gracePeriod / 4
 		}
 		select {
-		case <-h.over():
+		case <-h.done():
 		case <-time.After(wait):
-			defer h.trouble()()
+			defer h.beginDisturbance()()
 			h.signal(syscall.SIGKILL)
-			<-h.over()
+			<-h.done()
 		}
 		c.restart(h)
 	}
 }
 
-// pause stands a host's process still.
-func (c *chaos) pause() func() {
-	h, span := c.claim(), c.between(200*time.Millisecond, 4*time.Second)
+// pause stops a host's process with SIGSTOP for some time.
+func (c *faultInjector) pause() func() {
+	h, duration := c.claim(), c.randomDuration(200*time.Millisecond, 4*time.Second)
 	return func() {
 		if h == nil {
 			return
 		}
-		defer c.free(h)
-		defer h.trouble()()
+		defer c.release(h)
+		defer h.beginDisturbance()()
 		h.signal(syscall.SIGSTOP)
-		time.Sleep(span)
+		time.Sleep(duration)
 		h.signal(syscall.SIGCONT)
 	}
 }
 
-// hup tells a host that its settings file has changed; at times the file is broken.
-func (c *chaos) hup() func() {
-	h, broken := c.pick(), c.rand.IntN(3) == 0
+// reloadSettings sends SIGHUP to a host. In one case of three its settings file is broken for 0.3
+// s.
+func (c *faultInjector) reloadSettings() func() {
+	h, broken := c.randomHost(), c.rand.IntN(3) == 0
 	return func() {
 		h.mu.Lock()
-		boot := h.boot
+		valid := h.settings
 		h.mu.Unlock()
-		text := boot
+		text := valid
 		if broken {
 			text = "no settings at all"
 		}
-		_ = os.WriteFile(h.path, []byte(text), 0o600)
+		_ = os.WriteFile(h.settingsPath, []byte(text), 0o600)
 		h.signal(syscall.SIGHUP)
 		time.Sleep(300 * time.Millisecond)
-		_ = os.WriteFile(h.path, []byte(boot), 0o600)
+		_ = os.WriteFile(h.settingsPath, []byte(valid), 0o600)
 	}
 }
--- a/internal/soak/promises_test.go
+++ b/internal/soak/promises_test.go
@@ -17,31 +17,31 @@
 // arrival is a request that an endpoint ran.
 type arrival struct {
 	site.Run
-	at *member
-	// calm says that nothing disturbed the endpoint's link for the contact time before.
-	calm bool
+	endpoint *fleetEndpoint
+	// undisturbed is set if nothing disturbed the endpoint's proxy for the contact time before.
+	undisturbed bool
 }
 
-// record is all that callers and endpoints saw in a run.
+// record holds what callers and endpoints saw in a run.
 type record struct {
-	sent      []*sent
-	byID      map[string]*sent
+	sent      []*sentRequest
+	byID      map[string]*sentRequest
 	arrivals  []arrival
 	runs      map[string][]arrival
 	withdrawn map[int]time.Time
-	// late are arrivals at endpoints that had left, see watch.
+	// late describes arrivals at endpoints that had left, see arrivalWatcher.
 	late []string
 }
 
-// look puts a record together.
-func look(f *fleet, c *clients) *record {
-	r := &record{sent: c.all(), byID: make(map[string]*sent), runs: make(map[string][]arrival), withdrawn: c.withdrawn}
+// newRecord collects the record of a run.
+func newRecord(f *fleet, c *clients) *record {
+	r := &record{sent: c.requests(), byID: make(map[string]*sentRequest), runs: make(map[string][]arrival), withdrawn: c.withdrawn}
 	for _, s := range r.sent {
 		r.byID[s.id] = s
 	}
-	for _, m := range f.all() {
+	for _, m := range f.allEndpoints() {
 		for _, run := range m.Runs() {
-			a := arrival{Run: run, at: m}
+			a := arrival{Run: run, endpoint: m}
 			r.arrivals = append(r.arrivals, a)
 			r.runs[run.AttemptID] = append(r.runs[run.AttemptID], a)
 		}
@@ -49,32 +49,32 @@
 	return r
 }
 
-// promise is something that must hold whatever fails; it names what breaks it.
+// promise is a property that must hold whatever fails. violations describes what violates it.
 type promise struct {
-	name   string
-	broken func(r *record) []string
+	name       string
+	violations func(r *record) []string
 }
 
-// always hold whatever time things take, and are checked in CI too.
-var always = []promise{
-	{"a request that may not be repeated runs once", (*record).twice},
+// alwaysPromises hold on any machine, however slow, and are checked in CI too.
+var alwaysPromises = []promise{
+	{"a request that may not be repeated runs once", (*record).ranTwice},
 	{"what is refused as not run has not run", (*record).falseRefusals},
-	{"a whole answer is the endpoint's answer to this request", (*record).mixed},
-	{"an endpoint runs what a caller sent, and for its own service", (*record).unasked},
-	{"a proper request is not called improper", (*record).denied},
+	{"a complete answer is the endpoint's answer to this request", (*record).wrongAnswers},
+	{"an endpoint runs what a caller sent, and for its own service", (*record).unexpectedRuns},
+	{"a valid request is not rejected as invalid", (*record).wrongRejections},
 }
 
-// timely hold within times, and are checked on a machine that is not overloaded.
-var timely = []promise{
-	{"a withdrawn key works no more", (*record).revoked},
-	{"an amount is kept", (*record).overQuota},
+// timedPromises include times and are checked only on a machine that is not overloaded.
+var timedPromises = []promise{
+	{"a withdrawn key stops working", (*record).ranAfterRevocation},
+	{"a quota is kept", (*record).overQuota},
 	{"repeats stay within their budget", (*record).overBudget},
-	{"an endpoint stops when its caller has left", (*record).gone},
+	{"an endpoint stops when its caller has left", (*record).ranAfterCallerLeft},
 	{"a planned stop cuts no request", (*record).cutByStop},
 	{"a leaving endpoint gets no work", func(r *record) []string { return r.late }},
 }
 
-func (r *record) twice() []string {
+func (r *record) ranTwice() []string {
 	var out []string
 	for id, runs := range r.runs {
 		if s := r.byID[id]; s != nil && !s.kind.repeatable && len(runs) > 1 {
@@ -96,27 +96,27 @@
 	return out
 }
 
-func (r *record) mixed() []string {
+func (r *record) wrongAnswers() []string {
 	var out []string
 	for _, s := range r.sent {
 		want := "ran " + s.id + " with body of " + s.id
 		if s.kind.stream {
-			want = site.StreamBody(events)
+			want = site.StreamBody(streamEvents)
 		}
 		switch {
 		case s.status != http.StatusOK:
 		case !strings.HasSuffix(s.stamp, "."+s.id):
 			out = append(out, fmt.Sprintf("%s has the stamp %q", s.id, s.stamp))
-		case s.whole && s.body != want:
+		case s.complete && s.body != want:
 			out = append(out, fmt.Sprintf("%s %s has the body %q", s.id, s.kind.path, s.body))
 		case !strings.HasPrefix(want, s.body):
-			out = append(out, fmt.Sprintf("%s %s has the part %q", s.id, s.kind.path, s.body))
+			out = append(out, fmt.Sprintf("%s %s has the partial body %q", s.id, s.kind.path, s.body))
 		}
 	}
 	return out
 }
 
-func (r *record) unasked() []string {
+func (r *record) unexpectedRuns() []string {
 	var out []string
 	for _, a := range r.arrivals {
 		s := r.byID[a.AttemptID]
@@ -131,14 +131,14 @@
 		if s.small {
 			workspace = "small"
 		}
-		if a.URI != s.kind.path+"x" || a.Body != "body of "+s.id || a.at.service != service || a.Header.Get("Heathkeel-Tenant") != workspace {
-			out = append(out, fmt.Sprintf("%s came as %s %q at %s for %s", s.id, a.URI, a.Body, a.at.Instance, a.Header.Get("Heathkeel-Tenant")))
+		if a.URI != s.kind.path+"x" || a.Body != "body of "+s.id || a.endpoint.service != service || a.Header.Get("Heathkeel-Tenant") != workspace {
+			out = append(out, fmt.Sprintf("%s came as %s %q at %s for %s", s.id, a.URI, a.Body, a.endpoint.Instance, a.Header.Get("Heathkeel-Tenant")))
 		}
 	}
 	return out
 }
 
-func (r *record) denied() []string {
+func (r *record) wrongRejections() []string {
 	var out []string
 	for _, s := range r.sent {
 		_, old := r.withdrawn[s.generation]
@@ -151,18 +151,18 @@
 	return out
 }
 
-// slack is what the driver's own clock and scheduling may add to a time.
-const slack = 250 * time.Millisecond
+// timingTolerance allows for the driver's own clock reads and scheduling.
+const timingTolerance = 250 * time.Millisecond
 
-func (r *record) revoked() []string {
+func (r *record) ranAfterRevocation() []string {
 	var out []string
 	for _, a := range r.arrivals {
 		s := r.byID[a.AttemptID]
 		if s == nil {
 			continue
 		}
-		if end, ok := r.withdrawn[s.generation]; ok && s.at.After(end.Add(revoke+slack)) {
-			out = append(out, fmt.Sprintf("%s ran with a key that was withdrawn %s before it was sent", s.id, s.at.Sub(end)))
+		if end, ok := r.withdrawn[s.generation]; ok && s.sentAt.After(end.Add(revokeTime+timingTolerance)) {
+			out = append(out, fmt.Sprintf("%s ran with a key that was withdrawn %s before it was sent", s.id, s.sentAt.Sub(end)))
 		}
 	}
 	return out
@@ -173,11 +173,11 @@
 	var uses []use
 	for _, a := range r.arrivals {
 		if s := r.byID[a.AttemptID]; s != nil && s.small && a.LastEvent == 0 && a.AttemptID == r.runs[a.AttemptID][0].AttemptID && a.ReceivedAt.Equal(r.runs[a.AttemptID][0].ReceivedAt) {
-			uses = append(uses, use{s.at, a.ReceivedAt})
+			uses = append(uses, use{s.sentAt, a.ReceivedAt})
 		}
 	}
 	slices.SortFunc(uses, func(x, y use) int { return x.sent.Compare(y.sent) })
-	most := (smallRate*quotaWindow.Seconds()+smallBurst)*(1+quotaOvershoot) + quotaSlack
+	limit := (smallRate*quotaWindow.Seconds()+smallBurst)*(1+quotaOvershoot) + quotaSlack
 	for i := range uses {
 		n := 0
 		for _, u := range uses[i:] {
@@ -185,8 +185,8 @@
 				n++
 			}
 		}
-		if got := float64(n * tokens); got > most {
-			return []string{fmt.Sprintf("%g tokens in %s from %s on, %g allowed", got, quotaWindow, uses[i].sent.Format(time.StampMilli), most)}
+		if got := float64(n * requestTokens); got > limit {
+			return []string{fmt.Sprintf("%g tokens in %s from %s on, %g allowed", got, quotaWindow, uses[i].sent.Format(time.StampMilli), limit)}
 		}
 	}
 	return nil
@@ -195,21 +195,21 @@
 func (r *record) overBudget() []string {
 	const window = 10 * time.Second
 	for _, service := range []string{site.Plain, site.Engines} {
-		var extra, asked []time.Time
+		var repeatTimes, sentTimes []time.Time
 		for _, s := range r.sent {
 			if s.kind.stream == (service == site.Engines) {
-				asked = append(asked, s.at)
+				sentTimes = append(sentTimes, s.sentAt)
 			}
 		}
 		for _, runs := range r.runs {
 			slices.SortFunc(runs, func(x, y arrival) int { return x.ReceivedAt.Compare(y.ReceivedAt) })
 			for _, a := range runs[1:] {
-				if a.at.service == service {
-					extra = append(extra, a.ReceivedAt)
+				if a.endpoint.service == service {
+					repeatTimes = append(repeatTimes, a.ReceivedAt)
 				}
 			}
 		}
-		in := func(times []time.Time, from time.Time) int {
+		countWithin := func(times []time.Time, from time.Time) int {
 			n := 0
 			for _, t := range times {
 				if !t.Before(from) && t.Before(from.Add(window)) {
@@ -218,30 +218,30 @@
 			}
 			return n
 		}
-		for _, from := range extra {
-			requests := max(in(asked, from), in(asked, from.Add(-window/2)), in(asked, from.Add(-window)))
-			if got, most := in(extra, from), 0.2*float64(requests)+50; float64(got) > most {
-				return []string{fmt.Sprintf("%s: %d repeats in %s, %g allowed", service, got, window, most)}
+		for _, from := range repeatTimes {
+			requests := max(countWithin(sentTimes, from), countWithin(sentTimes, from.Add(-window/2)), countWithin(sentTimes, from.Add(-window)))
+			if got, limit := countWithin(repeatTimes, from), 0.2*float64(requests)+50; float64(got) > limit {
+				return []string{fmt.Sprintf("%s: %d repeats in %s, %g allowed", service, got, window, limit)}
 			}
 		}
 	}
 	return nil
 }
 
-// gone looks at requests that would have lasted: an endpoint may not work on more than a
-// quarter of them half a second after their callers left.
-func (r *record) gone() []string {
+// ranAfterCallerLeft checks requests whose callers disconnected early: endpoints may still work on
+// at most a quarter of them half a second after that.
+func (r *record) ranAfterCallerLeft() []string {
 	const after = 500 * time.Millisecond
 	counted := 0
 	var out []string
 	for _, s := range r.sent {
-		if !s.left || !s.kind.repeatable || !s.inTouch {
+		if !s.callerLeft || !s.kind.repeatable || !s.hostUndisturbed {
 			continue
 		}
 		counted++
 		for _, a := range r.runs[s.id] {
-			if a.calm && (a.EndedAt.IsZero() || a.EndedAt.After(s.over.Add(after+slack))) {
-				out = append(out, fmt.Sprintf("%s was still at work at %s for %s after its caller left", s.id, a.at.Instance, a.EndedAt.Sub(s.over)))
+			if a.undisturbed && (a.EndedAt.IsZero() || a.EndedAt.After(s.endedAt.Add(after+timingTolerance))) {
+				out = append(out, fmt.Sprintf("%s still ran at %s %s after its caller left", s.id, a.endpoint.Instance, a.EndedAt.Sub(s.endedAt)))
 				break
 			}
 		}
@@ -255,18 +255,18 @@
 func (r *record) cutByStop() []string {
 	var out []string
 	for _, s := range r.sent {
-		if s.status != 0 || s.left || !s.planned || len(r.runs[s.id]) == 0 {
+		if s.status != 0 || s.callerLeft || !s.duringStop || len(r.runs[s.id]) == 0 {
 			continue
 		}
-		calm := true
+		undisturbed := true
 		for _, a := range r.runs[s.id] {
-			calm = calm && a.calm
+			undisturbed = undisturbed && a.undisturbed
 		}
-		if calm {
-			out = append(out, fmt.Sprintf("%s to %s was cut after %s", s.id, s.host.name, s.over.Sub(s.at)))
+		if undisturbed {
+			out = append(out, fmt.Sprintf("%s to %s was cut after %s", s.id, s.host.name, s.endedAt.Sub(s.sentAt)))
 		}
 	}
-	if len(out) <= 3 { // the rule allows three: a close may cross a request
+	if len(out) <= 3 { // three are allowed: a close may cross a request
 		return nil
 	}
 	return out
--- a/internal/soak/silence_test.go
+++ b/internal/soak/silence_test.go
@@ -15,12 +15,12 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestSilenceAtOnce measures how long hosts need until they serve, know a new configuration and give first
-// events after all connections to the store and to endpoints fell silent, or were reset, at one
-// moment. It gives figures, no verdict; it is run by hand.
+// TestSilenceAtOnce measures how long hosts need until they serve requests, know a new
+// configuration and deliver first events after all connections to the store and to endpoints were
+// silenced or reset at the same moment. It logs figures, checks nothing, and is run by hand.
 func TestSilenceAtOnce(t *testing.T) {
-	if number(t, "HEATHKEEL_SOAK", 0) == 0 {
-		t.Skip("a measurement; set HEATHKEEL_SOAK=1")
+	if envInt(t, "HEATHKEEL_SOAK", 0) == 0 {
+		t.Skip("a measurement without checks; set HEATHKEEL_SOAK=1")
 	}
 	cases := []struct {
 		name    string
@@ -37,7 +37,7 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFleet(t, 150+i, 6)
-			c := &clients{f: f, withdrawn: make(map[int]time.Time)}
+			c := &clients{fleet: f, withdrawn: make(map[int]time.Time)}
 			for _, h := range f.hosts {
 				await(t, h.name, h.isReady)
 			}
@@ -48,29 +48,29 @@
 			}
 			time.Sleep(3 * time.Second)
 			tc.fault(f)
-			f.store.Put(platform.KeyConfig, config(2, keys(1)))
-			began := time.Now()
+			f.store.Put(platform.KeyConfig, newConfig(2, workspaceKeys(1)))
+			start := time.Now()
 			for what, ask := range map[string]func(h *host) bool{
-				"serves":            func(h *host) bool { return one(c, h, kinds[1], 0) },
-				"knows the new key": func(h *host) bool { return one(c, h, kinds[1], 1) },
-				"first event":       func(h *host) bool { return one(c, h, kinds[3], 1) },
+				"serves":            func(h *host) bool { return sendOne(c, h, kinds[1], 0) },
+				"knows the new key": func(h *host) bool { return sendOne(c, h, kinds[1], 1) },
+				"first event":       func(h *host) bool { return sendOne(c, h, kinds[3], 1) },
 			} {
-				var most time.Duration
+				var slowest time.Duration
 				var mu sync.Mutex
 				var hosts sync.WaitGroup
 				for _, h := range f.hosts {
 					hosts.Go(func() {
-						for !ask(h) && time.Since(began) < time.Minute {
+						for !ask(h) && time.Since(start) < time.Minute {
 							time.Sleep(10 * time.Millisecond)
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						most = max(most, time.Since(began))
+						slowest = max(slowest, time.Since(start))
 					})
 				}
 				wg.Go(func() {
 					hosts.Wait()
-					t.Logf("%s: last host %s after %.2f s", tc.name, what, most.Seconds())
+					t.Logf("%s: last host %s after %.2f s", tc.name, what, slowest.Seconds())
 				})
 			}
 			time.Sleep(8 * time.Second)
@@ -80,32 +80,32 @@
 	}
 }
 
-// reset resets all connections of all hosts to the store and to endpoints.
+// reset resets all connections of hosts to the store and to endpoints.
 func (f *fleet) reset() {
 	for _, h := range f.hosts {
-		h.store.Reset()
+		h.storeProxy.Reset()
 	}
-	for _, m := range f.all() {
+	for _, m := range f.allEndpoints() {
 		m.Proxy.Reset()
 	}
 }
 
-// silence silences them.
+// silence silences all open connections of hosts to the store and to endpoints.
 func (f *fleet) silence() {
 	for _, h := range f.hosts {
-		h.store.Silence()
+		h.storeProxy.Silence()
 	}
-	for _, m := range f.all() {
+	for _, m := range f.allEndpoints() {
 		m.Proxy.Silence()
 	}
 }
 
-// one sends one request to a host and reports whether it was answered well, or, with a
-// key that is not in force any more, that it was not served for that reason.
-func one(c *clients, h *host, k kind, generation int) bool {
+// sendOne sends one request to a host and reports whether it succeeded. With generation 0 a refusal
+// as unauthorized counts as well, as those keys may have been withdrawn.
+func sendOne(c *clients, h *host, k kind, generation int) bool {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	s := c.next(h, rand.New(rand.NewPCG(1, 1)))
+	s := c.nextRequest(h, rand.New(rand.NewPCG(1, 1)))
 	s.generation, s.small, s.kind = generation, false, k
 	c.do(transport, s, time.Second)
 	return s.status == http.StatusOK || (generation == 0 && s.status == http.StatusUnauthorized)
