--- a/cmd/hkbench/tables.go
+++ b/cmd/hkbench/tables.go
@@ -26,7 +26,7 @@
 // first gives a percentile of the time to the first token, in milliseconds.
 func first(rank int, q float64) func(*trial.Result) float64 {
 	return func(r *trial.Result) float64 {
-		return float64(r.Tiers[rank].First.ValueAtQuantile(q)) / 1000
+		return float64(r.Tiers[rank].FirstToken.ValueAtQuantile(q)) / 1000
 	}
 }
 
@@ -37,7 +37,7 @@
 
 // compare prints a table of cases and policies.
 func compare(w io.Writer, a args, cases []trial.Case) {
-	policies := []string{trial.Keel}
+	policies := []string{trial.Heathkeel}
 	if a.Compare {
 		policies = append(policies, trial.RoundRobin, trial.LeastLoad, trial.RandomTwo)
 	}
@@ -68,10 +68,10 @@
 	for k := range 3 {
 		fmt.Fprintf(w, " %.0f/%.0f/%.0f |", over(rs, first(k, 50)).mid, over(rs, first(k, 95)).mid, over(rs, first(k, 99)).mid)
 	}
-	longest := over(rs, func(r *trial.Result) float64 { return float64(r.LongestWait.Milliseconds()) })
+	longest := over(rs, func(r *trial.Result) float64 { return float64(r.MaxLatency.Milliseconds()) })
 	recovery := "-"
-	if c.To > 0 {
-		s := over(rs, func(r *trial.Result) float64 { return r.Recovery(c.From, c.To).Seconds() })
+	if c.FaultEnd > 0 {
+		s := over(rs, func(r *trial.Result) float64 { return r.Recovery(c.FaultStart, c.FaultEnd).Seconds() })
 		recovery = fmt.Sprintf("%.0f", s.high)
 		if s.low < 0 {
 			recovery = "not seen"
@@ -107,7 +107,7 @@
 	for _, c := range cases {
 		for _, r := range rules {
 			for s := range a.Seeds {
-				sp := a.spec(c, trial.Keel, s+1)
+				sp := a.spec(c, trial.Heathkeel, s+1)
 				r.off(&sp.Sched.Disabled)
 				specs = append(specs, sp)
 			}
--- a/cmd/hkctl/account.go
+++ b/cmd/hkctl/account.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	a := outcome.NewAccount(events, t.Account.Window)
+	a := outcome.NewLossReport(events, t.Account.Window)
 	if t.JSON {
 		return t.printJSON(a)
 	}
--- a/cmd/hkctl/hosts.go
+++ b/cmd/hkctl/hosts.go
@@ -115,7 +115,7 @@
 		}
 		ready := "yes"
 		if !s.Status.Ready {
-			ready = s.Status.WhyNot
+			ready = s.Status.NotReadyReason
 		}
 		live := 0
 		for _, h := range s.Status.Hosts {
--- a/cmd/hkctl/logs.go
+++ b/cmd/hkctl/logs.go
@@ -25,7 +25,7 @@
 		return t.printJSON(events)
 	}
 	for i := range events {
-		fmt.Fprintf(t.out, "%.3f  %s\n", events[i].Time, events[i].Line())
+		fmt.Fprintf(t.out, "%.3f  %s\n", events[i].Time, events[i].Describe())
 	}
 	fmt.Fprintln(t.out, "cause:", outcome.Cause(events))
 	return nil
--- a/cmd/hkctl/main.go
+++ b/cmd/hkctl/main.go
@@ -151,7 +151,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
-	t := &tool{args: a, out: stdout, pc: &keyval.Client{Base: a.Platform}}
+	t := &tool{args: a, out: stdout, pc: &keyval.Client{BaseURL: a.Platform}}
 	err = t.run(ctx)
 	switch {
 	case err == nil:
--- a/cmd/hkdev/check.go
+++ b/cmd/hkdev/check.go
@@ -86,7 +86,7 @@
 		outcome := string(problem.Answered)
 		if err != nil {
 			code = 1
-			outcome = problem.Of(err).Error()
+			outcome = problem.FromError(err).Error()
 		}
 		fmt.Printf("%-8s %-7s %-24s %-16s %-11s %s\n", t.Tier, kind, t.Workspace+"/"+t.Service, endpoint, took.Round(10*time.Microsecond), outcome)
 	}
@@ -102,7 +102,7 @@
 		a, err := cl.Complete(ctx, client.Completion{
 			Service: t.Service, Tier: t.Tier, Model: t.model, Prompt: "Write one line about the sea.", MaxTokens: 16, NoRepeat: !t.repeatable,
 		})
-		return "engine", a.Endpoint, a.First, err
+		return "engine", a.Endpoint, a.FirstToken, err
 	}
 	kind = "plain"
 	if !t.repeatable {
--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -61,12 +61,12 @@
 	var a args
 	p := program.Start("hkplacer", &a)
 	if err := a.check(); err != nil {
-		p.Refuse(err)
+		p.ExitInvalidSettings(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	run(ctx, a, p.Log.WithValues("host", a.Name))
-	p.End(nil)
+	p.Exit(nil)
 }
 
 // askTimeout bounds a question to the router.
@@ -74,17 +74,17 @@
 
 // run follows the router's settings and places until ctx ends.
 func run(ctx context.Context, a args, log logr.Logger) {
-	pc := &keyval.Client{Base: a.Platform}
-	local := router.NewLocal(a.Router)
+	pc := &keyval.Client{BaseURL: a.Platform}
+	local := router.NewLocalClient(a.Router)
 	f := &revision.Follower{KV: pc, Peers: local.Peer(), Log: log}
 	engines := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	m := &placer.Manager{
 		Name: a.Name + "/" + once.NewIncarnation().String(), KV: pc, Weights: pc, Settings: f.Snapshot,
-		TTL: a.TTL, Sweep: a.Sweep, Limits: placer.Limits{Loads: a.Loads}, Log: log,
+		TTL: a.TTL, SweepInterval: a.Sweep, Limits: placer.Limits{MaxLoads: a.Loads}, Log: log,
 		Candidate: func(zone string) bool {
 			actx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			_, ok, err := local.Ask(actx, zone)
+			_, ok, err := local.QueryZone(actx, zone)
 			return err == nil && ok
 		},
 		Engine: func(e settings.Endpoint) endpoint.Engine {
@@ -97,10 +97,10 @@
 }
 
 // follow takes each higher revision from the router.
-func follow(ctx context.Context, f *revision.Follower, local *router.Local) {
+func follow(ctx context.Context, f *revision.Follower, local *router.LocalClient) {
 	for ctx.Err() == nil {
 		actx, cancel := context.WithTimeout(ctx, askTimeout)
-		rev, _, err := local.Ask(actx, "")
+		rev, _, err := local.QueryZone(actx, "")
 		cancel()
 		if err == nil && rev > f.Revision() {
 			_ = f.Pull(ctx, rev, local.Address)
--- a/cmd/hkrouter/run.go
+++ b/cmd/hkrouter/run.go
@@ -28,12 +28,12 @@
 	}
 	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	pc := &keyval.Client{Base: a.Platform}
+	pc := &keyval.Client{BaseURL: a.Platform}
 	r := &router.Router{
 		Self: fleet.Host{
 			Name: a.Name, Incarnation: once.NewIncarnation(), Address: l.Addr().String(), Zone: a.Zone, Region: a.Region,
 		},
-		KV: pc, List: pc, MaxAge: a.MaxAge, Heartbeat: a.Heartbeat, ReportEvery: a.Reports, ReportRate: a.Rate, Memory: a.Memory,
+		KV: pc, List: pc, MaxAge: a.MaxAge, HeartbeatInterval: a.Heartbeat, MinReportInterval: a.Reports, MaxReportRate: a.Rate, MaxBodyMemory: a.Memory,
 		OnDrain: stop, Log: log,
 	}
 	srv := &http.Server{Handler: r.Handler()}
--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -24,8 +24,8 @@
 
 // manyBoot is the settings of the hosts of a deployment of tens.
 var manyBoot = platform.Boot{
-	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, Grace: 8 * time.Second,
-	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
+	ConfigTime: 3 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 4 * time.Second, DrainTime: 3 * time.Second, GracePeriod: 8 * time.Second,
+	HeartbeatInterval: 1200 * time.Millisecond, AnswerTTL: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 196,
 }
 
 // lastToRead is the host that reads the store last, by the order drawn from names.
@@ -95,8 +95,8 @@
 
 // fewBoot is the settings of the hosts of a deployment of a few.
 var fewBoot = platform.Boot{
-	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, Grace: 8 * time.Second,
-	Heartbeat: 1200 * time.Millisecond, AnswerLife: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
+	ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, ContactTime: 3 * time.Second, DrainTime: 2 * time.Second, GracePeriod: 8 * time.Second,
+	HeartbeatInterval: 1200 * time.Millisecond, AnswerTTL: 5 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52,
 }
 
 // TestOutageStopsNoService holds that hosts serve on with the endpoints that they know while the store fails, for all of them or for one,
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -35,12 +35,12 @@
 	Zones []string
 	// StepTime is the time of an engine's step; 0 means 3 ms.
 	StepTime time.Duration
-	// Place runs a placer beside each host.
-	Place bool
-	// Override gives the addresses of endpoints that are served elsewhere.
-	Override map[string]string
-	// Tune changes a router before it runs; nil changes nothing.
-	Tune func(*router.Router)
+	// RunPlacers runs a placer beside each host.
+	RunPlacers bool
+	// AddressOverrides gives the addresses of endpoints that are served elsewhere.
+	AddressOverrides map[string]string
+	// ConfigureRouter changes a router before it runs; nil changes nothing.
+	ConfigureRouter func(*router.Router)
 	// Log takes the hosts' changes of state.
 	Log logr.Logger
 
@@ -50,8 +50,8 @@
 	Services map[string]*fake.Service
 	// PlatformAddress is where the platform's stand-ins listen.
 	PlatformAddress string
-	// Nodes are the hosts, in order of their start.
-	Nodes []*Node
+	// StartedHosts are the hosts, in order of their start.
+	StartedHosts []*Host
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -59,8 +59,8 @@
 	started int // hosts ever started, for their names
 }
 
-// Node is one running host.
-type Node struct {
+// Host is one running host.
+type Host struct {
 	// Router is the host and Address where it listens.
 	Router  *router.Router
 	Address string
@@ -98,7 +98,7 @@
 func (c *Cluster) Start() error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	if c.Platform.KV == nil {
-		c.Platform = fake.Platform{KV: &fake.KV{Writes: 100, Reads: 2000}, Hosts: &fake.HostList{}, Weights: &fake.WeightStore{}}
+		c.Platform = fake.Platform{KV: &fake.KV{MaxWriteRate: 100, MaxReadRate: 2000}, Hosts: &fake.HostList{}, Weights: &fake.WeightStore{}}
 	}
 	s, err := c.serve(c.Platform.Handler())
 	if err != nil {
@@ -131,7 +131,7 @@
 // Stop ends all parts.
 func (c *Cluster) Stop() {
 	c.cancel()
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		n.Kill()
 	}
 	for _, s := range c.servers {
@@ -148,7 +148,7 @@
 	held := initial(fl)
 	zones := make(map[string]bool)
 	for i, e := range fl.Endpoints {
-		if a := c.Override[e.Name]; a != "" {
+		if a := c.AddressOverrides[e.Name]; a != "" {
 			c.setAddress(e.Name, a)
 			continue
 		}
@@ -156,7 +156,7 @@
 		if e.Engine {
 			eng := c.newEngine(i, e)
 			if m, ok := held[e.Name]; ok {
-				eng.Hold(m)
+				eng.SetLoaded(m)
 			}
 			c.Engines[e.Name] = eng
 			h = eng.Handler()
@@ -187,18 +187,18 @@
 		step = 3 * time.Millisecond
 	}
 	return &fake.Engine{
-		Core:     fake.EngineCore{Slots: e.Slots, PrefillPerStep: 512, CacheBlocks: 4096},
-		StepTime: step * time.Duration(2+i%3) / 2,
-		Lag:      200 * time.Millisecond,
-		Store:    c.Platform.Weights,
-		Unfenced: !e.Fenced,
+		Core:      fake.EngineCore{Slots: e.Slots, PrefillPerStep: 512, CacheBlocks: 4096},
+		StepTime:  step * time.Duration(2+i%3) / 2,
+		ReportLag: 200 * time.Millisecond,
+		Store:     c.Platform.Weights,
+		Unfenced:  !e.Fenced,
 	}
 }
 
 // initial spreads the declared placements over the engines of each zone, as if
 // a placer had run before.
-func initial(fl *settings.Fleet) map[string]endpoint.Holding {
-	held := make(map[string]endpoint.Holding)
+func initial(fl *settings.Fleet) map[string]endpoint.ModelSpec {
+	held := make(map[string]endpoint.ModelSpec)
 	for _, p := range fl.Placements {
 		left := make(map[string]int)
 		for _, e := range fl.Endpoints {
@@ -206,7 +206,7 @@
 				continue
 			}
 			left[e.Zone]++
-			held[e.Name] = endpoint.Holding{Model: p.Model, Version: p.Version, Adapters: p.Adapters}
+			held[e.Name] = endpoint.ModelSpec{Model: p.Model, Version: p.Version, Adapters: p.Adapters}
 		}
 	}
 	return held
@@ -230,7 +230,7 @@
 }
 
 // AddHost starts another host at an address.
-func (c *Cluster) AddHost(address string) (*Node, error) {
+func (c *Cluster) AddHost(address string) (*Host, error) {
 	i := c.started
 	c.started++
 	l, err := net.Listen("tcp", address)
@@ -238,7 +238,7 @@
 		return nil, err
 	}
 	zone := c.Zones[i%len(c.Zones)]
-	pc := &keyval.Client{Base: "http://" + c.PlatformAddress}
+	pc := &keyval.Client{BaseURL: "http://" + c.PlatformAddress}
 	r := &router.Router{
 		Self: fleet.Host{
 			Name: fmt.Sprintf("host-%d", i+1), Incarnation: once.NewIncarnation(),
@@ -246,19 +246,19 @@
 		},
 		KV: pc, List: pc, Log: c.Log.WithValues("host", i+1),
 	}
-	if c.Tune != nil {
-		c.Tune(r)
+	if c.ConfigureRouter != nil {
+		c.ConfigureRouter(r)
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := &Node{Router: r, Address: l.Addr().String(), cancel: cancel}
+	n := &Host{Router: r, Address: l.Addr().String(), cancel: cancel}
 	n.server = &Server{Address: n.Address, http: &http.Server{Handler: r.Handler()}}
 	c.Platform.Hosts.Put(keyval.ListEntry{Name: r.Self.Name, Address: n.Address, Zone: zone})
 	go func() { _ = n.server.http.Serve(l) }()
 	go r.Run(ctx)
-	if c.Place {
+	if c.RunPlacers {
 		go c.placer(r, pc).Run(ctx)
 	}
-	c.Nodes = append(c.Nodes, n)
+	c.StartedHosts = append(c.StartedHosts, n)
 	return n, nil
 }
 
@@ -266,7 +266,7 @@
 func (c *Cluster) placer(r *router.Router, pc *keyval.Client) *placer.Manager {
 	return &placer.Manager{
 		Name: r.Self.Name + "/" + r.Self.Incarnation.String(), KV: pc, Weights: pc,
-		Settings: r.Snapshot, Candidate: r.PlacerCandidate, Log: r.Log,
+		Settings: r.Snapshot, Candidate: r.IsPlacerCandidate, Log: r.Log,
 		Engine: func(e settings.Endpoint) endpoint.Engine {
 			return &endpoint.Client{Base: "http://" + e.Address}
 		},
@@ -274,14 +274,14 @@
 }
 
 // Kill ends a host at once, with all its connections.
-func (n *Node) Kill() {
+func (n *Host) Kill() {
 	n.cancel()
 	n.server.Kill()
 }
 
 // WaitReady waits until every host is ready and knows all others.
 func (c *Cluster) WaitReady(ctx context.Context) error {
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		for {
 			st := n.Router.Status()
 			live := 0
@@ -290,12 +290,12 @@
 					live++
 				}
 			}
-			if st.Ready && live >= len(c.Nodes) && n.Router.SeesEndpoints() {
+			if st.Ready && live >= len(c.StartedHosts) && n.Router.AllEndpointsReported() {
 				break
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.WhyNot, live, len(c.Nodes))
+				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.NotReadyReason, live, len(c.StartedHosts))
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
@@ -306,7 +306,7 @@
 // Addresses returns the addresses of all hosts.
 func (c *Cluster) Addresses() []string {
 	var out []string
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		out = append(out, n.Address)
 	}
 	return out
--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -69,8 +69,8 @@
 func (f *fleet) replace(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Nodes[i].Kill()
-	f.Nodes = append(f.Nodes[:i], f.Nodes[i+1:]...)
+	f.StartedHosts[i].Kill()
+	f.StartedHosts = append(f.StartedHosts[:i], f.StartedHosts[i+1:]...)
 	if _, err := f.AddHost("127.0.0.1:0"); err != nil {
 		f.t.Error(err)
 	}
@@ -81,10 +81,10 @@
 	p := settings.Parse([]settings.File{{Name: "t.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
 	f := &fleet{t: t, Cluster: &dev.Cluster{
-		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, Place: place,
-		Tune: func(r *router.Router) {
-			r.ReportEvery, r.ReportRate = 50*time.Millisecond, 1000
-			r.Heartbeat, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
+		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, RunPlacers: place,
+		ConfigureRouter: func(r *router.Router) {
+			r.MinReportInterval, r.MaxReportRate = 50*time.Millisecond, 1000
+			r.HeartbeatInterval, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			r.MaxAge = 300 * time.Millisecond
 		},
 	}}
@@ -177,7 +177,7 @@
 
 // checkRuns holds the promises of calls that may not be repeated.
 func (f *fleet) checkRuns() {
-	most, _ := f.Services["s1"].Most()
+	most, _ := f.Services["s1"].RunStats()
 	must.LessEq(f.t, 1, most)
 	f.ids.Range(func(name, out any) bool {
 		runs := f.Services["s1"].Runs(name.(string))
@@ -190,7 +190,7 @@
 		return true
 	})
 	for name, e := range f.Engines {
-		_, n := e.TotalRuns()
+		_, n := e.RunStats()
 		must.LessEq(f.t, 1, n, must.Sprint(name))
 	}
 }
@@ -204,7 +204,7 @@
 	must.NoError(t, err)
 	f.until("all engines hold version 2", func() bool {
 		for _, e := range f.Engines {
-			if h := e.Held(); h == nil || h.Version != "2" {
+			if h := e.Loaded(); h == nil || h.Version != "2" {
 				return false
 			}
 		}
@@ -231,7 +231,7 @@
 	f := start(t, false)
 	f.load(6, both)
 	for range 3 {
-		old := f.Nodes[0]
+		old := f.StartedHosts[0]
 		must.NoError(t, old.Router.Drain(context.Background()))
 		f.replace(0)
 		f.ready()
@@ -245,7 +245,7 @@
 	f := start(t, false)
 	f.load(8, both)
 	f.until("load runs", func() bool { return f.answered.Load() > 200 })
-	f.Nodes[1].Kill()
+	f.StartedHosts[1].Kill()
 	before := f.answered.Load()
 	f.until("load goes on", func() bool { return f.answered.Load() > before+400 })
 	f.halt()
--- a/internal/mesh/fleet_test.go
+++ b/internal/mesh/fleet_test.go
@@ -149,8 +149,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		tab := fleet.NewTable(fleet.Host{Name: "a", Incarnation: 1, Address: "a"})
 		old := fleet.Host{Name: "b", Incarnation: 2, Address: "b", Seq: 1}
-		tab.Heard(1, old)
-		tab.Heard(2, fleet.Host{Name: "b", Incarnation: 3, Address: "b", Seq: 1})
+		tab.MergeDirect(1, old)
+		tab.MergeDirect(2, fleet.Host{Name: "b", Incarnation: 3, Address: "b", Seq: 1})
 		h, ok := tab.Find(2)
 		must.True(t, ok)
 		must.True(t, h.Gone)
@@ -165,23 +165,23 @@
 func TestSuspectIsInformed(t *testing.T) {
 	tab := fleet.NewTable(fleet.Host{Name: "a", Incarnation: 1, Address: "a"})
 	b := fleet.Host{Name: "b", Incarnation: 2, Address: "b", Seq: 1}
-	tab.Heard(1, b)
+	tab.MergeDirect(1, b)
 	b.Suspect = true
 	tab.Merge(2, []fleet.Host{b})
 	h, _ := tab.Find(2)
 	must.True(t, h.Live())
-	must.Eq(t, []fleet.Host{b}, tab.Accused())
+	must.Eq(t, []fleet.Host{b}, tab.TakeRejectedSuspicions())
 }
 
 func TestForget(t *testing.T) {
 	tab := fleet.NewTable(fleet.Host{Name: "a", Incarnation: 1, Address: "a"})
-	tab.Heard(1, fleet.Host{Name: "b", Incarnation: 2, Address: "b", Seq: 1})
-	tab.Suspect(2, 2)
+	tab.MergeDirect(1, fleet.Host{Name: "b", Incarnation: 2, Address: "b", Seq: 1})
+	tab.MarkSuspect(2, 2)
 	names := []string{"a"}
-	tab.Listed(3, names)
+	tab.ApplyList(3, names)
 	_, ok := tab.Find(2)
 	must.True(t, ok)
-	tab.Listed(fleet.DefaultForget+time.Minute, names)
+	tab.ApplyList(fleet.DefaultForgetTimeout+time.Minute, names)
 	_, ok = tab.Find(2)
 	must.False(t, ok)
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -83,19 +83,19 @@
 		HostCount: m.hostCount,
 	}
 	n.Agent = &fleet.Agent{
-		Clock: clock.NewSteady(),
-		Self:  fleet.Host{Name: n.Name, Incarnation: once.Incarnation(i + 1), Address: n.Name, Zone: n.Zone},
-		Peers: n, List: m.HostList, Interval: m.HeartbeatInterval, Seed: uint64(i), Log: logr.Discard(),
+		Clock:     clock.NewSteady(),
+		Self:      fleet.Host{Name: n.Name, Incarnation: once.Incarnation(i + 1), Address: n.Name, Zone: n.Zone},
+		Transport: n, List: m.HostList, Interval: m.HeartbeatInterval, Seed: uint64(i), Log: logr.Discard(),
 		Revision: n.Follower.Revision,
 	}
-	n.Agent.Behind = func(rev uint64, address string) {
+	n.Agent.OnNewerRevision = func(rev uint64, address string) {
 		go func() {
 			if n.Follower.Pull(ctx, rev, address) == nil {
-				n.Agent.Kick()
+				n.Agent.SendNow()
 			}
 		}()
 	}
-	n.Follower.OnSnapshot = func(*settings.Snapshot) { n.Agent.Kick() }
+	n.Follower.OnSnapshot = func(*settings.Snapshot) { n.Agent.SendNow() }
 	go n.Agent.Run(ctx)
 	go n.Follower.Run(ctx)
 	return n
--- a/internal/mesh/settings_test.go
+++ b/internal/mesh/settings_test.go
@@ -66,7 +66,7 @@
 func newTestMesh(t *testing.T, ctx context.Context, n int) *testMesh {
 	w := &testMesh{
 		Mesh: &Mesh{Latency: time.Millisecond, Zones: []string{"z1", "z2", "z3"}, HostList: &fake.HostList{Lag: time.Second}},
-		t:    t, ctx: ctx, kv: &fake.KV{Writes: 100, Reads: 2000}, lastRevision: make(map[string]uint64),
+		t:    t, ctx: ctx, kv: &fake.KV{MaxWriteRate: 100, MaxReadRate: 2000}, lastRevision: make(map[string]uint64),
 	}
 	must.NoError(t, w.declareWorkspace("first", "w0", "1"))
 	for range n {
--- a/internal/simsite/site.go
+++ b/internal/simsite/site.go
@@ -107,7 +107,7 @@
 	zone := i % s.Zones
 	b.Host, b.Zone, b.Region, b.IP = fmt.Sprintf("host-%d", i), fmt.Sprintf("zone-%d", zone), "local", ip(10, zone, i)
 	b.Front, b.Ready, b.Control, b.Directory = b.IP+":8221", b.IP+":8224", b.IP+":8229", b.IP+":8220"
-	b.PeerPort, b.Store, b.First = 7600, storeIP+":8225", true
+	b.PeerPort, b.Store, b.Bootstrap = 7600, storeIP+":8225", true
 	b.Cores = 0.2
 	if i/s.Zones < s.StrongPerZone {
 		b.Cores = 0.8
@@ -124,7 +124,7 @@
 	h.kill, h.done, h.net = cancel, make(chan struct{}), s.Net.Host(h.Boot.IP)
 	h.net.Start()
 	h.Edge = &edge.Host{Boot: h.Boot, Clock: clock.NewSteady().Skewed(h.suspendedTime), Network: h.net, Log: s.Log}
-	h.Boot.First = false
+	h.Boot.Bootstrap = false
 	go func(e *edge.Host, done chan struct{}) {
 		defer close(done)
 		if err := e.Run(ctx, make(chan os.Signal)); err != nil {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -130,9 +130,9 @@
 	address := func(i int) string { return fmt.Sprintf("%s:%d", ip, s.basePort+i) }
 	b := platform.Boot{
 		Host: fmt.Sprintf("host-%d", n), Zone: fmt.Sprintf("zone-%d", n%2), Region: "local", IP: ip,
-		Front: address(0), Ready: address(1), Control: address(2), Directory: address(3), PeerPort: s.basePort + 4, Store: s.StoreAddress, First: true,
+		Front: address(0), Ready: address(1), Control: address(2), Directory: address(3), PeerPort: s.basePort + 4, Store: s.StoreAddress, Bootstrap: true,
 		MemoryMB: 256, ConfigTime: 2 * time.Second, RevokeTime: 5 * time.Second, StrictRevoke: !s.Lenient, ContactTime: 3 * time.Second,
-		DrainTime: 2 * time.Second, Grace: cmp.Or(s.GracePeriod, 8*time.Second), Heartbeat: time.Second, AnswerLife: 5 * time.Second,
+		DrainTime: 2 * time.Second, GracePeriod: cmp.Or(s.GracePeriod, 8*time.Second), HeartbeatInterval: time.Second, AnswerTTL: 5 * time.Second,
 		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
 	}
 	for _, h := range s.Hosts {
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -41,7 +41,7 @@
 func (r *rig) mostRuns() int {
 	most := 0
 	for _, e := range r.Engines {
-		_, n := e.TotalRuns()
+		_, n := e.RunStats()
 		most = max(most, n)
 	}
 	return most
@@ -65,9 +65,9 @@
 		ok     bool
 	}{
 		{"no fault", fake.EngineFaults{}, true},
-		{"stream cut once and resumed", fake.EngineFaults{CutAfter: 7}, true},
-		{"crossed piece", fake.EngineFaults{CrossAt: 5}, false},
-		{"repeated piece", fake.EngineFaults{RepeatAt: 5}, false},
+		{"stream cut once and resumed", fake.EngineFaults{BreakAfter: 7}, true},
+		{"crossed piece", fake.EngineFaults{WrongIDAt: 5}, false},
+		{"repeated piece", fake.EngineFaults{DuplicateAt: 5}, false},
 		{"missing piece", fake.EngineFaults{SkipAt: 5}, false},
 		{"server error", fake.EngineFaults{ServerErrors: true}, false},
 		{"dead", fake.EngineFaults{Dead: true}, false},
@@ -86,7 +86,7 @@
 				must.Eq(t, tokens, a.Tokens)
 			} else {
 				must.Error(t, err)
-				must.Eq(t, problem.Unknown, problem.Of(err).Outcome)
+				must.Eq(t, problem.Unknown, problem.FromError(err).Outcome)
 			}
 			must.LessEq(t, 1, r.mostRuns())
 		})
@@ -96,7 +96,7 @@
 func TestStreamOutlivesItsOwner(t *testing.T) {
 	r := newRig(t, nil)
 	for _, e := range r.Engines {
-		e.SetStep(20 * time.Millisecond)
+		e.SetStepTime(20 * time.Millisecond)
 	}
 	cl := newClient(r)
 	list, err := cl.Addresses(context.Background())
@@ -133,9 +133,9 @@
 func TestCallerThatLeavesCancelsItsStream(t *testing.T) {
 	r := newRig(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
 	for _, e := range r.Engines {
-		e.SetStep(10 * time.Millisecond)
+		e.SetStepTime(10 * time.Millisecond)
 	}
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for _, id := range []string{"", a.Prefix + "leaves"} {
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, err := http.DefaultClient.Do(completion(ctx, a.Address, id, 100000))
@@ -163,7 +163,7 @@
 
 func TestSlowCallerHoldsBackOnlyItself(t *testing.T) {
 	r := newRig(t, nil)
-	host := r.Nodes[0].Address
+	host := r.StartedHosts[0].Address
 	slow, err := http.DefaultClient.Do(completion(context.Background(), host, "", 4096))
 	must.NoError(t, err)
 	defer slow.Body.Close()
@@ -182,8 +182,8 @@
 
 func TestBadRequests(t *testing.T) {
 	r := newRig(t, nil)
-	host := r.Nodes[0].Address
-	good := r.address(t, r.Nodes[0]).Addresses[0]
+	host := r.StartedHosts[0].Address
+	good := r.address(t, r.StartedHosts[0]).Addresses[0]
 	cases := []struct {
 		name, path, ws, service, id, body string
 		kind                              problem.Kind
@@ -217,7 +217,7 @@
 
 func TestRefusedForTheBodyStaysRefused(t *testing.T) {
 	r := newRig(t, nil)
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for i, body := range []string{strings.Repeat("x", 101), "small"} {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+"look", strings.NewReader(body))
 		req.Header.Set(router.HeaderWorkspace, "w")
