--- a/internal/site/again_test.go
+++ b/internal/site/again_test.go
@@ -12,10 +12,11 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// TestEndpointStartsAgain lets an endpoint start again under its name while a request hangs there, on a connection that
-// does not tell: nothing of the older life is waited for. What may go on elsewhere does; what may not is
-// told at once that it may have run.
-func TestEndpointStartsAgain(t *testing.T) {
+// TestEndpointRestarts checks what happens to a request that hangs at an endpoint when the endpoint
+// restarts under its name and the connection is not closed. The host must not wait for the former
+// incarnation: it repeats the request elsewhere if that is allowed, and otherwise tells the caller
+// at once that it may have run.
+func TestEndpointRestarts(t *testing.T) {
 	cases := []struct {
 		name, path string
 		fault      Fault
@@ -24,21 +25,21 @@
 	}{
 		{"a stream that may go on elsewhere, nothing came", "/review/a", Hang, 200, 2},
 		{"a stream that may go on elsewhere, some events came", "/review/a", HangEvent, 200, 2},
-		{"a stream that may not, nothing came", "/draft/a", Hang, 502, 1},
+		{"a stream that may not go on elsewhere, nothing came", "/draft/a", Hang, 502, 1},
 		{"a plain request that may be repeated", "/ask/a", Hang, 200, 2},
-		{"a plain request that may not", "/push/a", Hang, 502, 1},
+		{"a plain request that may not be repeated", "/push/a", Hang, 502, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s, h := patient(t)
-			s.fail(tc.fault, 1)
+			s, h := startWithLongTimeouts(t)
+			s.setFaults(tc.fault, 1)
 			answer := make(chan Answer, 1)
 			go func() {
 				answer <- Do(h.Boot.Front, Call{Path: tc.path, Key: "new-key", ID: "again", Body: "b", Tokens: "10,30"})
 			}()
-			working := func(e *Endpoint) bool { return e.InFlight() > 0 }
-			s.await(t, "it runs", func() bool { return s.which(working) != nil })
-			e := s.which(working)
+			isWorking := func(e *Endpoint) bool { return e.InFlight() > 0 }
+			s.await(t, "it runs", func() bool { return s.findEndpoint(isWorking) != nil })
+			e := s.findEndpoint(isWorking)
 			e.StartedMS = 1_800_000_000_000
 			service := Engines
 			if e.Events == 0 {
@@ -50,15 +51,15 @@
 			if tc.status == 200 && service == Engines {
 				must.EqOp(t, StreamBody(e.Events), a.Body)
 			}
-			must.EqOp(t, tc.runs, s.runs("again"))
-			requests, _ := s.counts(t, h)
+			must.EqOp(t, tc.runs, s.countRuns("again"))
+			requests, _ := s.readCounters(t, h)
 			must.EqOp(t, 1, requests["LifeOver"])
 		})
 	}
 }
 
-// which gives the first endpoint of which something is true, or nil.
-func (s *scene) which(ok func(*Endpoint) bool) *Endpoint {
+// findEndpoint returns the first endpoint for which ok returns true, or nil.
+func (s *testSite) findEndpoint(ok func(*Endpoint) bool) *Endpoint {
 	for i := range 2 {
 		for _, e := range []*Endpoint{s.plain[i], s.engines[i]} {
 			if ok(e) {
@@ -69,10 +70,11 @@
 	return nil
 }
 
-// TestForeignEntriesServe writes entries of another program beside those of the endpoints, and in the place of
-// one: all goes to the endpoints that are left, as before.
+// TestForeignEntriesServe writes entries that are invalid or of another program beside those of the
+// endpoints, and one in place of an endpoint's entry. The remaining endpoints must get all
+// requests.
 func TestForeignEntriesServe(t *testing.T) {
-	s := start(t, 1)
+	s := startTestSite(t, 1)
 	h := s.Hosts[0]
 	for key, value := range map[string]any{
 		"x-1": "not an entry", "x-2": []int{1, 2}, "x-3": map[string]any{"Service": Plain, "Address": s.engines[0].Address, "State": "ready"},
@@ -84,10 +86,10 @@
 	} {
 		s.Store.Put(platform.PrefixEndpoints+key, value)
 	}
-	s.await(t, "all goes to the other endpoint", func() bool {
+	s.await(t, "the other endpoint gets all requests", func() bool {
 		before := len(s.plain[0].Runs())
 		for range 10 {
-			a := s.ask(t, h, Call{Path: "/ask/a", Key: Key, ID: "f"})
+			a := s.doWithRetry(t, h, Call{Path: "/ask/a", Key: Key, ID: "f"})
 			must.EqOp(t, 200, a.Status, must.Sprint(a.Body))
 		}
 		return len(s.plain[0].Runs()) == before
--- a/internal/site/endpoint.go
+++ b/internal/site/endpoint.go
@@ -18,93 +18,98 @@
 	"github.com/heathkeel/heathkeel/internal/link"
 )
 
-// Fault is what an endpoint does wrong with its next request.
+// Fault is a fault of an endpoint with one request.
 type Fault string
 
-// The faults.
+// Faults of an endpoint.
 const (
-	// None answers well.
+	// None answers as usual.
 	None Fault = ""
-	// Full says 503 and that it did not run the request.
+	// Full answers 503 and states that the request was not executed.
 	Full Fault = "full"
-	// Error answers 500 of its own.
+	// Error answers 500.
 	Error Fault = "error"
 	// Reset runs the request and resets the connection without an answer.
 	Reset Fault = "reset"
-	// Hang runs the request and says nothing.
+	// Hang runs the request and never answers.
 	Hang Fault = "hang"
-	// Truncated breaks the answer off in its middle.
+	// Truncated closes the connection in the middle of the answer.
 	Truncated Fault = "torn"
-	// TruncatedEvent breaks a stream off in the middle of its third event.
+	// TruncatedEvent closes the connection in the middle of a stream's third event.
 	TruncatedEvent Fault = "torn event"
-	// InvalidAnswer sends bytes that are no answer.
+	// InvalidAnswer sends bytes that are not HTTP.
 	InvalidAnswer Fault = "no answer"
-	// NoStamp answers without its stamp.
+	// NoStamp answers without the response stamp.
 	NoStamp Fault = "no stamp"
-	// ExtraAnswer sends a second answer behind the first.
+	// ExtraAnswer sends the answer twice.
 	ExtraAnswer Fault = "surplus"
-	// WrongAnswer sends the answer to another request first.
+	// WrongAnswer sends the answer to another request before its own.
 	WrongAnswer Fault = "foreign"
-	// Unframed answers without a length and closes.
+	// Unframed answers without a length and ends the answer by closing the connection.
 	Unframed Fault = "unframed"
-	// UnframedReset answers without a length and resets in the middle.
+	// UnframedReset answers without a length and resets the connection in the middle of the answer.
 	UnframedReset Fault = "unframed reset"
-	// HangEvent sends two events and then nothing.
+	// HangEvent sends two events of a stream and then nothing more.
 	HangEvent Fault = "hang event"
-	// SkipEvent leaves out the third event of a stream.
+	// SkipEvent omits the third event of a stream.
 	SkipEvent Fault = "skip event"
 	// DoubleEvent sends the third event of a stream twice.
 	DoubleEvent Fault = "double event"
-	// Closing says Connection: close.
+	// Closing sends Connection: close and closes the connection after the answer.
 	Closing Fault = "closing"
-	// Interim sends a 103 before its answer.
+	// Interim sends a 103 response before the answer.
 	Interim Fault = "interim"
 )
 
 // Run is a request that an endpoint ran.
 type Run struct {
-	// AttemptID, Method, URI and Body are what came.
+	// AttemptID, Method, URI and Body are the parts of the request.
 	AttemptID, Method, URI, Body string
-	// Header is its header.
+	// Header is the header of the request.
 	Header http.Header
-	// LastEvent is the last event that the sender had, or 0.
+	// LastEvent is the number of the last event that the sender has, or 0.
 	LastEvent int
-	// ReceivedAt is when it came, and Ended when the endpoint stopped working on it, zero while it works.
+	// ReceivedAt is the time of receipt. EndedAt is the time at which the endpoint stopped working
+	// on the request, zero while it works on it.
 	ReceivedAt, EndedAt time.Time
 }
 
-// Endpoint is a model runner or a plain service.
+// Endpoint is an engine or a plain service.
 type Endpoint struct {
-	// Instance is its name, and Born the Unix time of the start of this life in milliseconds, 0 if it does not tell.
+	// Instance is the endpoint's name. StartedMS is the Unix time of the start of this incarnation
+	// in milliseconds, or 0 if its entry does not state it.
 	Instance  string
 	StartedMS int64
-	// Events is the number of events of its streams; 0 makes it a plain service.
+	// Events is the number of events of a stream; 0 makes the endpoint a plain service.
 	Events int
-	// Pace is the time between events, and before the first; set it with SetPace once it runs.
+	// Pace is the time before each event, the first one included. Use SetPace to change it while
+	// the endpoint runs.
 	Pace time.Duration
-	// CrashText is a text that crashes the endpoint if the URI or the body of a request holds it, Delay after it began to run;
-	// empty for none. Answers says that it answers as usual until then; else it says nothing.
+	// A request whose URI or body contains CrashText crashes the endpoint CrashDelay after it began
+	// to run; empty means none. With AnswersBeforeCrash set, the endpoint answers as usual until
+	// then; otherwise it sends nothing.
 	CrashText          string
 	CrashDelay         time.Duration
 	AnswersBeforeCrash bool
-	// OnCrash is called when it has crashed, or nil.
+	// OnCrash is called after a crash; it may be nil.
 	OnCrash func()
-	// Proxy is what all connections to it go over, or nil; it is started with the endpoint.
+	// Proxy carries all connections to the endpoint. It is started with the endpoint; it may be
+	// nil.
 	Proxy *link.Proxy
-	// Address is where it is reached.
+	// Address is the address at which the endpoint is reached.
 	Address string
 
-	mu     sync.Mutex
-	faults []Fault
-	shared *FaultQueue
-	runs   []Run
-	open   int
-	l      net.Listener
-	conns  map[net.Conn]bool
-	dead   bool
+	mu       sync.Mutex
+	faults   []Fault
+	shared   *FaultQueue
+	runs     []Run
+	inFlight int
+	l        net.Listener
+	conns    map[net.Conn]bool
+	crashed  bool
 }
 
-// Start listens on loopback.
+// Start listens on loopback and serves connections.
 func (e *Endpoint) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -133,49 +138,49 @@
 // Stop closes the listener.
 func (e *Endpoint) Stop() { _ = e.l.Close() }
 
-// SetFaults gives the faults of the next requests, in order.
+// SetFaults sets the faults of the next requests, in order.
 func (e *Endpoint) SetFaults(faults ...Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// SetPace changes the pace.
+// SetPace changes Pace while the endpoint runs.
 func (e *Endpoint) SetPace(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Pace = d
 }
 
-// pace is the pace in force.
-func (e *Endpoint) pace() time.Duration {
+// currentPace returns Pace.
+func (e *Endpoint) currentPace() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Pace
 }
 
-// Runs returns the requests that ran.
+// Runs returns the requests that the endpoint ran so far.
 func (e *Endpoint) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Run(nil), e.runs...)
 }
 
-// InFlight tells how many requests it works on.
+// InFlight returns the number of requests that the endpoint works on.
 func (e *Endpoint) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.inFlight
 }
 
-// FaultQueue are faults of the next requests at any of several endpoints, in order.
+// FaultQueue holds faults that several endpoints share; their next requests take them in order.
 type FaultQueue struct {
 	mu   sync.Mutex
 	list []Fault
 }
 
-// next takes the next fault, or returns None.
-func (f *FaultQueue) next() Fault {
+// take removes and returns the next fault, or None.
+func (f *FaultQueue) take() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.list) == 0 {
@@ -186,7 +191,8 @@
 	return n
 }
 
-// ShareFaults gives several endpoints the same faults: the next requests at any of them meet them.
+// ShareFaults gives several endpoints a common queue of faults for the next requests at any of
+// them.
 func ShareFaults(list []Fault, endpoints ...*Endpoint) {
 	f := &FaultQueue{list: list}
 	for _, e := range endpoints {
@@ -196,12 +202,12 @@
 	}
 }
 
-// next takes the next fault.
-func (e *Endpoint) next() Fault {
+// nextFault removes and returns the fault of the next request. Shared faults come first.
+func (e *Endpoint) nextFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.shared != nil {
-		if f := e.shared.next(); f != None {
+		if f := e.shared.take(); f != None {
 			return f
 		}
 	}
@@ -215,9 +221,9 @@
 
 // serve answers the requests of one connection.
 func (e *Endpoint) serve(c net.Conn) {
-	defer e.close(c)
-	if !e.opened(c) {
-		reset(c)
+	defer e.closeConn(c)
+	if !e.addConn(c) {
+		resetConn(c)
 		return
 	}
 	br := bufio.NewReader(c)
@@ -236,44 +242,44 @@
 	}
 }
 
-// answer answers one request; it returns false if the connection is to be closed.
+// answer answers one request. It returns false if the connection must be closed.
 func (e *Endpoint) answer(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("Heathkeel-Attempt-Id")
-	if x := r.Header.Get("Heathkeel-Expect-Instance"); x != "" && x != e.Instance {
+	if expected := r.Header.Get("Heathkeel-Expect-Instance"); expected != "" && expected != e.Instance {
 		fmt.Fprintf(c, "HTTP/1.1 421 Misdirected Request\r\nHeathkeel-Attempt-Id: %s\r\nHeathkeel-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", id, e.Instance)
 		return true
 	}
-	f := e.next()
+	f := e.nextFault()
 	if f == Full {
 		fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nHeathkeel-Attempt-Id: %s\r\nHeathkeel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", id)
 		return true
 	}
-	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	lastEvent, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	e.mu.Lock()
-	if e.dead {
+	if e.crashed {
 		e.mu.Unlock()
 		return false
 	}
-	n := len(e.runs)
-	e.runs = append(e.runs, Run{AttemptID: id, Method: r.Method, URI: r.RequestURI, Body: body, Header: r.Header, LastEvent: after, ReceivedAt: time.Now()})
-	e.open++
+	index := len(e.runs)
+	e.runs = append(e.runs, Run{AttemptID: id, Method: r.Method, URI: r.RequestURI, Body: body, Header: r.Header, LastEvent: lastEvent, ReceivedAt: time.Now()})
+	e.inFlight++
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		e.open--
-		e.runs[n].EndedAt = time.Now()
+		e.inFlight--
+		e.runs[index].EndedAt = time.Now()
 		e.mu.Unlock()
 	}()
-	if e.kills(r, body) && e.AnswersBeforeCrash {
+	if e.crashesOn(r, body) && e.AnswersBeforeCrash {
 		time.AfterFunc(e.CrashDelay, func() { e.Crash() })
-	} else if e.kills(r, body) {
+	} else if e.crashesOn(r, body) {
 		time.Sleep(e.CrashDelay)
 		e.Crash()
 		return false
 	}
 	switch f {
 	case Reset:
-		reset(c)
+		resetConn(c)
 		return false
 	case Hang:
 		_, _ = io.Copy(io.Discard, c)
@@ -287,19 +293,19 @@
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 	}
 	if e.Events > 0 && f != Error {
-		return e.stream(c, id, f, after)
+		return e.answerStream(c, id, f, lastEvent)
 	}
-	return e.plain(c, id, f, body)
+	return e.answerPlain(c, id, f, body)
 }
 
-// reset closes a connection with a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// head starts an answer.
-func (e *Endpoint) head(id string, f Fault, status string) string {
+// responseHead returns the status line and the first header fields of an answer.
+func (e *Endpoint) responseHead(id string, f Fault, status string) string {
 	h := "HTTP/1.1 " + status + "\r\nHeathkeel-Attempt-Id: " + id + "\r\n"
 	if f != NoStamp {
 		h += "Heathkeel-Response-Stamp: " + e.Instance + "." + id + "\r\n"
@@ -310,22 +316,22 @@
 	return h
 }
 
-// plain answers with a body that names the request.
-func (e *Endpoint) plain(c net.Conn, id string, f Fault, body string) bool {
+// answerPlain sends an answer whose body names the request.
+func (e *Endpoint) answerPlain(c net.Conn, id string, f Fault, body string) bool {
 	status := "200 OK"
 	if f == Error {
 		status = "500 Internal Server Error"
 	}
 	text := "ran " + id + " with " + body
-	head := e.head(id, f, status)
+	head := e.responseHead(id, f, status)
 	switch f {
 	case Unframed:
 		fmt.Fprint(c, head+"\r\n"+text)
 		return false
 	case UnframedReset:
 		fmt.Fprint(c, head+"\r\n"+text[:3])
-		time.Sleep(e.pace())
-		reset(c)
+		time.Sleep(e.currentPace())
+		resetConn(c)
 		return false
 	}
 	head += "Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n"
@@ -340,18 +346,18 @@
 	return f != Closing
 }
 
-// EventText is the event with a number.
+// EventText returns the text of event n of a stream.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", n, n) }
 
-// stream answers with events.
-func (e *Endpoint) stream(c net.Conn, id string, f Fault, after int) bool {
-	fmt.Fprint(c, e.head(id, f, "200 OK")+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+// answerStream sends the events after lastEvent.
+func (e *Endpoint) answerStream(c net.Conn, id string, f Fault, lastEvent int) bool {
+	fmt.Fprint(c, e.responseHead(id, f, "200 OK")+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	chunk := func(s string) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s)
 		return err
 	}
-	for n := after + 1; n <= e.Events; n++ {
-		time.Sleep(e.pace())
+	for n := lastEvent + 1; n <= e.Events; n++ {
+		time.Sleep(e.currentPace())
 		text := EventText(n)
 		if n == 3 {
 			switch f {
@@ -377,7 +383,7 @@
 	return err == nil && f != Closing
 }
 
-// StreamBody is the whole body of a stream of n events.
+// StreamBody returns the complete body of a stream of n events.
 func StreamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -16,50 +16,51 @@
 	"github.com/gorilla/mux"
 )
 
-// StoreFault is a bad mood of the store.
+// StoreFault is a fault of the store. The zero value is none.
 type StoreFault struct {
-	// Status is what calls get instead of an answer; 0 is none.
+	// Status is sent in place of an answer; 0 means none.
 	Status int
-	// Hang calls get no answer for so long.
+	// Hang keeps calls waiting for this time and then closes their connections without an answer.
 	Hang time.Duration
-	// Reset closes connections without an answer.
+	// Reset closes connections at once without an answer.
 	Reset bool
-	// Delay delays each answer.
+	// Delay is added before each answer.
 	Delay time.Duration
-	// LoseAnswer does writes without answering them.
+	// LoseAnswer executes transactions and closes their connections without an answer.
 	LoseAnswer bool
 }
 
-// StoreItem is an item on the wire.
+// StoreItem is an item of the store on the wire.
 type StoreItem struct {
-	// TLSKey and Value are what was written.
+	// TLSKey is the key and Value the value that was written.
 	TLSKey string `json:"TlsKey"`
 	Value  []byte `json:",omitempty"`
-	// Revision is the last change, Made the creation and Lease what it hangs on.
+	// Revision is the revision of the last write and Created that of the first one. Lease is the ID
+	// of the lease with whose end the key is removed; 0 means none.
 	Revision uint64
 	Created  uint64 `json:"made,omitempty"`
 	Lease    uint64 `json:"lease,omitempty"`
-	// Removed says that the key was removed.
+	// Removed marks the removal of the key.
 	Removed bool `json:"gone,omitempty"`
 }
 
-// Store is the platform's store.
+// Store is a stand-in of the platform's store.
 type Store struct {
-	mu      sync.Mutex
-	items   map[string]StoreItem
-	log     []StoreItem
-	at      uint64
-	oldest  uint64
-	leases  map[uint64]*storeLease
-	changed chan struct{}
-	fault   StoreFault
-	calls   int
+	mu             sync.Mutex
+	items          map[string]StoreItem
+	history        []StoreItem
+	revision       uint64
+	oldestRevision uint64
+	leases         map[uint64]*storeLease
+	changed        chan struct{}
+	fault          StoreFault
+	calls          int
 }
 
-// storeLease is a lease and the moment it ends.
+// storeLease is a lease with its TTL and the time at which it expires.
 type storeLease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewStore returns an empty store.
@@ -67,25 +68,25 @@
 	return &Store{items: make(map[string]StoreItem), leases: make(map[uint64]*storeLease), changed: make(chan struct{})}
 }
 
-// Handler speaks the store's protocol.
+// Handler returns a handler for the store's HTTP protocol.
 func (s *Store) Handler() http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/-/kv-key", s.getKey).Methods(http.MethodGet)
 	m.HandleFunc("/-/kv-range", s.getRange).Methods(http.MethodGet)
 	m.HandleFunc("/-/kv-watch", s.watch).Methods(http.MethodGet)
 	m.HandleFunc("/-/kv-txn", s.txn).Methods(http.MethodPost)
-	m.HandleFunc("/-/kv-lease", s.grant).Methods(http.MethodPost)
-	m.HandleFunc("/-/kv-keep/{id}", s.keep).Methods(http.MethodPost)
+	m.HandleFunc("/-/kv-lease", s.grantLease).Methods(http.MethodPost)
+	m.HandleFunc("/-/kv-keep/{id}", s.renewLease).Methods(http.MethodPost)
 	m.HandleFunc("/-/kv-lease-end/{id}", s.endLease).Methods(http.MethodDelete)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.moody(w, r) {
+		if s.applyFault(w, r) {
 			m.ServeHTTP(w, r)
 		}
 	})
 }
 
-// moody shows the fault in force; it returns false if the call is over.
-func (s *Store) moody(w http.ResponseWriter, r *http.Request) bool {
+// applyFault applies the current fault to a call. It returns false if the call has been answered.
+func (s *Store) applyFault(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.calls++
 	f := s.fault
@@ -110,28 +111,28 @@
 	return true
 }
 
-// SetFault puts a fault in force.
+// SetFault sets the fault that applies to all calls from now on.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// DropHistory drops the history.
+// DropHistory drops the changes made so far, so that watches from older revisions get 410.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log, s.oldest = nil, s.at
+	s.history, s.oldestRevision = nil, s.revision
 }
 
-// Put writes a key as the operators and the endpoints do.
+// Put writes a key without a call, as operators and endpoints do.
 func (s *Store) Put(key string, value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -142,7 +143,7 @@
 	s.write(StoreItem{TLSKey: key, Value: b})
 }
 
-// HasPrefix tells whether there is a key below a prefix.
+// HasPrefix reports whether a key with the given prefix exists.
 func (s *Store) HasPrefix(prefix string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,12 +156,12 @@
 	return false
 }
 
-// CountWrites counts the writes of keys below a prefix that the history holds.
+// CountWrites counts the changes in the history of keys with the given prefix.
 func (s *Store) CountWrites(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, it := range s.log {
+	for _, it := range s.history {
 		if strings.HasPrefix(it.TLSKey, prefix) {
 			n++
 		}
@@ -175,11 +176,11 @@
 	s.write(StoreItem{TLSKey: key, Removed: true})
 }
 
-// write makes one change; mu must be held.
+// write makes one change. The caller must hold mu.
 func (s *Store) write(it StoreItem) {
-	s.at++
-	it.Revision = s.at
-	it.Created = s.at
+	s.revision++
+	it.Revision = s.revision
+	it.Created = s.revision
 	if old, ok := s.items[it.TLSKey]; ok {
 		it.Created = old.Created
 	}
@@ -188,22 +189,22 @@
 	} else {
 		s.items[it.TLSKey] = it
 	}
-	s.log = append(s.log, it)
+	s.history = append(s.history, it)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that ran out; mu must be held.
+// expire removes expired leases. The caller must hold mu.
 func (s *Store) expire() {
 	for id, l := range s.leases {
-		if time.Now().After(l.end) {
-			s.drop(id)
+		if time.Now().After(l.expiresAt) {
+			s.removeLease(id)
 		}
 	}
 }
 
-// drop ends a lease and its keys; mu must be held.
-func (s *Store) drop(id uint64) {
+// removeLease removes a lease and its keys. The caller must hold mu.
+func (s *Store) removeLease(id uint64) {
 	delete(s.leases, id)
 	for k, it := range s.items {
 		if it.Lease == id {
@@ -212,7 +213,7 @@
 	}
 }
 
-// storeAnswer is what reads answer.
+// storeAnswer is the answer to a read or a watch, and to a transaction whose condition failed.
 type storeAnswer struct {
 	Items  []StoreItem `json:",omitempty"`
 	More   bool        `json:"more"`
@@ -238,18 +239,18 @@
 	reply(w, http.StatusOK, struct {
 		StoreItem
 		At uint64 `json:"at"`
-	}{it, s.at})
+	}{it, s.revision})
 }
 
-// pageItems is the most items of a page.
-const pageItems = 500
+// maxPageItems limits the items of an answer to a range read.
+const maxPageItems = 500
 
 func (s *Store) getRange(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 	q := r.URL.Query()
-	a := storeAnswer{At: s.at}
+	a := storeAnswer{At: s.revision}
 	keys := make([]string, 0, len(s.items))
 	for k := range s.items {
 		if strings.HasPrefix(k, q.Get("PathPrefix")) && k > q.Get("SinceRev") {
@@ -257,10 +258,10 @@
 		}
 	}
 	sort.Strings(keys)
-	for _, k := range keys[:min(pageItems, len(keys))] {
+	for _, k := range keys[:min(maxPageItems, len(keys))] {
 		a.Items = append(a.Items, s.items[k])
 	}
-	a.More = len(keys) > pageItems
+	a.More = len(keys) > maxPageItems
 	reply(w, http.StatusOK, a)
 }
 
@@ -268,24 +269,24 @@
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("SinceRev"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("WaitMs"))
-	end := time.After(time.Duration(ms) * time.Millisecond)
-	for over := false; ; {
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
+	for timedOut := false; ; {
 		s.mu.Lock()
 		s.expire()
-		if since < s.oldest {
+		if since < s.oldestRevision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		a := storeAnswer{At: s.at}
-		for _, it := range s.log {
+		a := storeAnswer{At: s.revision}
+		for _, it := range s.history {
 			if it.Revision > since && strings.HasPrefix(it.TLSKey, q.Get("PathPrefix")) {
 				a.Events = append(a.Events, it)
 			}
 		}
 		changed := s.changed
 		s.mu.Unlock()
-		if len(a.Events) > 0 || over {
+		if len(a.Events) > 0 || timedOut {
 			reply(w, http.StatusOK, a)
 			return
 		}
@@ -293,13 +294,13 @@
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-end:
-			over = true
+		case <-timeout:
+			timedOut = true
 		}
 	}
 }
 
-// txnBody is a transaction.
+// txnBody is the body of a transaction.
 type txnBody struct {
 	ExpectedRev []struct {
 		TLSKey   string `json:"TlsKey"`
@@ -324,7 +325,7 @@
 	s.expire()
 	for _, e := range b.ExpectedRev {
 		if s.items[e.TLSKey].Revision != e.Revision {
-			a := storeAnswer{At: s.at}
+			a := storeAnswer{At: s.revision}
 			if it, ok := s.items[e.TLSKey]; ok {
 				a.Items = append(a.Items, it)
 			}
@@ -351,16 +352,16 @@
 	if s.fault.LoseAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, http.StatusOK, struct{ Revision uint64 }{s.at})
+	reply(w, http.StatusOK, struct{ Revision uint64 }{s.revision})
 }
 
-// leaseBody is the body of lease calls and their answers.
+// leaseBody is the body of calls on leases and of their answers.
 type leaseBody struct {
 	Lease uint64 `json:"lease,omitempty"`
 	TTL   int64  `json:"ttl_ms,omitempty"`
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var b leaseBody
 	if json.NewDecoder(r.Body).Decode(&b) != nil || b.TTL <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
@@ -368,13 +369,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at++
+	s.revision++
 	ttl := time.Duration(b.TTL) * time.Millisecond
-	s.leases[s.at] = &storeLease{ttl, time.Now().Add(ttl)}
-	reply(w, http.StatusOK, leaseBody{s.at, b.TTL})
+	s.leases[s.revision] = &storeLease{ttl, time.Now().Add(ttl)}
+	reply(w, http.StatusOK, leaseBody{s.revision, b.TTL})
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -384,7 +385,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.end = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	reply(w, http.StatusOK, leaseBody{TTL: l.ttl.Milliseconds()})
 }
 
@@ -392,6 +393,6 @@
 	id, _ := strconv.ParseUint(mux.Vars(r)["id"], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(id)
+	s.removeLease(id)
 	reply(w, http.StatusOK, leaseBody{})
 }
