--- a/cmd/hkdev/main.go
+++ b/cmd/hkdev/main.go
@@ -81,7 +81,7 @@
 	if a.Site {
 		return runSite(a, log)
 	}
-	c := &dev.Cluster{Declaration: parsed.Declaration, Hosts: a.Hosts, StepTime: a.Step, Place: true, Log: log}
+	c := &dev.Cluster{Declaration: parsed.Declaration, Hosts: a.Hosts, StepTime: a.Step, RunPlacers: true, Log: log}
 	if err := c.Start(); err != nil {
 		return 1, err
 	}
@@ -104,13 +104,13 @@
 // show prints the addresses and a line to try.
 func show(c *dev.Cluster) {
 	fmt.Println("platform  http://" + c.PlatformAddress)
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		fmt.Println("host      http://" + n.Address)
 	}
 	fmt.Printf("endpoints %d engines, %d plain services\n\ntry:\n", len(c.Engines), len(c.Services))
-	if q, ok := firstCompletion(c); ok && len(c.Nodes) > 0 {
+	if q, ok := firstCompletion(c); ok && len(c.StartedHosts) > 0 {
 		fmt.Printf("  curl -N http://%s/v1/completions -H 'Heathkeel-Workspace: %s' -H 'Heathkeel-Service: %s' -d '{\"model\":\"%s\",\"prompt\":\"Hello\",\"max_tokens\":8,\"stream\":true}'\n",
-			c.Nodes[0].Address, q.Workspace, q.Service, q.model)
+			c.StartedHosts[0].Address, q.Workspace, q.Service, q.model)
 	}
 	fmt.Printf("  HEATHKEEL_PLATFORM=http://%s go run ./cmd/hkctl status\n", c.PlatformAddress)
 }
--- a/cmd/hkedge/main.go
+++ b/cmd/hkedge/main.go
@@ -37,10 +37,10 @@
 	p := program.Start("hkedge", &a)
 	boot, err := platform.ReadBoot(a.Settings)
 	if err != nil {
-		p.Refuse(err, "settings", a.Settings)
+		p.ExitInvalidSettings(err, "settings", a.Settings)
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, edge.Signals...)
 	h := &edge.Host{Boot: boot, Path: a.Settings, Trace: a.Trace, Log: p.Log.WithValues("host", boot.Host)}
-	p.End(h.Run(context.Background(), signals))
+	p.Exit(h.Run(context.Background(), signals))
 }
--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -61,12 +61,12 @@
 	var a args
 	p := program.Start("hkplacer", &a)
 	if err := a.check(); err != nil {
-		p.Refuse(err)
+		p.ExitInvalidSettings(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	run(ctx, a, p.Log.WithValues("host", a.Name))
-	p.End(nil)
+	p.Exit(nil)
 }
 
 // askTimeout bounds a question to the router.
--- a/cmd/hkrouter/main.go
+++ b/cmd/hkrouter/main.go
@@ -53,7 +53,7 @@
 	var a args
 	p := program.Start("hkrouter", &a)
 	if err := a.check(); err != nil {
-		p.Refuse(err)
+		p.ExitInvalidSettings(err)
 	}
-	p.End(run(a, p.Log.WithValues("host", a.Name)))
+	p.Exit(run(a, p.Log.WithValues("host", a.Name)))
 }
--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -307,7 +307,7 @@
 
 // plain sends a request with JSON in and out.
 func (c *Client) plain(ctx context.Context, method, path string, in, out any) error {
-	req, err := jsoncall.Request(ctx, method, c.Base+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, c.Base+path, in)
 	if err != nil {
 		return err
 	}
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -35,12 +35,12 @@
 	Zones []string
 	// StepTime is the time of an engine's step; 0 means 3 ms.
 	StepTime time.Duration
-	// Place runs a placer beside each host.
-	Place bool
-	// Override gives the addresses of endpoints that are served elsewhere.
-	Override map[string]string
-	// Tune changes a router before it runs; nil changes nothing.
-	Tune func(*router.Router)
+	// RunPlacers runs a placer beside each host.
+	RunPlacers bool
+	// AddressOverrides gives the addresses of endpoints that are served elsewhere.
+	AddressOverrides map[string]string
+	// ConfigureRouter changes a router before it runs; nil changes nothing.
+	ConfigureRouter func(*router.Router)
 	// Log takes the hosts' changes of state.
 	Log logr.Logger
 
@@ -50,8 +50,8 @@
 	Services map[string]*fake.Service
 	// PlatformAddress is where the platform's stand-ins listen.
 	PlatformAddress string
-	// Nodes are the hosts, in order of their start.
-	Nodes []*Node
+	// StartedHosts are the hosts, in order of their start.
+	StartedHosts []*Host
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -59,8 +59,8 @@
 	started int // hosts ever started, for their names
 }
 
-// Node is one running host.
-type Node struct {
+// Host is one running host.
+type Host struct {
 	// Router is the host and Address where it listens.
 	Router  *router.Router
 	Address string
@@ -131,7 +131,7 @@
 // Stop ends all parts.
 func (c *Cluster) Stop() {
 	c.cancel()
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		n.Kill()
 	}
 	for _, s := range c.servers {
@@ -148,7 +148,7 @@
 	held := initial(fl)
 	zones := make(map[string]bool)
 	for i, e := range fl.Endpoints {
-		if a := c.Override[e.Name]; a != "" {
+		if a := c.AddressOverrides[e.Name]; a != "" {
 			c.setAddress(e.Name, a)
 			continue
 		}
@@ -230,7 +230,7 @@
 }
 
 // AddHost starts another host at an address.
-func (c *Cluster) AddHost(address string) (*Node, error) {
+func (c *Cluster) AddHost(address string) (*Host, error) {
 	i := c.started
 	c.started++
 	l, err := net.Listen("tcp", address)
@@ -246,19 +246,19 @@
 		},
 		KV: pc, List: pc, Log: c.Log.WithValues("host", i+1),
 	}
-	if c.Tune != nil {
-		c.Tune(r)
+	if c.ConfigureRouter != nil {
+		c.ConfigureRouter(r)
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := &Node{Router: r, Address: l.Addr().String(), cancel: cancel}
+	n := &Host{Router: r, Address: l.Addr().String(), cancel: cancel}
 	n.server = &Server{Address: n.Address, http: &http.Server{Handler: r.Handler()}}
 	c.Platform.Hosts.Put(keyval.ListEntry{Name: r.Self.Name, Address: n.Address, Zone: zone})
 	go func() { _ = n.server.http.Serve(l) }()
 	go r.Run(ctx)
-	if c.Place {
+	if c.RunPlacers {
 		go c.placer(r, pc).Run(ctx)
 	}
-	c.Nodes = append(c.Nodes, n)
+	c.StartedHosts = append(c.StartedHosts, n)
 	return n, nil
 }
 
@@ -274,14 +274,14 @@
 }
 
 // Kill ends a host at once, with all its connections.
-func (n *Node) Kill() {
+func (n *Host) Kill() {
 	n.cancel()
 	n.server.Kill()
 }
 
 // WaitReady waits until every host is ready and knows all others.
 func (c *Cluster) WaitReady(ctx context.Context) error {
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		for {
 			st := n.Router.Status()
 			live := 0
@@ -290,12 +290,12 @@
 					live++
 				}
 			}
-			if st.Ready && live >= len(c.Nodes) && n.Router.SeesEndpoints() {
+			if st.Ready && live >= len(c.StartedHosts) && n.Router.SeesEndpoints() {
 				break
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.WhyNot, live, len(c.Nodes))
+				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.WhyNot, live, len(c.StartedHosts))
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
@@ -306,7 +306,7 @@
 // Addresses returns the addresses of all hosts.
 func (c *Cluster) Addresses() []string {
 	var out []string
-	for _, n := range c.Nodes {
+	for _, n := range c.StartedHosts {
 		out = append(out, n.Address)
 	}
 	return out
--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -69,8 +69,8 @@
 func (f *fleet) replace(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Nodes[i].Kill()
-	f.Nodes = append(f.Nodes[:i], f.Nodes[i+1:]...)
+	f.StartedHosts[i].Kill()
+	f.StartedHosts = append(f.StartedHosts[:i], f.StartedHosts[i+1:]...)
 	if _, err := f.AddHost("127.0.0.1:0"); err != nil {
 		f.t.Error(err)
 	}
@@ -81,8 +81,8 @@
 	p := settings.Parse([]settings.File{{Name: "t.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
 	f := &fleet{t: t, Cluster: &dev.Cluster{
-		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, Place: place,
-		Tune: func(r *router.Router) {
+		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, RunPlacers: place,
+		ConfigureRouter: func(r *router.Router) {
 			r.ReportEvery, r.ReportRate = 50*time.Millisecond, 1000
 			r.Heartbeat, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			r.MaxAge = 300 * time.Millisecond
@@ -231,7 +231,7 @@
 	f := start(t, false)
 	f.load(6, both)
 	for range 3 {
-		old := f.Nodes[0]
+		old := f.StartedHosts[0]
 		must.NoError(t, old.Router.Drain(context.Background()))
 		f.replace(0)
 		f.ready()
@@ -245,7 +245,7 @@
 	f := start(t, false)
 	f.load(8, both)
 	f.until("load runs", func() bool { return f.answered.Load() > 200 })
-	f.Nodes[1].Kill()
+	f.StartedHosts[1].Kill()
 	before := f.answered.Load()
 	f.until("load goes on", func() bool { return f.answered.Load() > before+400 })
 	f.halt()
--- a/internal/dev/outcomes_test.go
+++ b/internal/dev/outcomes_test.go
@@ -79,7 +79,7 @@
 		case <-time.After(600 * time.Millisecond):
 		}
 		f.Services["s1"].SetFaults(fake.ServiceFaults{LoseAnswer: 1, Delay: 2 * time.Millisecond})
-		f.replace(rnd.IntN(len(f.Nodes)))
+		f.replace(rnd.IntN(len(f.StartedHosts)))
 	}
 }
 
--- a/internal/jsoncall/request.go
+++ b/internal/jsoncall/request.go
@@ -12,8 +12,8 @@
 	"net/http"
 )
 
-// Request returns a request with in as its body, or without a body if in is nil.
-func Request(ctx context.Context, method, url string, in any) (*http.Request, error) {
+// NewRequest returns a request with in as its body, or without a body if in is nil.
+func NewRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
--- a/internal/jsoncall/request_test.go
+++ b/internal/jsoncall/request_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			req, err := Request(t.Context(), http.MethodPost, "http://127.0.0.1/a", tc.in)
+			req, err := NewRequest(t.Context(), http.MethodPost, "http://127.0.0.1/a", tc.in)
 			if tc.fails {
 				must.Error(t, err)
 				return
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -39,15 +39,15 @@
 	return p
 }
 
-// Refuse ends the process because its settings are wrong. The reason is a line of the log like any
+// ExitInvalidSettings ends the process because its settings are wrong. The reason is a line of the log like any
 // other: a host that does not start is looked for there.
-func (p *Program) Refuse(err error, keysAndValues ...any) {
+func (p *Program) ExitInvalidSettings(err error, keysAndValues ...any) {
 	p.Log.Error(err, "not started", keysAndValues...)
 	p.end(ExitUsage)
 }
 
-// End ends the process: with code 0 if err is nil.
-func (p *Program) End(err error) {
+// Exit ends the process: with code 0 if err is nil.
+func (p *Program) Exit(err error) {
 	if err != nil {
 		p.Log.Error(err, "stopped")
 		p.end(ExitFailed)
--- a/keyval/http.go
+++ b/keyval/http.go
@@ -96,7 +96,7 @@
 
 // call sends one request and decodes a JSON answer into out, if out is not nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	req, err := jsoncall.Request(ctx, method, c.Base+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, c.Base+path, in)
 	if err != nil {
 		return err
 	}
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -92,18 +92,18 @@
 // benchHost starts one host and instant engines.
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
-	r.Tune = func(x *router.Router) { x.ReportEvery, x.ReportRate = 20*time.Millisecond, 1000 }
+	r.ConfigureRouter = func(x *router.Router) { x.ReportEvery, x.ReportRate = 20*time.Millisecond, 1000 }
 	s, err := dev.Serve("127.0.0.1:0", instant(tokens))
 	must.NoError(b, err)
 	b.Cleanup(s.Kill)
 	other, err := dev.Serve("127.0.0.1:0", instant(tokens))
 	must.NoError(b, err)
 	b.Cleanup(other.Kill)
-	r.Override = map[string]string{"e1": s.Address, "e2": other.Address}
+	r.AddressOverrides = map[string]string{"e1": s.Address, "e2": other.Address}
 	must.NoError(b, r.Start())
 	b.Cleanup(r.Stop)
-	eventually(b, "ready", func() bool { return r.Nodes[0].Router.SeesEndpoints() })
-	return r.Nodes[0].Address, s.Address
+	eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.SeesEndpoints() })
+	return r.StartedHosts[0].Address, s.Address
 }
 
 // post sends one streaming request and reads the answer.
@@ -150,7 +150,7 @@
 				b.Cleanup(r.Stop)
 				rg := &rig{Cluster: r}
 				eventually(b, "ready", func() bool {
-					for _, n := range r.Nodes {
+					for _, n := range r.StartedHosts {
 						live := 0
 						for _, h := range n.Router.Status().Hosts {
 							if h.Live() {
@@ -163,7 +163,7 @@
 					}
 					return true
 				})
-				a := rg.address(b, r.Nodes[0]).Addresses[0]
+				a := rg.address(b, r.StartedHosts[0]).Addresses[0]
 				var n atomic.Int64
 				load(b, callers, func(c *http.Client) {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+service, strings.NewReader("x"))
@@ -180,7 +180,7 @@
 					_, _ = io.Copy(io.Discard, resp.Body)
 					_ = resp.Body.Close()
 				})
-				b.ReportMetric(float64(r.Nodes[0].Router.Status().PeerBytes+r.Nodes[1].Router.Status().PeerBytes+r.Nodes[2].Router.Status().PeerBytes)/float64(b.N), "peer-B/op")
+				b.ReportMetric(float64(r.StartedHosts[0].Router.Status().PeerBytes+r.StartedHosts[1].Router.Status().PeerBytes+r.StartedHosts[2].Router.Status().PeerBytes)/float64(b.N), "peer-B/op")
 			})
 		}
 	}
@@ -191,7 +191,7 @@
 	for b.Loop() {
 		r := &dev.Cluster{Declaration: parse(b), Hosts: 7}
 		must.NoError(b, r.Start())
-		eventually(b, "ready", func() bool { return r.Nodes[0].Router.SeesEndpoints() })
+		eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.SeesEndpoints() })
 		time.Sleep(2 * time.Second)
 		cpu, start := cpuTime(), time.Now()
 		time.Sleep(5 * time.Second)
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -135,7 +135,7 @@
 	for _, e := range r.Engines {
 		e.SetStep(10 * time.Millisecond)
 	}
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for _, id := range []string{"", a.Prefix + "leaves"} {
 		ctx, cancel := context.WithCancel(context.Background())
 		resp, err := http.DefaultClient.Do(completion(ctx, a.Address, id, 100000))
@@ -163,7 +163,7 @@
 
 func TestSlowCallerHoldsBackOnlyItself(t *testing.T) {
 	r := newRig(t, nil)
-	host := r.Nodes[0].Address
+	host := r.StartedHosts[0].Address
 	slow, err := http.DefaultClient.Do(completion(context.Background(), host, "", 4096))
 	must.NoError(t, err)
 	defer slow.Body.Close()
@@ -182,8 +182,8 @@
 
 func TestBadRequests(t *testing.T) {
 	r := newRig(t, nil)
-	host := r.Nodes[0].Address
-	good := r.address(t, r.Nodes[0]).Addresses[0]
+	host := r.StartedHosts[0].Address
+	good := r.address(t, r.StartedHosts[0]).Addresses[0]
 	cases := []struct {
 		name, path, ws, service, id, body string
 		kind                              problem.Kind
@@ -217,7 +217,7 @@
 
 func TestRefusedForTheBodyStaysRefused(t *testing.T) {
 	r := newRig(t, nil)
-	a := r.address(t, r.Nodes[0]).Addresses[0]
+	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for i, body := range []string{strings.Repeat("x", 101), "small"} {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+"look", strings.NewReader(body))
 		req.Header.Set(router.HeaderWorkspace, "w")
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -23,14 +23,14 @@
 	*rig
 	t                     *testing.T
 	id                    string
-	owner, witness, third *dev.Node
+	owner, witness, third *dev.Host
 	ownerGate, witGate    *gate
 }
 
 // newScene picks an owner whose witness is another host than the one asked later.
 func newScene(t *testing.T, r *rig, unique string) *scene {
 	s := &scene{rig: r, t: t}
-	asked := r.Nodes[0]
+	asked := r.StartedHosts[0]
 	for _, a := range r.address(t, asked).Addresses {
 		if a.Address == asked.Address || a.Witness == "" {
 			continue
@@ -39,7 +39,7 @@
 		s.owner, s.witness = r.node(a.Address), r.node(a.Witness)
 	}
 	must.NotNil(t, s.owner)
-	for _, n := range r.Nodes {
+	for _, n := range r.StartedHosts {
 		if n != s.owner && n != s.witness {
 			s.third = n
 		}
@@ -134,7 +134,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				answers[i] = push(s.Nodes[i%3].Address, s.id)
+				answers[i] = push(s.StartedHosts[i%3].Address, s.id)
 			}()
 		}
 		wg.Wait()
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -99,7 +99,7 @@
 	r := &rig{gates: make(map[string]*gate)}
 	r.Cluster = &dev.Cluster{
 		Declaration: parse(t), Hosts: 3, StepTime: time.Millisecond,
-		Tune: func(x *router.Router) {
+		ConfigureRouter: func(x *router.Router) {
 			g := newGate()
 			r.gates[x.Self.Name] = g
 			x.Trace = g.trace
@@ -121,7 +121,7 @@
 }
 
 // address asks a node for the addresses of workspace w.
-func (r *rig) address(t testing.TB, n *dev.Node) fleet.Answer {
+func (r *rig) address(t testing.TB, n *dev.Host) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -131,17 +131,17 @@
 }
 
 // node returns the running host at an address.
-func (r *rig) node(address string) *dev.Node {
-	for i := len(r.Nodes) - 1; i >= 0; i-- {
-		if r.Nodes[i].Address == address {
-			return r.Nodes[i]
+func (r *rig) node(address string) *dev.Host {
+	for i := len(r.StartedHosts) - 1; i >= 0; i-- {
+		if r.StartedHosts[i].Address == address {
+			return r.StartedHosts[i]
 		}
 	}
 	return nil
 }
 
 // gateOf returns the gate of a node.
-func (r *rig) gateOf(n *dev.Node) *gate { return r.gates[n.Router.Self.Name] }
+func (r *rig) gateOf(n *dev.Host) *gate { return r.gates[n.Router.Self.Name] }
 
 // reply is an answer to a plain call.
 type reply struct {
--- a/router/peers.go
+++ b/router/peers.go
@@ -37,7 +37,7 @@
 
 // call sends one request with a JSON body and returns the answer's content.
 func (c *peerClient) call(ctx context.Context, method, address, path string, in any) ([]byte, error) {
-	req, err := jsoncall.Request(ctx, method, "http://"+address+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, "http://"+address+path, in)
 	if err != nil {
 		return nil, err
 	}
