--- a/cmd/hkctl/account.go
+++ b/cmd/hkctl/account.go
@@ -13,38 +13,39 @@
 	"github.com/heathkeel/heathkeel/outcome"
 )
 
-// account shows where requests lost what they are worth.
-func (t *tool) account() error {
-	if t.Account.Window <= 0 {
-		return fmt.Errorf("%w: --window %v; give a time above 0, such as 2s", errUsage, t.Account.Window)
+// account prints which part of the requests' weight each loss took, by route and size and by
+// time window.
+func (inv *invocation) account() error {
+	if inv.Account.Window <= 0 {
+		return fmt.Errorf("%w: --window %v is not positive; give a time above 0, such as 2s", errUsage, inv.Account.Window)
 	}
-	events, err := readLogs(t.Account.Logs, "")
+	events, err := readLogs(inv.Account.Logs, "")
 	if err != nil {
 		return err
 	}
-	a := outcome.NewAccount(events, t.Account.Window)
-	if t.JSON {
-		return t.printJSON(a)
+	a := outcome.NewAccount(events, inv.Account.Window)
+	if inv.JSON {
+		return inv.printJSON(a)
 	}
 	if len(a.Routes) == 0 {
-		return fmt.Errorf("no requests in the logs; run the hosts with --trace")
+		return fmt.Errorf("the logs hold no requests; run the hosts with --trace")
 	}
-	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "route\tsize\trequests\t%s\n", heads())
+	w := tabwriter.NewWriter(inv.out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(w, "route\tsize\trequests\t%s\n", lossColumns())
 	for _, r := range a.Routes {
 		fmt.Fprintf(w, "%s\t%s\t", r.Route, r.Band)
-		writeShare(w, &r.Share)
+		writeShareColumns(w, &r.Share)
 	}
-	fmt.Fprintf(w, "\t\t\t\nfrom second\t\trequests\t%s\n", heads())
+	fmt.Fprintf(w, "\t\t\t\nfrom second\t\trequests\t%s\n", lossColumns())
 	for _, s := range a.Windows {
 		fmt.Fprintf(w, "%.1f\t\t", s.From.Seconds())
-		writeShare(w, &s.Share)
+		writeShareColumns(w, &s.Share)
 	}
 	return w.Flush()
 }
 
-// heads are the columns' names.
-func heads() string {
+// lossColumns returns the column headers of the losses, separated by tabs.
+func lossColumns() string {
 	names := make([]string, len(outcome.Losses))
 	for i, l := range outcome.Losses {
 		names[i] = string(l)
@@ -52,8 +53,8 @@
 	return strings.Join(names, "\t")
 }
 
-// writeShare writes the figures of a row.
-func writeShare(w io.Writer, s *outcome.Share) {
+// writeShareColumns writes the number of requests and the losses of one row.
+func writeShareColumns(w io.Writer, s *outcome.Share) {
 	fmt.Fprint(w, s.Requests)
 	for _, l := range outcome.Losses {
 		if s.By[l] == 0 {
--- a/cmd/hkctl/account_test.go
+++ b/cmd/hkctl/account_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAccount makes the table from the logs of two hosts.
+// TestAccount checks the tables and errors of account on the logs of two hosts.
 func TestAccount(t *testing.T) {
 	dir := t.TempDir()
 	logs := []string{
@@ -34,7 +34,7 @@
 		want string
 	}{
 		{"table", argv, exitDone, "r            others"},
-		{"second span", argv, exitDone, "2.0"},
+		{"second window", argv, exitDone, "2.0"},
 		{"json", append([]string{"--json"}, argv...), exitDone, `"late first": 1`},
 		{"no file", []string{"account", "--log", filepath.Join(dir, "none")}, exitRefused, "give a file of JSON lines"},
 		{"bad window", append(argv, "--window", "0s"), exitUsage, "give a time above 0"},
--- a/cmd/hkctl/files.go
+++ b/cmd/hkctl/files.go
@@ -15,58 +15,59 @@
 	"github.com/heathkeel/heathkeel/route"
 )
 
-// errFaults means that a file has faults, which were printed.
-var errFaults = errors.New("the file has faults")
+// errFaults reports that a file has faults; they have been printed.
+var errFaults = errors.New("the configuration file has faults")
 
-// checkHostFile checks the settings file of an hkedge.
-func (t *tool) checkHostFile(path string) error {
+// checkHostFile checks the settings file of an hkedge host.
+func (inv *invocation) checkHostFile(path string) error {
 	b, err := platform.ReadBoot(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintf(t.out, "ok: host %s in %s\n", b.Host, b.Zone)
+	fmt.Fprintf(inv.out, "ok: host %s in %s\n", b.Host, b.Zone)
 	return nil
 }
 
-// checkConfiguration checks a configuration as operators write it to the platform.
-func (t *tool) checkConfiguration(path string) error {
+// checkConfiguration checks a configuration file, in the form in which operators write it
+// to the platform, and prints the faults found.
+func (inv *invocation) checkConfiguration(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	d, err := platform.ParseConfig(text)
 	if err != nil {
-		return fmt.Errorf("%s%s: %w", path, lineOf(text, err), err)
+		return fmt.Errorf("%s%s: %w", path, errorLine(text, err), err)
 	}
 	faults := route.Check(d)
-	if t.JSON {
-		if err := t.printJSON(faults); err != nil {
+	if inv.JSON {
+		if err := inv.printJSON(faults); err != nil {
 			return err
 		}
 	} else {
 		for _, f := range faults {
-			fmt.Fprintln(t.out, f)
+			fmt.Fprintln(inv.out, f)
 		}
 	}
 	if len(faults) > 0 {
 		return errFaults
 	}
-	if !t.JSON {
-		fmt.Fprintf(t.out, "ok: version %d, %d routes, %d services, %d workspaces\n", d.Version, len(d.Routes), len(d.Services), len(d.Workspaces))
+	if !inv.JSON {
+		fmt.Fprintf(inv.out, "ok: version %d, %d routes, %d services, %d workspaces\n", d.Version, len(d.Routes), len(d.Services), len(d.Workspaces))
 	}
 	return nil
 }
 
-// lineOf gives the line of an error of JSON, or nothing.
-func lineOf(text []byte, err error) string {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+// errorLine returns ":LINE" for a JSON error with an offset in text, and "" for other errors.
+func errorLine(text []byte, err error) string {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	offset := int64(0)
 	switch {
-	case errors.As(err, &syntax):
-		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	default:
 		return ""
 	}
--- a/cmd/hkctl/files_test.go
+++ b/cmd/hkctl/files_test.go
@@ -17,8 +17,8 @@
 	"github.com/heathkeel/heathkeel/internal/site"
 )
 
-// TestCheckFiles holds what operators are told of the platform's files, and that nothing is
-// needed to ask.
+// TestCheckFiles checks the results and messages of check on the platform's files, and that
+// check needs no platform.
 func TestCheckFiles(t *testing.T) {
 	good, err := json.MarshalIndent(site.Example(), "", "  ")
 	must.NoError(t, err)
@@ -31,11 +31,11 @@
 		{"a configuration", "--configuration", text, exitDone, "ok: version 1, 6 routes, 2 services, 1 workspaces"},
 		{"an unknown service", "--configuration", strings.Replace(text, `"Service": "plain"`, `"Service": "plane"`, 1), exitRefused, `route "push": service "plane" is not declared; declare it`},
 		{"an unknown kind", "--configuration", strings.Replace(text, "non_idempotent", "sometimes", 1), exitRefused, `route "push": Kind "sometimes" is unknown; use`},
-		{"no JSON", "--configuration", strings.Replace(text, `"Version": 1,`, `"Version": 1`, 1), exitRefused, ":3: configuration is no JSON"},
-		{"a text for a figure", "--configuration", strings.Replace(text, `"Version": 1`, `"Version": "one"`, 1), exitRefused, ":2: configuration is no JSON of the known shape"},
+		{"not JSON", "--configuration", strings.Replace(text, `"Version": 1,`, `"Version": 1`, 1), exitRefused, ":3: configuration is no JSON"},
+		{"a string for a number", "--configuration", strings.Replace(text, `"Version": 1`, `"Version": "one"`, 1), exitRefused, ":2: configuration is no JSON of the known shape"},
 		{"a settings file", "--host-file", "Node=a\nZone=z\n", exitDone, "ok: host a in z"},
 		{"a settings file without a host", "--host-file", "Zone=z\n", exitRefused, `Node="": it must be given`},
-		{"a settings file that is none", "--host-file", "Node=a\nwhat\n", exitRefused, "line 2: no '='; write key=value"},
+		{"a file of another format", "--host-file", "Node=a\nwhat\n", exitRefused, "line 2: no '='; write key=value"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/cmd/hkctl/hosts.go
+++ b/cmd/hkctl/hosts.go
@@ -22,16 +22,16 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// history shows the last changes.
-func (t *tool) history(ctx context.Context) error {
-	h, _, err := t.store().Load(ctx)
+// history prints the recent changes of the settings.
+func (inv *invocation) history(ctx context.Context) error {
+	h, _, err := inv.store().Load(ctx)
 	if err != nil {
 		return err
 	}
-	if t.JSON {
-		return t.printJSON(h.Recent)
+	if inv.JSON {
+		return inv.printJSON(h.Recent)
 	}
-	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
+	w := tabwriter.NewWriter(inv.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tCHANGE\tTIME\tAUTHOR\tVALUES\tMESSAGE")
 	for _, c := range h.Recent {
 		at := time.UnixMilli(c.AtMS).UTC().Format(time.RFC3339)
@@ -40,23 +40,24 @@
 	return w.Flush()
 }
 
-// hostStatus is one host in the answer of status.
+// hostStatus is the status of one host, as the status command prints it.
 type hostStatus struct {
-	// Name and Address come from the platform's list.
+	// Name and Address are those in the platform's host list.
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Problem says why the host gave no status, or is empty.
+	// Problem is the error of the status call; it is empty if the call succeeded.
 	Problem string `json:"problem,omitempty"`
-	// Status is the host's own word.
+	// Status is the host's answer, or nil if the call failed.
 	Status *router.Status `json:"status,omitempty"`
 }
 
-// hostTimeout bounds the question to one host.
+// hostTimeout bounds one call to a host.
 const hostTimeout = 3 * time.Second
 
-// status shows the revision in force on each host; exit 1 if one is behind or silent.
-func (t *tool) status(ctx context.Context) error {
-	list, err := t.pc.List(ctx)
+// status prints the revision in force on each host, and returns an error if a host does
+// not answer or is behind the head revision.
+func (inv *invocation) status(ctx context.Context) error {
+	list, err := inv.kv.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -74,39 +75,39 @@
 		}
 		all = append(all, s)
 	}
-	h, _, err := t.store().Load(ctx)
+	h, _, err := inv.store().Load(ctx)
 	head := uint64(0)
 	if err == nil {
 		head = h.Revision
 	}
-	if t.JSON {
-		if err := t.printJSON(all); err != nil {
+	if inv.JSON {
+		if err := inv.printJSON(all); err != nil {
 			return err
 		}
 	} else {
-		t.showStatus(all, head)
+		inv.printStatus(all, head)
 	}
-	return behind(all, head)
+	return checkRevisions(all, head)
 }
 
-// behind returns an error if a host is silent or not at the head.
-func behind(all []hostStatus, head uint64) error {
-	n := 0
+// checkRevisions returns an error if a host gave no status or is behind the head revision.
+func checkRevisions(all []hostStatus, head uint64) error {
+	lagging := 0
 	for _, s := range all {
 		if s.Status == nil || s.Status.Revision < head {
-			n++
+			lagging++
 		}
 	}
-	if n > 0 {
-		return fmt.Errorf("%d of %d hosts are silent or behind revision %d", n, len(all), head)
+	if lagging > 0 {
+		return fmt.Errorf("%d of %d hosts did not answer or are behind revision %d", lagging, len(all), head)
 	}
 	return nil
 }
 
-// showStatus prints a line for each host.
-func (t *tool) showStatus(all []hostStatus, head uint64) {
-	fmt.Fprintf(t.out, "head revision %d\n", head)
-	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
+// printStatus prints one line for each host.
+func (inv *invocation) printStatus(all []hostStatus, head uint64) {
+	fmt.Fprintf(inv.out, "head revision %d\n", head)
+	w := tabwriter.NewWriter(inv.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tADDRESS\tZONE\tREVISION\tREADY\tWAITING\tACTIVE\tKNOWS")
 	for _, s := range all {
 		if s.Status == nil {
@@ -129,51 +130,52 @@
 	_ = w.Flush()
 }
 
-// drain makes a host leave by asking it, or an endpoint by a change of settings.
-func (t *tool) drain(ctx context.Context) error {
-	list, err := t.pc.List(ctx)
+// drain drains a host by a call to it, or an endpoint by a change of the settings.
+func (inv *invocation) drain(ctx context.Context) error {
+	list, err := inv.kv.List(ctx)
 	if err != nil {
 		return err
 	}
 	for _, e := range list {
-		if e.Name != t.Drain.Name || e.Endpoint {
+		if e.Name != inv.Drain.Name || e.Endpoint {
 			continue
 		}
 		if err := call(ctx, http.MethodPost, e.Address, router.PathDrain, nil); err != nil {
 			return err
 		}
-		fmt.Fprintf(t.out, "%s drains; it ends its requests and exits\n", e.Name)
+		fmt.Fprintf(inv.out, "%s drains; it ends its requests and exits\n", e.Name)
 		return nil
 	}
-	return t.drainEndpoint(ctx)
+	return inv.drainEndpoint(ctx)
 }
 
-// drainEndpoint sets an endpoint's state to leaving.
-func (t *tool) drainEndpoint(ctx context.Context) error {
-	_, d, err := t.store().Load(ctx)
+// drainEndpoint sets the endpoint's state in the settings to leaving.
+func (inv *invocation) drainEndpoint(ctx context.Context) error {
+	_, d, err := inv.store().Load(ctx)
 	if err != nil {
 		return err
 	}
-	node := "endpoints/" + t.Drain.Name
+	node := "endpoints/" + inv.Drain.Name
 	if _, ok := d.Find(node, ""); !ok {
-		return fmt.Errorf("no host or endpoint %q; see hkctl status and hkctl get", t.Drain.Name)
+		return fmt.Errorf("no host or endpoint is named %q; see hkctl status and hkctl get", inv.Drain.Name)
 	}
 	e := settings.Edit{Node: node, Key: settings.KeyState, New: "leaving", Added: true}
 	if old, ok := d.Find(node, settings.KeyState); ok {
 		e.Old, e.Added = old, false
 	}
 	c := revision.Change{ID: rand.Text()[:12], Author: "hkctl drain", AtMS: time.Now().UnixMilli()}
-	done, err := t.store().Apply(ctx, c, []settings.Edit{e})
+	applied, err := inv.store().Apply(ctx, c, []settings.Edit{e})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s leaves since revision %d: it gets no new work\n", t.Drain.Name, done.Revision)
+	fmt.Fprintf(inv.out, "%s leaves since revision %d: it gets no new work\n", inv.Drain.Name, applied.Revision)
 	return nil
 }
 
-// explainRequest asks every host how a request was decided.
-func (t *tool) explainRequest(ctx context.Context, id string) error {
-	list, err := t.pc.List(ctx)
+// explainRequest queries the hosts in turn and prints the decisions on a request from
+// the first host that remembers them.
+func (inv *invocation) explainRequest(ctx context.Context, id string) error {
+	list, err := inv.kv.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -182,12 +184,12 @@
 		if e.Endpoint || call(ctx, http.MethodGet, e.Address, router.PathExplain+id, &logs) != nil {
 			continue
 		}
-		return t.printJSON(logs)
+		return inv.printJSON(logs)
 	}
-	return errors.New("no host remembers a decision on this request; ask soon after it, at the host that owns its ID")
+	return errors.New("no host has a decision on this request in its memory; ask soon after the request, at the host that owns its ID")
 }
 
-// call sends a request to a host and decodes its JSON answer into out, if out is not nil.
+// call sends a request to a host and decodes the JSON answer into out unless out is nil.
 func call(ctx context.Context, method, address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
 	defer cancel()
--- a/cmd/hkctl/logs.go
+++ b/cmd/hkctl/logs.go
@@ -12,32 +12,34 @@
 	"github.com/heathkeel/heathkeel/outcome"
 )
 
-// stdinName names standard input among log files.
+// stdinName stands for standard input in a list of log files.
 const stdinName = "-"
 
-// explainFromLogs tells the story of a request from the logs of one or several hosts.
-func (t *tool) explainFromLogs(id string) error {
-	events, err := readLogs(t.Explain.Logs, id)
+// explainFromLogs prints the events of a request from the logs of one or several hosts,
+// and the cause of its outcome.
+func (inv *invocation) explainFromLogs(id string) error {
+	events, err := readLogs(inv.Explain.Logs, id)
 	if err != nil {
 		return err
 	}
-	if t.JSON {
-		return t.printJSON(events)
+	if inv.JSON {
+		return inv.printJSON(events)
 	}
 	for i := range events {
-		fmt.Fprintf(t.out, "%.3f  %s\n", events[i].Time, events[i].Line())
+		fmt.Fprintf(inv.out, "%.3f  %s\n", events[i].Time, events[i].Line())
 	}
-	fmt.Fprintln(t.out, "cause:", outcome.Cause(events))
+	fmt.Fprintln(inv.out, "cause:", outcome.Cause(events))
 	return nil
 }
 
-// readLogs finds the events of a request, or of all if id is empty, in logs of several hosts, in order of time.
+// readLogs returns the events of the request id in the logs of several hosts, ordered by
+// time; an empty id selects all requests.
 func readLogs(names []string, id string) ([]outcome.Event, error) {
 	var events []outcome.Event
 	for _, name := range names {
 		found, err := readLog(name, id)
 		if err != nil {
-			return nil, fmt.Errorf("log %s: %w; give a file of JSON lines, or - for standard input", name, err)
+			return nil, fmt.Errorf("cannot read log %s: %w; give a file of JSON lines, or - for standard input", name, err)
 		}
 		events = append(events, found...)
 	}
@@ -45,7 +47,7 @@
 	return events, nil
 }
 
-// readLog finds the events of a request, or of all if id is empty, in one log.
+// readLog returns the events of the request id in one log; an empty id selects all requests.
 func readLog(name, id string) ([]outcome.Event, error) {
 	var r io.Reader = os.Stdin
 	if name != stdinName {
--- a/cmd/hkctl/logs_test.go
+++ b/cmd/hkctl/logs_test.go
@@ -13,7 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestExplainFromLogs puts the lines of two hosts together.
+// TestExplainFromLogs checks that the events of a request in the logs of two hosts are
+// merged in order of time.
 func TestExplainFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log")
--- a/cmd/hkctl/main.go
+++ b/cmd/hkctl/main.go
@@ -2,8 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkctl is for operators: it checks, compares and applies declarations
-// and shows what is in force. Exit codes: 0 done, 1 refused or differing, 2 usage.
+// Command hkctl is the operators' tool: it checks, compares and applies declarations
+// and shows the state of a fleet. Exit codes: 0 success, 1 the operation was refused
+// or the comparison found differences, 2 usage error.
 package main
 
 import (
@@ -29,7 +30,7 @@
 	exitUsage   = 2
 )
 
-// dirArgs are the arguments of commands on a directory.
+// dirArgs are the arguments of commands that take a directory.
 type dirArgs struct {
 	Dir string `arg:"positional,required" help:"directory of declarations"`
 }
@@ -67,7 +68,7 @@
 	Window time.Duration `arg:"--window" default:"2s" help:"length of the spans of time in the second table"`
 }
 
-// noArgs are the arguments of commands without any.
+// noArgs is the empty argument list of a command without arguments.
 type noArgs struct{}
 
 // drainArgs are the arguments of drain.
@@ -77,18 +78,18 @@
 
 // quarantineArgs are the arguments of quarantine.
 type quarantineArgs struct {
-	List    *noArgs   `arg:"subcommand:list" help:"show the requests under which endpoints crashed; held ones first"`
-	Show    *heldArgs `arg:"subcommand:show" help:"show one request: the endpoints that crashed under it, when, and who saw it"`
-	Release *heldArgs `arg:"subcommand:release" help:"let a request run again, at all hosts"`
-	Host    string    `arg:"--host,env:HEATHKEEL_HOST" help:"control address of any hkedge, such as 10.1.0.25:8229"`
+	List    *noArgs          `arg:"subcommand:list" help:"show the requests under which endpoints crashed; held ones first"`
+	Show    *fingerprintArgs `arg:"subcommand:show" help:"show one request: the endpoints that crashed under it, when, and who saw it"`
+	Release *fingerprintArgs `arg:"subcommand:release" help:"let a request run again, at all hosts"`
+	Host    string           `arg:"--host,env:HEATHKEEL_HOST" help:"control address of any hkedge, such as 10.1.0.25:8229"`
 }
 
-// heldArgs name a request.
-type heldArgs struct {
+// fingerprintArgs identify a request by its fingerprint.
+type fingerprintArgs struct {
 	Fingerprint string `arg:"positional,required" help:"the 22 letters of list, or of a log line"`
 }
 
-// args are the command line.
+// args is the command line.
 type args struct {
 	Check      *checkArgs      `arg:"subcommand:check" help:"check a directory, a settings file of hkedge or a configuration"`
 	Diff       *dirArgs        `arg:"subcommand:diff" help:"compare a directory with the tree in force; exit 1 if they differ"`
@@ -105,25 +106,25 @@
 	Timeout    time.Duration   `arg:"--timeout,env:HEATHKEEL_TIMEOUT" default:"30s" help:"longest time for the whole command"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkctl " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkctl checks, compares and applies declarations and shows what is in force. Exit codes: 0 done, 1 refused or differing, 2 usage."
 }
 
-// errUsage marks an error of the command line.
+// errUsage marks errors of the command line, which end with exitUsage.
 var errUsage = errors.New("usage")
 
-// errDiffers means that a comparison found differences.
+// errDiffers reports that the compared directory and the tree in force differ.
 var errDiffers = errors.New("the directory differs from the tree in force")
 
-// tool is one run of the command.
-type tool struct {
+// invocation is one run of hkctl: its parsed arguments, output and platform client.
+type invocation struct {
 	args
 	out io.Writer
-	pc  *keyval.Client
+	kv  *keyval.Client
 }
 
 func main() {
@@ -151,8 +152,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
-	t := &tool{args: a, out: stdout, pc: &keyval.Client{Base: a.Platform}}
-	err = t.run(ctx)
+	inv := &invocation{args: a, out: stdout, kv: &keyval.Client{Base: a.Platform}}
+	err = inv.run(ctx)
 	switch {
 	case err == nil:
 		return exitDone
@@ -164,48 +165,48 @@
 	return exitRefused
 }
 
-// run does the subcommand.
-func (t *tool) run(ctx context.Context) error {
-	if t.Platform == "" && t.needsPlatform() {
-		return fmt.Errorf("%w: give --platform or set HEATHKEEL_PLATFORM", errUsage)
+// run executes the subcommand.
+func (inv *invocation) run(ctx context.Context) error {
+	if inv.Platform == "" && inv.needsPlatform() {
+		return fmt.Errorf("%w: the command needs the platform's address; give --platform or set HEATHKEEL_PLATFORM", errUsage)
 	}
 	switch {
-	case t.Check != nil:
-		return t.check()
-	case t.Diff != nil:
-		return t.diff(ctx)
-	case t.Apply != nil:
-		return t.apply(ctx)
-	case t.Get != nil:
-		return t.get(ctx)
-	case t.Explain != nil:
-		return t.explain(ctx)
-	case t.Account != nil:
-		return t.account()
-	case t.History != nil:
-		return t.history(ctx)
-	case t.Status != nil:
-		return t.status(ctx)
-	case t.Drain != nil:
-		return t.drain(ctx)
-	case t.Quarantine != nil:
-		return t.quarantine(ctx)
+	case inv.Check != nil:
+		return inv.check()
+	case inv.Diff != nil:
+		return inv.diff(ctx)
+	case inv.Apply != nil:
+		return inv.apply(ctx)
+	case inv.Get != nil:
+		return inv.get(ctx)
+	case inv.Explain != nil:
+		return inv.explain(ctx)
+	case inv.Account != nil:
+		return inv.account()
+	case inv.History != nil:
+		return inv.history(ctx)
+	case inv.Status != nil:
+		return inv.status(ctx)
+	case inv.Drain != nil:
+		return inv.drain(ctx)
+	case inv.Quarantine != nil:
+		return inv.quarantine(ctx)
 	}
-	return fmt.Errorf("%w: give a command; see hkctl --help", errUsage)
+	return fmt.Errorf("%w: no command given; see hkctl --help", errUsage)
 }
 
-// needsPlatform reports whether the subcommand reads what is in force.
-func (t *tool) needsPlatform() bool {
-	return t.Diff != nil || t.Apply != nil || t.Get != nil || t.History != nil || t.Status != nil ||
-		t.Drain != nil || (t.Explain != nil && t.Explain.Dir == "" && len(t.Explain.Logs) == 0)
+// needsPlatform reports whether the subcommand reads from the platform.
+func (inv *invocation) needsPlatform() bool {
+	return inv.Diff != nil || inv.Apply != nil || inv.Get != nil || inv.History != nil || inv.Status != nil ||
+		inv.Drain != nil || (inv.Explain != nil && inv.Explain.Dir == "" && len(inv.Explain.Logs) == 0)
 }
 
-// store is the settings in the key-value service.
-func (t *tool) store() *revision.Store { return &revision.Store{KV: t.pc} }
+// store returns the settings store in the platform's key-value service.
+func (inv *invocation) store() *revision.Store { return &revision.Store{KV: inv.kv} }
 
 // printJSON prints v as indented JSON.
-func (t *tool) printJSON(v any) error {
-	enc := json.NewEncoder(t.out)
+func (inv *invocation) printJSON(v any) error {
+	enc := json.NewEncoder(inv.out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
--- a/cmd/hkctl/main_test.go
+++ b/cmd/hkctl/main_test.go
@@ -20,15 +20,15 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// desk is an operator's directory and the fleet it works on.
-type desk struct {
+// fixture is a running fleet and an operator's directory with its tree.
+type fixture struct {
 	t       *testing.T
 	cluster *dev.Cluster
 	dir     string
 }
 
-// newDesk starts a fleet and gets its tree into a directory.
-func newDesk(t *testing.T) *desk {
+// newFixture starts a fleet of three hosts and writes its tree to a directory with hkctl get.
+func newFixture(t *testing.T) *fixture {
 	files, err := settings.ReadDir(examples.Litoral())
 	must.NoError(t, err)
 	c := &dev.Cluster{Declaration: settings.Parse(files).Declaration, Hosts: 3, StepTime: 2 * time.Millisecond}
@@ -37,78 +37,80 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	must.NoError(t, c.WaitReady(ctx))
-	d := &desk{t: t, cluster: c, dir: filepath.Join(t.TempDir(), "a")}
-	code, _, errs := d.run("get", d.dir)
+	f := &fixture{t: t, cluster: c, dir: filepath.Join(t.TempDir(), "a")}
+	code, _, errs := f.run("get", f.dir)
 	must.Zero(t, code, must.Sprint(errs))
-	return d
+	return f
 }
 
-// run runs hkctl.
-func (d *desk) run(argv ...string) (int, string, string) {
+// run runs hkctl against the fleet and returns its exit code, standard output and standard error.
+func (f *fixture) run(argv ...string) (int, string, string) {
 	var out, errs bytes.Buffer
-	argv = append([]string{"--platform", "http://" + d.cluster.PlatformAddress}, argv...)
+	argv = append([]string{"--platform", "http://" + f.cluster.PlatformAddress}, argv...)
 	code := Main(argv, &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// edit replaces text in the tree of a directory.
-func (d *desk) edit(dir, old, text string) {
+// edit replaces the first occurrence of old in a directory's treeFile.
+func (f *fixture) edit(dir, old, text string) {
 	p := filepath.Join(dir, treeFile)
 	b, err := os.ReadFile(p)
-	must.NoError(d.t, err)
-	must.StrContains(d.t, string(b), old)
-	must.NoError(d.t, os.WriteFile(p, []byte(strings.Replace(string(b), old, text, 1)), 0o644))
+	must.NoError(f.t, err)
+	must.StrContains(f.t, string(b), old)
+	must.NoError(f.t, os.WriteFile(p, []byte(strings.Replace(string(b), old, text, 1)), 0o644))
 }
 
 // copyTo copies the operator's directory for a second operator.
-func (d *desk) copyTo(name string) string {
-	to := filepath.Join(filepath.Dir(d.dir), name)
-	must.NoError(d.t, os.CopyFS(to, os.DirFS(d.dir)))
+func (f *fixture) copyTo(name string) string {
+	to := filepath.Join(filepath.Dir(f.dir), name)
+	must.NoError(f.t, os.CopyFS(to, os.DirFS(f.dir)))
 	return to
 }
 
-func TestOperatorsDay(t *testing.T) {
-	d := newDesk(t)
-	code, out, _ := d.run("diff", d.dir)
+// TestOperatorWorkflow runs the commands of an operator's work on one fleet: diff, apply,
+// concurrent edits by three operators, explain, history, status and drain.
+func TestOperatorWorkflow(t *testing.T) {
+	f := newFixture(t)
+	code, out, _ := f.run("diff", f.dir)
 	must.Zero(t, code)
 	must.Eq(t, "", out)
-	other := d.copyTo("b")
-	third := d.copyTo("c")
+	other := f.copyTo("b")
+	third := f.copyTo("c")
 
-	d.edit(d.dir, "deadline: 15m0s", "deadline: 20m")
-	code, out, _ = d.run("diff", d.dir)
+	f.edit(f.dir, "deadline: 15m0s", "deadline: 20m")
+	code, out, _ = f.run("diff", f.dir)
 	must.Eq(t, exitRefused, code)
 	must.StrContains(t, out, `deadline = "20m0s" (was "15m0s")`)
-	code, out, errs := d.run("apply", d.dir, "-m", "longer reviews", "--author", "ana")
+	code, out, errs := f.run("apply", f.dir, "-m", "longer reviews", "--author", "ana")
 	must.Zero(t, code, must.Sprint(errs))
 	must.StrContains(t, out, "revision 2")
 
-	// Another operator's edit of another path lands beside it.
-	d.edit(other, "deadline: 5m0s", "deadline: 6m")
-	code, _, errs = d.run("apply", other, "--author", "bo")
+	// A concurrent edit of another path is merged.
+	f.edit(other, "deadline: 5m0s", "deadline: 6m")
+	code, _, errs = f.run("apply", other, "--author", "bo")
 	must.Zero(t, code, must.Sprint(errs))
-	// A third one's edit of the first path conflicts, and nothing is lost.
-	d.edit(third, "deadline: 15m0s", "deadline: 30m")
-	code, _, errs = d.run("apply", third, "--author", "cy")
+	// A concurrent edit of the same path is refused, and the earlier value stays in force.
+	f.edit(third, "deadline: 15m0s", "deadline: 30m")
+	code, _, errs = f.run("apply", third, "--author", "cy")
 	must.Eq(t, exitRefused, code)
 	must.StrContains(t, errs, "by cy conflicts with")
 	must.StrContains(t, errs, "by ana (revision 2)")
 
-	code, out, _ = d.run("explain", "workspaces/agentes/services/dispute-review")
+	code, out, _ = f.run("explain", "workspaces/agentes/services/dispute-review")
 	must.Zero(t, code)
 	must.StrContains(t, out, "20m0s")
 	must.StrContains(t, out, "workspaces/agentes/services/dispute-review")
-	code, out, _ = d.run("history")
+	code, out, _ = f.run("history")
 	must.Zero(t, code)
 	must.StrContains(t, out, "longer reviews")
 
-	eventually(t, func() bool { code, _, _ := d.run("status"); return code == exitDone })
-	code, out, errs = d.run("drain", "collections-api-1")
+	eventually(t, func() bool { code, _, _ := f.run("status"); return code == exitDone })
+	code, out, errs = f.run("drain", "collections-api-1")
 	must.Zero(t, code, must.Sprint(errs))
 	must.StrContains(t, out, "leaves since revision 4")
 }
 
-// eventually waits until ok holds.
+// eventually polls ok until it returns true; it fails the test after 10 s.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 1000 {
@@ -117,25 +119,27 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("never")
+	t.Fatal("condition did not hold within 10 s")
 }
 
-func TestApplyAgainUnderOneChange(t *testing.T) {
-	d := newDesk(t)
-	other := d.copyTo("b")
-	d.edit(d.dir, "deadline: 15m0s", "deadline: 20m")
-	code, _, errs := d.run("apply", d.dir, "--change", "first-try")
+// TestApplySameChangeTwice checks that a change that is applied again under its ID, because
+// the first answer was lost, has no second effect and overwrites no later change.
+func TestApplySameChangeTwice(t *testing.T) {
+	f := newFixture(t)
+	other := f.copyTo("b")
+	f.edit(f.dir, "deadline: 15m0s", "deadline: 20m")
+	code, _, errs := f.run("apply", f.dir, "--change", "first-try")
 	must.Zero(t, code, must.Sprint(errs))
-	later := d.copyTo("later")
-	d.edit(later, "deadline: 20m", "deadline: 25m")
-	code, _, errs = d.run("apply", later)
+	later := f.copyTo("later")
+	f.edit(later, "deadline: 20m", "deadline: 25m")
+	code, _, errs = f.run("apply", later)
 	must.Zero(t, code, must.Sprint(errs))
-	// The first operator did not see the answer and runs the same change again.
-	d.edit(other, "deadline: 15m0s", "deadline: 20m")
-	code, out, errs := d.run("apply", other, "--change", "first-try")
+	// The first operator lost the answer and applies the same change again.
+	f.edit(other, "deadline: 15m0s", "deadline: 20m")
+	code, out, errs := f.run("apply", other, "--change", "first-try")
 	must.Zero(t, code, must.Sprint(errs))
 	must.StrContains(t, out, "revision 2, change first-try")
-	_, out, _ = d.run("get")
+	_, out, _ = f.run("get")
 	must.StrContains(t, out, "deadline: 25m0s")
 }
 
--- a/cmd/hkctl/quarantine_test.go
+++ b/cmd/hkctl/quarantine_test.go
@@ -18,7 +18,8 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// TestQuarantine runs the commands against a host that knows two requests.
+// TestQuarantine runs the quarantine commands against a fake host with one held and one
+// suspected request.
 func TestQuarantine(t *testing.T) {
 	held, suspected := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 	list := []quarantine.Entry{
@@ -28,7 +29,7 @@
 		{Fingerprint: suspected, Request: "POST shop.example/draft/b of w"},
 	}
 	released := ""
-	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Method == http.MethodDelete && strings.HasSuffix(r.URL.Path, suspected.String()):
 			http.Error(w, "nothing is known", http.StatusNotFound)
@@ -39,12 +40,12 @@
 			must.NoError(t, json.NewEncoder(w).Encode(list))
 		}
 	}))
-	defer h.Close()
-	host := strings.TrimPrefix(h.URL, "http://")
+	defer server.Close()
+	host := strings.TrimPrefix(server.URL, "http://")
 	cases := []struct {
 		argv []string
 		code int
-		want []string // in what is printed
+		want []string // substrings of the output
 	}{
 		{[]string{"--host", host, "list"}, exitDone, []string{held.String() + "  held       1m5s  1          true", suspected.String() + "  suspected  -"}},
 		{[]string{"--host", host, "show", held.String()}, exitDone, []string{"shop.example/draft/a", "e-1       3s ago  120 ms  none    host-2"}},
--- a/cmd/hkctl/tree.go
+++ b/cmd/hkctl/tree.go
@@ -22,21 +22,23 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// baseFile keeps, beside a declaration, the tree that it was edited from.
+// baseFile is a file in a declaration's directory that holds the tree from which the
+// declaration was edited.
 const baseFile = ".heathkeel-base.json"
 
-// base is the content of baseFile.
+// base is the content of baseFile: the common ancestor for a comparison.
 type base struct {
-	// Revision is the one that the directory was got or applied at.
+	// Revision is the settings revision at the directory's last get or apply.
 	Revision uint64 `json:"revision"`
-	// Declaration is the tree at that revision.
+	// Declaration is the tree of that revision.
 	Declaration settings.Declaration `json:"declaration"`
 }
 
-// load reads and checks a directory.
-func load(dir string) (*settings.Parsed, error) {
+// loadDir reads and validates a directory of declarations. If the declarations have
+// faults, it returns both the parsed declarations and the faults.
+func loadDir(dir string) (*settings.Parsed, error) {
 	if st, err := os.Stat(dir); err != nil || !st.IsDir() {
-		return nil, fmt.Errorf("%w: %s is no directory", errUsage, dir)
+		return nil, fmt.Errorf("%w: %s is not a readable directory", errUsage, dir)
 	}
 	files, err := settings.ReadDir(os.DirFS(dir))
 	if err != nil {
@@ -52,16 +54,16 @@
 	return p, nil
 }
 
-// check checks what is named, one thing after the other.
-func (t *tool) check() error {
-	c := t.Check
+// check checks the directory and the files given, in turn, and stops at the first error.
+func (inv *invocation) check() error {
+	c := inv.Check
 	if c.Dir == "" && c.HostFile == "" && c.Configuration == "" {
-		return fmt.Errorf("%w: give a directory, --host-file or --configuration", errUsage)
+		return fmt.Errorf("%w: nothing to check; give a directory, --host-file or --configuration", errUsage)
 	}
 	checks := []struct {
 		path string
 		do   func(string) error
-	}{{c.Dir, t.checkDir}, {c.HostFile, t.checkHostFile}, {c.Configuration, t.checkConfiguration}}
+	}{{c.Dir, inv.checkDir}, {c.HostFile, inv.checkHostFile}, {c.Configuration, inv.checkConfiguration}}
 	for _, k := range checks {
 		if k.path == "" {
 			continue
@@ -73,24 +75,24 @@
 	return nil
 }
 
-// checkDir checks a directory.
-func (t *tool) checkDir(dir string) error {
-	p, err := load(dir)
+// checkDir checks a directory of declarations; with --json it prints the faults found.
+func (inv *invocation) checkDir(dir string) error {
+	p, err := loadDir(dir)
 	var faults settings.Faults
-	if t.JSON && errors.As(err, &faults) {
-		_ = t.printJSON(faults)
+	if inv.JSON && errors.As(err, &faults) {
+		_ = inv.printJSON(faults)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "ok: %d values\n", len(p.Declaration))
+	fmt.Fprintf(inv.out, "ok: %d values\n", len(p.Declaration))
 	return nil
 }
 
-// edits returns what a directory changes, against the tree that it was edited
-// from if that is known, otherwise against the tree in force.
-func (t *tool) edits(ctx context.Context, dir string) ([]settings.Edit, *settings.Parsed, error) {
-	p, err := load(dir)
+// edits returns the changes that a directory makes to its base, or to the tree in
+// force if the directory has no base.
+func (inv *invocation) edits(ctx context.Context, dir string) ([]settings.Edit, *settings.Parsed, error) {
+	p, err := loadDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -99,14 +101,14 @@
 	} else if ok {
 		return settings.Diff(b.Declaration, p.Declaration), p, nil
 	}
-	_, cur, err := t.store().Load(ctx)
+	_, cur, err := inv.store().Load(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	return settings.Diff(cur, p.Declaration), p, nil
 }
 
-// readBase reads a directory's base, if it has one.
+// readBase reads a directory's base and reports whether it has one.
 func readBase(dir string) (base, bool, error) {
 	var b base
 	raw, err := os.ReadFile(filepath.Join(dir, baseFile))
@@ -117,14 +119,14 @@
 		return b, false, err
 	}
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return b, false, fmt.Errorf("%s is not readable: %w; remove it to compare with the tree in force", baseFile, err)
+		return b, false, fmt.Errorf("%s is not valid JSON of a base: %w; remove it to compare with the tree in force", baseFile, err)
 	}
 	return b, true, nil
 }
 
-// writeBase notes the tree in force beside a directory.
-func (t *tool) writeBase(ctx context.Context, dir string) error {
-	h, d, err := t.store().Load(ctx)
+// writeBase stores the tree in force as a directory's base.
+func (inv *invocation) writeBase(ctx context.Context, dir string) error {
+	h, d, err := inv.store().Load(ctx)
 	if err != nil {
 		return err
 	}
@@ -136,22 +138,22 @@
 }
 
 // diff compares a directory with the tree in force.
-func (t *tool) diff(ctx context.Context) error {
-	p, err := load(t.Diff.Dir)
+func (inv *invocation) diff(ctx context.Context) error {
+	p, err := loadDir(inv.Diff.Dir)
 	if err != nil {
 		return err
 	}
-	_, cur, err := t.store().Load(ctx)
+	_, cur, err := inv.store().Load(ctx)
 	if err != nil {
 		return err
 	}
 	edits := settings.Diff(cur, p.Declaration)
-	if t.JSON {
-		if err := t.printJSON(edits); err != nil {
+	if inv.JSON {
+		if err := inv.printJSON(edits); err != nil {
 			return err
 		}
 	} else {
-		t.showEdits(edits)
+		inv.printEdits(edits)
 	}
 	if len(edits) > 0 {
 		return errDiffers
@@ -159,58 +161,58 @@
 	return nil
 }
 
-// showEdits prints edits, a line each.
-func (t *tool) showEdits(edits []settings.Edit) {
+// printEdits prints one line for each edit.
+func (inv *invocation) printEdits(edits []settings.Edit) {
 	for _, e := range edits {
 		switch {
 		case e.Added:
-			fmt.Fprintf(t.out, "+ %s = %q\n", e.Path(), e.New)
+			fmt.Fprintf(inv.out, "+ %s = %q\n", e.Path(), e.New)
 		case e.Removed:
-			fmt.Fprintf(t.out, "- %s (was %q)\n", e.Path(), e.Old)
+			fmt.Fprintf(inv.out, "- %s (was %q)\n", e.Path(), e.Old)
 		default:
-			fmt.Fprintf(t.out, "~ %s = %q (was %q)\n", e.Path(), e.New, e.Old)
+			fmt.Fprintf(inv.out, "~ %s = %q (was %q)\n", e.Path(), e.New, e.Old)
 		}
 	}
 }
 
 // apply puts a directory in force.
-func (t *tool) apply(ctx context.Context) error {
-	edits, _, err := t.edits(ctx, t.Apply.Dir)
+func (inv *invocation) apply(ctx context.Context) error {
+	edits, _, err := inv.edits(ctx, inv.Apply.Dir)
 	if err != nil {
 		return err
 	}
 	if len(edits) == 0 {
-		fmt.Fprintln(t.out, "nothing to change")
+		fmt.Fprintln(inv.out, "nothing to change")
 		return nil
 	}
 	c := revision.Change{
-		ID: t.Apply.Change, Author: t.author(), Message: t.Apply.Message, AtMS: time.Now().UnixMilli(),
+		ID: inv.Apply.Change, Author: inv.author(), Message: inv.Apply.Message, AtMS: time.Now().UnixMilli(),
 	}
 	if c.ID == "" {
 		c.ID = strings.ToLower(rand.Text()[:12])
 	}
-	done, err := t.store().Apply(ctx, c, edits)
+	applied, err := inv.store().Apply(ctx, c, edits)
 	var conflict *revision.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		return conflict
 	case err != nil:
-		return fmt.Errorf("%w\nrun again with --change %s: the change is then applied once, whatever became of this try", err, c.ID)
+		return fmt.Errorf("%w\nrun again with --change %s: the change is then applied exactly once, whether or not this attempt succeeded", err, c.ID)
 	}
-	if err := t.writeBase(ctx, t.Apply.Dir); err != nil {
-		fmt.Fprintf(t.out, "applied, but %s could not be written: %v\n", baseFile, err)
+	if err := inv.writeBase(ctx, inv.Apply.Dir); err != nil {
+		fmt.Fprintf(inv.out, "applied, but %s could not be written: %v\n", baseFile, err)
 	}
-	if t.JSON {
-		return t.printJSON(done)
+	if inv.JSON {
+		return inv.printJSON(applied)
 	}
-	fmt.Fprintf(t.out, "revision %d, change %s: %d values\n", done.Revision, done.ID, len(edits))
+	fmt.Fprintf(inv.out, "revision %d, change %s: %d values\n", applied.Revision, applied.ID, len(edits))
 	return nil
 }
 
-// author is who makes a change.
-func (t *tool) author() string {
-	if t.Apply.Author != "" {
-		return t.Apply.Author
+// author returns the author of a change: the one given, or the user's name.
+func (inv *invocation) author() string {
+	if inv.Apply.Author != "" {
+		return inv.Apply.Author
 	}
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -219,81 +221,82 @@
 }
 
 // get shows or writes the tree in force.
-func (t *tool) get(ctx context.Context) error {
-	_, d, err := t.store().Load(ctx)
+func (inv *invocation) get(ctx context.Context) error {
+	_, d, err := inv.store().Load(ctx)
 	if err != nil {
 		return err
 	}
-	if t.JSON {
-		return t.printJSON(d)
+	if inv.JSON {
+		return inv.printJSON(d)
 	}
 	text := settings.Format(d)
-	if t.Get.Dir == "" {
-		_, err := t.out.Write(text)
+	if inv.Get.Dir == "" {
+		_, err := inv.out.Write(text)
 		return err
 	}
-	if err := os.MkdirAll(t.Get.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(inv.Get.Dir, 0o755); err != nil {
 		return err
 	}
-	// Other files of the directory would declare the same paths again.
-	old, err := settings.ReadDir(os.DirFS(t.Get.Dir))
+	// Declarations in other files of the directory would duplicate the paths of treeFile.
+	old, err := settings.ReadDir(os.DirFS(inv.Get.Dir))
 	if err != nil {
 		return err
 	}
 	for _, f := range old {
 		if f.Name != treeFile {
-			return fmt.Errorf("%s has %s; get writes one file, so give an empty directory", t.Get.Dir, f.Name)
+			return fmt.Errorf("directory %s already has %s; get writes a single file, so give an empty directory", inv.Get.Dir, f.Name)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(t.Get.Dir, treeFile), text, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(inv.Get.Dir, treeFile), text, 0o644); err != nil {
 		return err
 	}
-	return t.writeBase(ctx, t.Get.Dir)
+	return inv.writeBase(ctx, inv.Get.Dir)
 }
 
-// treeFile is the file that get writes.
+// treeFile is the name of the file that get writes.
 const treeFile = "tree.yaml"
 
-// explain shows the values in force at a node, or how a request was decided.
-func (t *tool) explain(ctx context.Context) error {
-	if len(t.Explain.Logs) > 0 {
-		return t.explainFromLogs(t.Explain.Path)
+// explain shows the effective values of a node, or the decisions on a request. An
+// argument with four dots and no slash is the ID of a request.
+func (inv *invocation) explain(ctx context.Context) error {
+	if len(inv.Explain.Logs) > 0 {
+		return inv.explainFromLogs(inv.Explain.Path)
 	}
-	node := strings.Trim(t.Explain.Path, "/")
+	node := strings.Trim(inv.Explain.Path, "/")
 	if strings.Count(node, ".") == 4 && !strings.Contains(node, "/") {
-		return t.explainRequest(ctx, node)
+		return inv.explainRequest(ctx, node)
 	}
 	var d settings.Declaration
 	sources := map[string]settings.Source{}
-	if t.Explain.Dir != "" {
-		p, err := load(t.Explain.Dir)
+	if inv.Explain.Dir != "" {
+		p, err := loadDir(inv.Explain.Dir)
 		if err != nil {
 			return err
 		}
 		d, sources = p.Declaration, p.Sources
 	} else {
 		var err error
-		if _, d, err = t.store().Load(ctx); err != nil {
+		if _, d, err = inv.store().Load(ctx); err != nil {
 			return err
 		}
 	}
 	list, ok := settings.Explain(d, node)
 	if !ok {
-		return fmt.Errorf("no node %q; name one like workspaces/NAME/services/NAME, or \"\" for the fleet", node)
+		return fmt.Errorf("node %q does not exist; name one like workspaces/NAME/services/NAME, or \"\" for the fleet", node)
 	}
-	if t.JSON {
-		return t.printJSON(list)
+	if inv.JSON {
+		return inv.printJSON(list)
 	}
-	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
+	w := tabwriter.NewWriter(inv.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "KEY\tVALUE\tFROM")
 	for _, x := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", x.Key, x.Value, place(x, sources))
+		fmt.Fprintf(w, "%s\t%s\t%s\n", x.Key, x.Value, formatOrigin(x, sources))
 	}
 	return w.Flush()
 }
 
-// place says where a value comes from, with file and line if they are known.
-func place(x settings.Explanation, sources map[string]settings.Source) string {
+// formatOrigin returns where a value is set: the node, with file and line if they are known.
+func formatOrigin(x settings.Explanation, sources map[string]settings.Source) string {
 	node := x.From
 	if node == "fleet" {
 		node = ""
