--- a/cmd/hkbench/bound.go
+++ b/cmd/hkbench/bound.go
@@ -18,22 +18,22 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// boundArgs are the arguments of bound.
+// boundArgs are the arguments of the bound subcommand.
 type boundArgs struct {
 	SiteFile string        `arg:"--site-file,required" help:"site file of the deployment, for its engines and what requests are worth"`
 	Logs     []string      `arg:"--log,separate,required" help:"log of an hkedge that ran with --trace; repeat it for more hosts, - is standard input"`
 	Window   time.Duration `arg:"--window" default:"2s" help:"length of the spans of time in the second table"`
 }
 
-// check returns what is wrong with the arguments, or an empty text.
-func (a *boundArgs) check() string {
+// validate returns a message about an invalid argument, or an empty string if all are valid.
+func (a *boundArgs) validate() string {
 	if a.Window < 500*time.Millisecond {
 		return fmt.Sprintf("--window %v is too short; give 500ms or more", a.Window)
 	}
 	return ""
 }
 
-// run prints the tables of one day.
+// run prints the bounds for the day that the logs record.
 func (a *boundArgs) run(w io.Writer) error {
 	site, err := readSite(a.SiteFile)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	var events []outcome.Event
 	for _, name := range a.Logs {
-		found, err := readWhole(name)
+		found, err := readCompleteLog(name)
 		if err != nil {
 			return err
 		}
@@ -53,21 +53,23 @@
 	}
 	fmt.Fprintf(w, "%d tries of %d requests to %d engines; left out: %d over their amount, %d whose caller left\n\n",
 		counts.Tries, counts.Requests, len(d.Engines), counts.OverAmount, counts.Left)
-	return a.tables(w, d)
+	return a.printTables(w, d)
 }
 
-// tables prints what each kind of request and each span of time earned and could earn.
-func (a *boundArgs) tables(w io.Writer, d *bound.Day) error {
+// printTables prints the earned part of the requests' worth and its two upper bounds, with
+// the callers' guesses of the lengths and with the lengths known: for all requests, by route
+// and by time window of their arrival.
+func (a *boundArgs) printTables(w io.Writer, d *bound.Day) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	guessed := d.Guessed()
-	row := func(name string, counts func(*bound.Request) bool) {
-		known := d.Most(counts)
+	printRow := func(name string, include func(*bound.Request) bool) {
+		known := d.Most(include)
 		if known.Worth > 0 {
-			fmt.Fprintf(tw, "%s\t%.0f\t%.3f\t%.3f\t%.3f\n", name, known.Worth, known.Earned/known.Worth, guessed.Most(counts).Most/known.Worth, known.Most/known.Worth)
+			fmt.Fprintf(tw, "%s\t%.0f\t%.3f\t%.3f\t%.3f\n", name, known.Worth, known.Earned/known.Worth, guessed.Most(include).Most/known.Worth, known.Most/known.Worth)
 		}
 	}
 	fmt.Fprintln(tw, "requests\tworth\tearned\tbound, lengths as guessed\tbound, lengths known")
-	row("all", nil)
+	printRow("all", nil)
 	kinds := make(map[string]bool)
 	windows := make(map[int]bool)
 	for i := range d.Requests {
@@ -75,22 +77,22 @@
 		windows[int(d.Requests[i].Arrived/a.Window)] = true
 	}
 	for _, k := range slices.Sorted(maps.Keys(kinds)) {
-		row(k+", if all others gave way", func(r *bound.Request) bool { return r.Route == k })
+		printRow(k+", if all others gave way", func(r *bound.Request) bool { return r.Route == k })
 	}
 	for _, n := range slices.Sorted(maps.Keys(windows)) {
-		row(fmt.Sprintf("from %v, if all others gave way", time.Duration(n)*a.Window), func(r *bound.Request) bool { return int(r.Arrived/a.Window) == n })
+		printRow(fmt.Sprintf("from %v, if all others gave way", time.Duration(n)*a.Window), func(r *bound.Request) bool { return int(r.Arrived/a.Window) == n })
 	}
 	return tw.Flush()
 }
 
-// readSite reads a site file of the users in the words of the bound.
+// readSite reads a site file and converts it to the bound's model of a site.
 func readSite(path string) (*bound.Site, error) {
 	f, err := platform.ReadSite(path)
 	if err != nil {
 		return nil, err
 	}
 	if len(f.Engines) > 1 {
-		return nil, fmt.Errorf("site file %s has %d sets of engines; the bound knows one", path, len(f.Engines))
+		return nil, fmt.Errorf("site file %s has %d services with engines; the bound is defined for one only", path, len(f.Engines))
 	}
 	e := f.Engines[0]
 	site := &bound.Site{
@@ -110,20 +112,20 @@
 	return site, nil
 }
 
-// readWhole reads the events of a log, and refuses one with a line that is cut.
-func readWhole(name string) ([]outcome.Event, error) {
+// readCompleteLog reads the events of a log and returns an error if a line is truncated.
+func readCompleteLog(name string) ([]outcome.Event, error) {
 	r := io.Reader(os.Stdin)
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, fmt.Errorf("%w; give a log of hkedge, or - for standard input", err)
+			return nil, fmt.Errorf("cannot open log: %w; give a log of hkedge, or - for standard input", err)
 		}
 		defer f.Close()
 		r = f
 	}
 	events, err := outcome.ReadStrict(r)
 	if err != nil {
-		return nil, fmt.Errorf("log %s: %w", name, err)
+		return nil, fmt.Errorf("cannot read log %s: %w", name, err)
 	}
 	return events, nil
 }
--- a/cmd/hkbench/main.go
+++ b/cmd/hkbench/main.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkbench measures the decisions under load and faults: several hosts'
-// real schedulers against stand-in engines on simulated time. The same flags
-// print the same tables.
+// Command hkbench measures scheduling decisions under load and faults: the real
+// schedulers of several hosts run against simulated engines on simulated time. The
+// results are deterministic: the same flags print the same tables.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/heathkeel/heathkeel/internal/version"
 )
 
-// args are the process settings.
+// args is the command line.
 type args struct {
 	Bound   *boundArgs    `arg:"subcommand:bound" help:"what the requests of a played day could earn at most, beside what they earned"`
 	Pairs   *pairsArgs    `arg:"subcommand:pairs" help:"the days that two versions have played, compared in pairs"`
@@ -35,10 +35,10 @@
 	Length  time.Duration `arg:"--length" default:"90s" help:"time over which requests arrive"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkbench " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkbench measures the decisions under load and faults on simulated time; the same flags print the same tables."
 }
@@ -47,8 +47,8 @@
 	var a args
 	p := arg.MustParse(&a)
 	if a.Bound != nil {
-		if wrong := a.Bound.check(); wrong != "" {
-			p.Fail(wrong)
+		if message := a.Bound.validate(); message != "" {
+			p.Fail(message)
 		}
 		if err := a.Bound.run(os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "hkbench:", err)
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(cases) == 0 {
-		p.Fail("--cases fits no case")
+		p.Fail("--cases matches no case")
 	}
 	if a.Ablate {
 		ablate(os.Stdout, a, cases)
@@ -89,7 +89,7 @@
 	compare(os.Stdout, a, cases)
 }
 
-// spec makes the spec of one run.
+// spec returns the trial of a case with a policy and a seed.
 func (a args) spec(c trial.Case, policy string, seed int) trial.Spec {
 	return trial.Spec{
 		Site: a.Site, Policy: policy, Hosts: a.Hosts, Load: c.Load, Lag: a.Lag, Length: a.Length,
@@ -97,7 +97,8 @@
 	}
 }
 
-// runAll runs specs on all processors and returns the results in their order.
+// runAll runs the trials in parallel, one per processor, and returns the results in the
+// order of specs.
 func runAll(specs []trial.Spec) []*trial.Result {
 	out := make([]*trial.Result, len(specs))
 	var wg sync.WaitGroup
@@ -115,13 +116,13 @@
 	return out
 }
 
-// spread is the least, middle and largest of some figures.
-type spread struct{ low, mid, high float64 }
+// spread is the minimum, median and maximum of a sample.
+type spread struct{ min, median, max float64 }
 
-// String gives the middle with the range.
+// String returns the median, followed by the range unless it is narrower than 0.0005.
 func (s spread) String() string {
-	if s.high-s.low < 0.0005 {
-		return fmt.Sprintf("%.3f", s.mid)
+	if s.max-s.min < 0.0005 {
+		return fmt.Sprintf("%.3f", s.median)
 	}
-	return fmt.Sprintf("%.3f (%.3f..%.3f)", s.mid, s.low, s.high)
+	return fmt.Sprintf("%.3f (%.3f..%.3f)", s.median, s.min, s.max)
 }
--- a/cmd/hkbench/tables.go
+++ b/cmd/hkbench/tables.go
@@ -13,29 +13,30 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// over takes a figure of each result and returns its spread.
-func over(rs []*trial.Result, f func(*trial.Result) float64) spread {
+// spreadOf returns the spread of a value over the results.
+func spreadOf(rs []*trial.Result, value func(*trial.Result) float64) spread {
 	var v []float64
 	for _, r := range rs {
-		v = append(v, f(r))
+		v = append(v, value(r))
 	}
 	slices.Sort(v)
 	return spread{v[0], v[len(v)/2], v[len(v)-1]}
 }
 
-// first gives a percentile of the time to the first token, in milliseconds.
-func first(rank int, q float64) func(*trial.Result) float64 {
+// firstTokenPercentile returns a function for the q-th percentile of a tier's time to first
+// token, in milliseconds.
+func firstTokenPercentile(rank int, q float64) func(*trial.Result) float64 {
 	return func(r *trial.Result) float64 {
 		return float64(r.Tiers[rank].First.ValueAtQuantile(q)) / 1000
 	}
 }
 
-// good gives the goodput of a tier.
-func good(rank int) func(*trial.Result) float64 {
+// goodput returns a function for the goodput of a tier.
+func goodput(rank int) func(*trial.Result) float64 {
 	return func(r *trial.Result) float64 { return r.Tiers[rank].Goodput() }
 }
 
-// compare prints a table of cases and policies.
+// compare runs each case under each policy and prints a table of the results.
 func compare(w io.Writer, a args, cases []trial.Case) {
 	policies := []string{trial.Keel}
 	if a.Compare {
@@ -55,33 +56,33 @@
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, c := range cases {
 		for _, p := range policies {
-			row(w, c, p, results[:a.Seeds])
+			printCase(w, c, p, results[:a.Seeds])
 			results = results[a.Seeds:]
 		}
 	}
 }
 
-// row prints one line of the table.
-func row(w io.Writer, c trial.Case, policy string, rs []*trial.Result) {
-	fmt.Fprintf(w, "| %s | %s | %v | %v | %v | %v | %v |", c.Name, policy, over(rs, good(0)), over(rs, good(1)), over(rs, good(2)),
-		over(rs, (*trial.Result).WastedPrefill), over(rs, (*trial.Result).Fairness))
+// printCase prints the table row of one case and policy.
+func printCase(w io.Writer, c trial.Case, policy string, rs []*trial.Result) {
+	fmt.Fprintf(w, "| %s | %s | %v | %v | %v | %v | %v |", c.Name, policy, spreadOf(rs, goodput(0)), spreadOf(rs, goodput(1)), spreadOf(rs, goodput(2)),
+		spreadOf(rs, (*trial.Result).WastedPrefill), spreadOf(rs, (*trial.Result).Fairness))
 	for k := range 3 {
-		fmt.Fprintf(w, " %.0f/%.0f/%.0f |", over(rs, first(k, 50)).mid, over(rs, first(k, 95)).mid, over(rs, first(k, 99)).mid)
+		fmt.Fprintf(w, " %.0f/%.0f/%.0f |", spreadOf(rs, firstTokenPercentile(k, 50)).median, spreadOf(rs, firstTokenPercentile(k, 95)).median, spreadOf(rs, firstTokenPercentile(k, 99)).median)
 	}
-	longest := over(rs, func(r *trial.Result) float64 { return float64(r.LongestWait.Milliseconds()) })
+	longest := spreadOf(rs, func(r *trial.Result) float64 { return float64(r.LongestWait.Milliseconds()) })
 	recovery := "-"
 	if c.To > 0 {
-		s := over(rs, func(r *trial.Result) float64 { return r.Recovery(c.From, c.To).Seconds() })
-		recovery = fmt.Sprintf("%.0f", s.high)
-		if s.low < 0 {
+		s := spreadOf(rs, func(r *trial.Result) float64 { return r.Recovery(c.From, c.To).Seconds() })
+		recovery = fmt.Sprintf("%.0f", s.max)
+		if s.min < 0 {
 			recovery = "not seen"
 		}
 	}
-	inv := over(rs, func(r *trial.Result) float64 { return float64(r.Inversions) })
-	fmt.Fprintf(w, " %.0f | %s | %.0f |\n", longest.high, recovery, inv.high)
+	inversions := spreadOf(rs, func(r *trial.Result) float64 { return float64(r.Inversions) })
+	fmt.Fprintf(w, " %.0f | %s | %.0f |\n", longest.max, recovery, inversions.max)
 }
 
-// rules lists what can be switched off.
+// rules lists the scheduling rules that ablate disables, one at a time.
 var rules = []struct {
 	name string
 	off  func(*sched.Rules)
@@ -101,15 +102,15 @@
 	{"late binding", func(r *sched.Rules) { r.LateBinding = true }},
 }
 
-// ablate prints a table for each case with each rule off in turn.
+// ablate runs each case with each rule disabled in turn and prints a table of the results.
 func ablate(w io.Writer, a args, cases []trial.Case) {
 	var specs []trial.Spec
 	for _, c := range cases {
 		for _, r := range rules {
 			for s := range a.Seeds {
-				sp := a.spec(c, trial.Keel, s+1)
-				r.off(&sp.Sched.Disabled)
-				specs = append(specs, sp)
+				spec := a.spec(c, trial.Keel, s+1)
+				r.off(&spec.Sched.Disabled)
+				specs = append(specs, spec)
 			}
 		}
 	}
@@ -122,9 +123,9 @@
 			rs := results[:a.Seeds]
 			results = results[a.Seeds:]
 			fmt.Fprintf(w, "| %s | %s | %v | %v | %v | %v | %v | %.0f | %.0f |\n", c.Name, r.name,
-				over(rs, good(0)), over(rs, good(1)), over(rs, good(2)), over(rs, (*trial.Result).WastedPrefill),
-				over(rs, (*trial.Result).Fairness), over(rs, first(0, 95)).mid,
-				over(rs, func(r *trial.Result) float64 { return float64(r.Inversions) }).high)
+				spreadOf(rs, goodput(0)), spreadOf(rs, goodput(1)), spreadOf(rs, goodput(2)), spreadOf(rs, (*trial.Result).WastedPrefill),
+				spreadOf(rs, (*trial.Result).Fairness), spreadOf(rs, firstTokenPercentile(0, 95)).median,
+				spreadOf(rs, func(r *trial.Result) float64 { return float64(r.Inversions) }).max)
 		}
 	}
 }
