--- a/cmd/hkdev/check.go
+++ b/cmd/hkdev/check.go
@@ -18,44 +18,45 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// trial is one request of the check.
-type trial struct {
+// checkRequest is one request that the check sends.
+type checkRequest struct {
 	settings.Ref
 	model      string // empty for a plain service
 	repeatable bool
 }
 
-// trials picks one request of each kind for each tier.
-func trials(c *dev.Cluster) []trial {
+// checkRequests returns one request of each kind for each tier, ordered by tier: engine or
+// plain service, repeatable or not.
+func checkRequests(c *dev.Cluster) []checkRequest {
 	snap := settings.NewSnapshot(1, c.Declaration)
 	type kind struct {
 		tier              string
 		plain, repeatable bool
 	}
 	seen := make(map[kind]bool)
-	var out []trial
+	var out []checkRequest
 	for _, ws := range snap.Workspaces() {
 		for _, ref := range snap.Refs(ws) {
 			e, _ := snap.Resolve(ref)
-			t := trial{Ref: settings.Ref{Workspace: ws, Service: ref.Service, Tier: e.Tier}, repeatable: e.Repeatable}
+			r := checkRequest{Ref: settings.Ref{Workspace: ws, Service: ref.Service, Tier: e.Tier}, repeatable: e.Repeatable}
 			if len(e.Endpoints) == 0 {
-				t.model = first(e.Models, snap.Fleet.Models)
+				r.model = firstNonEmpty(e.Models, snap.Fleet.Models)
 			}
-			k := kind{e.Tier, t.model == "", e.Repeatable}
+			k := kind{e.Tier, r.model == "", e.Repeatable}
 			if !seen[k] {
 				seen[k] = true
-				out = append(out, t)
+				out = append(out, r)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b trial) int {
+	slices.SortFunc(out, func(a, b checkRequest) int {
 		return slices.Index(snap.Fleet.Tiers, a.Tier) - slices.Index(snap.Fleet.Tiers, b.Tier)
 	})
 	return out
 }
 
-// first returns the first name of the first list that has one.
-func first(lists ...[]string) string {
+// firstNonEmpty returns the first element of the first list that is not empty.
+func firstNonEmpty(lists ...[]string) string {
 	for _, l := range lists {
 		if len(l) > 0 {
 			return l[0]
@@ -64,54 +65,54 @@
 	return ""
 }
 
-// firstCompletion returns a request to show on the command line.
-func firstCompletion(c *dev.Cluster) (trial, bool) {
-	all := trials(c)
-	i := slices.IndexFunc(all, func(t trial) bool { return t.model != "" && t.repeatable })
+// firstCompletion returns a repeatable request to an engine, for the printed example.
+func firstCompletion(c *dev.Cluster) (checkRequest, bool) {
+	all := checkRequests(c)
+	i := slices.IndexFunc(all, func(r checkRequest) bool { return r.model != "" && r.repeatable })
 	if i < 0 {
-		return trial{}, false
+		return checkRequest{}, false
 	}
 	return all[i], true
 }
 
-// checkTime bounds one request of the check.
-const checkTime = 10 * time.Second
+// requestTimeout bounds each request of the check.
+const requestTimeout = 10 * time.Second
 
-// check runs all trials and returns the exit code.
-func check(c *dev.Cluster) int {
+// checkCluster sends all check requests, prints a line for each and returns the exit code.
+func checkCluster(c *dev.Cluster) int {
 	code := 0
 	fmt.Printf("%-8s %-7s %-24s %-16s %-11s %s\n", "tier", "kind", "service", "endpoint", "first token", "outcome")
-	for _, t := range trials(c) {
-		kind, endpoint, took, err := t.run(c)
+	for _, r := range checkRequests(c) {
+		kind, endpoint, elapsed, err := r.send(c)
 		outcome := string(problem.Answered)
 		if err != nil {
 			code = 1
 			outcome = problem.Of(err).Error()
 		}
-		fmt.Printf("%-8s %-7s %-24s %-16s %-11s %s\n", t.Tier, kind, t.Workspace+"/"+t.Service, endpoint, took.Round(10*time.Microsecond), outcome)
+		fmt.Printf("%-8s %-7s %-24s %-16s %-11s %s\n", r.Tier, kind, r.Workspace+"/"+r.Service, endpoint, elapsed.Round(10*time.Microsecond), outcome)
 	}
 	return code
 }
 
-// run sends one request through the address answer.
-func (t trial) run(c *dev.Cluster) (kind, endpoint string, took time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), checkTime)
+// send asks a host for an address and sends the request there.
+func (r checkRequest) send(c *dev.Cluster) (kind, endpoint string, elapsed time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	cl := &client.Client{Seeds: c.Addresses(), Workspace: t.Workspace}
-	if t.model != "" {
+	cl := &client.Client{Seeds: c.Addresses(), Workspace: r.Workspace}
+	if r.model != "" {
 		a, err := cl.Complete(ctx, client.Completion{
-			Service: t.Service, Tier: t.Tier, Model: t.model, Prompt: "Write one line about the sea.", MaxTokens: 16, NoRepeat: !t.repeatable,
+			Service: r.Service, Tier: r.Tier, Model: r.model, Prompt: "Write one line about the sea.", MaxTokens: 16, NoRepeat: !r.repeatable,
 		})
 		return "engine", a.Endpoint, a.First, err
 	}
 	kind = "plain"
-	if !t.repeatable {
+	if !r.repeatable {
 		kind = "once"
 	}
 	start := time.Now()
 	a, err := cl.Do(ctx, client.Call{
-		Service: t.Service, Tier: t.Tier, Method: http.MethodPost, Path: "/check",
-		Header: http.Header{fake.HeaderCall: {"check-" + t.Service}}, Body: []byte("{}"), NoRepeat: !t.repeatable,
+		Service: r.Service, Tier: r.Tier, Method: http.MethodPost, Path: "/check",
+		Header: http.Header{fake.HeaderCall: {"check-" + r.Service}}, Body: []byte("{}"), NoRepeat: !r.repeatable,
 	})
 	return kind, a.Endpoint, time.Since(start), err
 }
--- a/cmd/hkdev/main.go
+++ b/cmd/hkdev/main.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkdev runs a small heathkeel fleet in one process on loopback, for
-// trying it and for developing: stand-ins of the platform and of all declared
-// endpoints, and several hosts.
+// Command hkdev runs a small heathkeel fleet in one process on loopback, for trials
+// and development: fakes of the platform and of all declared endpoints, and several
+// hosts.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// args are the process settings.
+// args is the command line.
 type args struct {
 	Dir   string        `arg:"--dir,env:HEATHKEEL_DIR" help:"directory of declarations; empty means the embedded example"`
 	Hosts int           `arg:"--hosts,env:HEATHKEEL_HOSTS" default:"3" help:"number of hosts; 0 serves the stand-ins only"`
@@ -36,16 +36,16 @@
 	Logs  bool          `arg:"--logs" help:"write the hosts' logs to standard error"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkdev " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkdev runs a small heathkeel fleet in one process on loopback. With --check it exits 0 only if every request was answered whole."
 }
 
-// startTime bounds the start of all parts.
-const startTime = 15 * time.Second
+// startTimeout bounds the time until all hosts are ready.
+const startTimeout = 15 * time.Second
 
 func main() {
 	var a args
@@ -60,7 +60,8 @@
 	os.Exit(code)
 }
 
-// run starts the fleet and keeps it until a signal, or checks it.
+// run starts the fleet and runs it until SIGTERM or SIGINT, or checks it and returns the
+// exit code.
 func run(a args) (int, error) {
 	var dir fs.FS = examples.Fjordkanal()
 	if a.Dir != "" {
@@ -86,26 +87,26 @@
 		return 1, err
 	}
 	defer c.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), startTime)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := c.WaitReady(ctx); err != nil {
 		return 1, err
 	}
 	if a.Check {
-		return check(c), nil
+		return checkCluster(c), nil
 	}
-	show(c)
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	printAddresses(c)
+	signalCtx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	<-term.Done()
+	<-signalCtx.Done()
 	return 0, nil
 }
 
-// show prints the addresses and a line to try.
-func show(c *dev.Cluster) {
+// printAddresses prints the addresses of the fleet and example commands.
+func printAddresses(c *dev.Cluster) {
 	fmt.Println("platform  http://" + c.PlatformAddress)
-	for _, n := range c.StartedHosts {
-		fmt.Println("host      http://" + n.Address)
+	for _, h := range c.StartedHosts {
+		fmt.Println("host      http://" + h.Address)
 	}
 	fmt.Printf("endpoints %d engines, %d plain services\n\ntry:\n", len(c.Engines), len(c.Services))
 	if q, ok := firstCompletion(c); ok && len(c.StartedHosts) > 0 {
--- a/cmd/hkdev/site.go
+++ b/cmd/hkdev/site.go
@@ -17,14 +17,14 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// Shape of the streams of the stand-in's engines.
+// Streams of the fake engines: the number of events and the time between them.
 const (
-	siteEvents = 6
-	sitePace   = 50 * time.Millisecond
+	siteEventCount    = 6
+	siteEventInterval = 50 * time.Millisecond
 )
 
-// runSite starts hosts of the users' platform on its stand-in and keeps them until
-// a signal, or checks them.
+// runSite starts hosts on a fake of the users' platform and runs them until SIGTERM or
+// SIGINT, or checks them and returns the exit code.
 func runSite(a args, log logr.Logger) (int, error) {
 	s := &site.Site{Log: log}
 	if err := s.Start(); err != nil {
@@ -32,7 +32,7 @@
 	}
 	defer s.Stop()
 	s.Store.Put(platform.KeyConfig, site.Example())
-	if _, _, err := s.AddScene(siteEvents, sitePace); err != nil {
+	if _, _, err := s.AddScene(siteEventCount, siteEventInterval); err != nil {
 		return 1, err
 	}
 	for range a.Hosts {
@@ -50,31 +50,32 @@
 	if len(s.Hosts) > 0 {
 		fmt.Printf("\ntry:\n  %s\n", site.Curl(s.Hosts[0].Boot.Front))
 	}
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	signalCtx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	<-term.Done()
+	<-signalCtx.Done()
 	return 0, nil
 }
 
-// siteTries bounds the tries of a check: a host may not have read the endpoints yet.
-const siteTries = 50
+// maxSiteAttempts bounds the attempts of one check, which fail while the host has not read
+// the endpoints yet.
+const maxSiteAttempts = 50
 
-// checkSite sends one request of each kind and prints a line for each.
+// checkSite sends one request of each kind, prints a line for each and returns the exit code.
 func checkSite(s *site.Site) int {
 	code := 0
 	for _, path := range []string{"/push/1", "/ask/1", "/draft/1", "/review/1", "/open/1"} {
-		var got site.Answer
-		for i := range siteTries {
-			got = site.Do(s.Hosts[0].Boot.Front, site.Call{Path: path, Key: site.Key, ID: fmt.Sprintf("check-%s-%d", path, i), Body: "b", Tokens: "20,30"})
-			if got.Status == 200 {
+		var answer site.Answer
+		for i := range maxSiteAttempts {
+			answer = site.Do(s.Hosts[0].Boot.Front, site.Call{Path: path, Key: site.Key, ID: fmt.Sprintf("check-%s-%d", path, i), Body: "b", Tokens: "20,30"})
+			if answer.Status == 200 {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got.Status != 200 || !got.Whole {
+		if answer.Status != 200 || !answer.Whole {
 			code = 1
 		}
-		fmt.Printf("%-10s status %d whole %t %d bytes\n", path, got.Status, got.Whole, len(got.Body))
+		fmt.Printf("%-10s status %d whole %t %d bytes\n", path, answer.Status, answer.Whole, len(answer.Body))
 	}
 	return code
 }
