--- a/cmd/hkedge/main.go
+++ b/cmd/hkedge/main.go
@@ -2,9 +2,9 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkedge is one host of heathkeel on a platform that gives the process a
-// settings file: it answers callers that ask for an address and takes their
-// requests by the routes of the configuration.
+// Command hkedge runs one heathkeel host on a platform that provides a settings file
+// for the process. It answers address requests of callers and serves their requests
+// by the routes of the configuration.
 package main
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/heathkeel/heathkeel/platform"
 )
 
-// args are the process settings.
+// args is the command line.
 type args struct {
 	Settings string `arg:"--settings,env:HEATHKEEL_SETTINGS,required" help:"path of the platform's settings file"`
 	Trace    bool   `arg:"--trace,env:HEATHKEEL_TRACE" help:"log a line for every request, without a bound; for measurements, see hkctl account"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkedge " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkedge is one host of heathkeel. SIGTERM stops it within its grace; SIGHUP reads the settings file again."
 }
