--- a/cmd/hkplacer/main.go
+++ b/cmd/hkplacer/main.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkplacer stands beside hkrouter on each host. It holds the placement of
-// a zone while it has the zone's lease, and orders the zone's engines.
+// Command hkplacer runs next to hkrouter on each host. While it holds a zone's lease,
+// it controls the placement of models on the zone's engines.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// args are the process settings.
+// args is the command line.
 type args struct {
 	Name     string        `arg:"--name,env:HEATHKEEL_NAME,required" help:"name of the host"`
 	Router   string        `arg:"--router,env:HEATHKEEL_ROUTER,required" help:"IP number and port of the hkrouter on this host"`
@@ -38,18 +38,18 @@
 	Loads    int           `arg:"--loads,env:HEATHKEEL_LOADS" default:"2" help:"engines of a zone that load weights at once"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkplacer " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkplacer orders the engines of a zone while it holds the zone's lease. It stops at once on SIGTERM; another host takes the zone over."
 }
 
-// check finds what is wrong with the settings.
-func (a *args) check() error {
+// validate returns an error if an argument is invalid.
+func (a *args) validate() error {
 	if _, err := netip.ParseAddrPort(a.Router); err != nil {
-		return errors.New("--router is no IP number and port; write it like 10.0.0.1:8000")
+		return errors.New("--router is not an IP address and port; write it like 10.0.0.1:8000")
 	}
 	if a.TTL < time.Second || a.Sweep <= 0 || a.Loads < 1 {
 		return errors.New("--ttl must be at least 1s, --sweep and --loads above 0")
@@ -60,7 +60,7 @@
 func main() {
 	var a args
 	p := program.Start("hkplacer", &a)
-	if err := a.check(); err != nil {
+	if err := a.validate(); err != nil {
 		p.ExitInvalidSettings(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -69,22 +69,22 @@
 	p.Exit(nil)
 }
 
-// askTimeout bounds a question to the router.
-const askTimeout = time.Second
+// routerTimeout bounds a query to the router, and is the pause between the queries of follow.
+const routerTimeout = time.Second
 
-// run follows the router's settings and places until ctx ends.
+// run follows the router's settings and controls the placement of zones until ctx ends.
 func run(ctx context.Context, a args, log logr.Logger) {
-	pc := &keyval.Client{Base: a.Platform}
-	local := router.NewLocal(a.Router)
-	f := &revision.Follower{KV: pc, Peers: local.Peer(), Log: log}
+	kv := &keyval.Client{Base: a.Platform}
+	localRouter := router.NewLocal(a.Router)
+	f := &revision.Follower{KV: kv, Peers: localRouter.Peer(), Log: log}
 	engines := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	m := &placer.Manager{
-		Name: a.Name + "/" + once.NewIncarnation().String(), KV: pc, Weights: pc, Settings: f.Snapshot,
+		Name: a.Name + "/" + once.NewIncarnation().String(), KV: kv, Weights: kv, Settings: f.Snapshot,
 		TTL: a.TTL, Sweep: a.Sweep, Limits: placer.Limits{Loads: a.Loads}, Log: log,
 		Candidate: func(zone string) bool {
-			actx, cancel := context.WithTimeout(ctx, askTimeout)
+			askCtx, cancel := context.WithTimeout(ctx, routerTimeout)
 			defer cancel()
-			_, ok, err := local.Ask(actx, zone)
+			_, ok, err := localRouter.Ask(askCtx, zone)
 			return err == nil && ok
 		},
 		Engine: func(e settings.Endpoint) endpoint.Engine {
@@ -92,22 +92,22 @@
 		},
 	}
 	log.Info("placing", "router", a.Router)
-	go follow(ctx, f, local)
+	go follow(ctx, f, localRouter)
 	m.Run(ctx)
 }
 
-// follow takes each higher revision from the router.
-func follow(ctx context.Context, f *revision.Follower, local *router.Local) {
+// follow polls the router and pulls each higher revision of the settings from it.
+func follow(ctx context.Context, f *revision.Follower, localRouter *router.Local) {
 	for ctx.Err() == nil {
-		actx, cancel := context.WithTimeout(ctx, askTimeout)
-		rev, _, err := local.Ask(actx, "")
+		askCtx, cancel := context.WithTimeout(ctx, routerTimeout)
+		rev, _, err := localRouter.Ask(askCtx, "")
 		cancel()
 		if err == nil && rev > f.Revision() {
-			_ = f.Pull(ctx, rev, local.Address)
+			_ = f.Pull(ctx, rev, localRouter.Address)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(askTimeout):
+		case <-time.After(routerTimeout):
 		}
 	}
 }
