--- a/cmd/hkrouter/main.go
+++ b/cmd/hkrouter/main.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Command hkrouter is one host of heathkeel: it answers callers that ask for an
-// address and takes their requests.
+// Command hkrouter runs one heathkeel host: it answers address requests of callers and
+// serves their requests.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/heathkeel/heathkeel/internal/version"
 )
 
-// args are the process settings.
+// args is the command line.
 type args struct {
 	Name      string        `arg:"--name,env:HEATHKEEL_NAME,required" help:"name of the host, stable over restarts"`
 	Listen    string        `arg:"--listen,env:HEATHKEEL_LISTEN,required" help:"IP number and port for callers and other hosts"`
@@ -30,18 +30,18 @@
 	Stop      time.Duration `arg:"--stop,env:HEATHKEEL_STOP" default:"30m" help:"longest time that a drain may take"`
 }
 
-// Version gives the line that --version prints.
+// Version returns the line that --version prints.
 func (args) Version() string { return "hkrouter " + version.Version }
 
-// Description gives the first line of --help.
+// Description returns the first line of --help.
 func (args) Description() string {
 	return "hkrouter is one host of heathkeel. SIGTERM drains it: exit 0 once all requests ended."
 }
 
-// check finds what is wrong with the settings.
-func (a *args) check() error {
+// validate returns an error if an argument is invalid.
+func (a *args) validate() error {
 	if _, err := netip.ParseAddrPort(a.Listen); err != nil {
-		return errors.New("--listen is no IP number and port; write it like 10.0.0.1:8000")
+		return errors.New("--listen is not an IP address and port; write it like 10.0.0.1:8000")
 	}
 	if a.MaxAge <= 0 || a.Heartbeat <= 0 || a.Reports <= 0 || a.Rate <= 0 || a.Memory <= 0 || a.Stop <= 0 {
 		return errors.New("--max-age, --heartbeat, --reports, --report-rate, --memory and --stop must be above 0")
@@ -52,7 +52,7 @@
 func main() {
 	var a args
 	p := program.Start("hkrouter", &a)
-	if err := a.check(); err != nil {
+	if err := a.validate(); err != nil {
 		p.ExitInvalidSettings(err)
 	}
 	p.Exit(run(a, p.Log.WithValues("host", a.Name)))
--- a/cmd/hkrouter/run.go
+++ b/cmd/hkrouter/run.go
@@ -20,38 +20,38 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// run keeps the host going until a signal or an operator asks it to leave.
+// run serves as a host until a signal or an operator drains it.
 func run(a args, log logr.Logger) error {
-	l, err := net.Listen("tcp", a.Listen)
+	listener, err := net.Listen("tcp", a.Listen)
 	if err != nil {
 		return err
 	}
-	term, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	signalCtx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	pc := &keyval.Client{Base: a.Platform}
+	kv := &keyval.Client{Base: a.Platform}
 	r := &router.Router{
 		Self: fleet.Host{
-			Name: a.Name, Incarnation: once.NewIncarnation(), Address: l.Addr().String(), Zone: a.Zone, Region: a.Region,
+			Name: a.Name, Incarnation: once.NewIncarnation(), Address: listener.Addr().String(), Zone: a.Zone, Region: a.Region,
 		},
-		KV: pc, List: pc, MaxAge: a.MaxAge, Heartbeat: a.Heartbeat, ReportEvery: a.Reports, ReportRate: a.Rate, Memory: a.Memory,
+		KV: kv, List: kv, MaxAge: a.MaxAge, Heartbeat: a.Heartbeat, ReportEvery: a.Reports, ReportRate: a.Rate, Memory: a.Memory,
 		OnDrain: stop, Log: log,
 	}
 	srv := &http.Server{Handler: r.Handler()}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(listener) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.Run(ctx)
-	log.Info("listening", "address", l.Addr().String(), "incarnation", r.Self.Incarnation.String())
+	log.Info("listening", "address", listener.Addr().String(), "incarnation", r.Self.Incarnation.String())
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
-	case <-term.Done():
+	case <-signalCtx.Done():
 	}
-	dctx, dcancel := context.WithTimeout(ctx, a.Stop)
-	defer dcancel()
-	if err := r.Drain(dctx); err != nil {
-		return errors.New("requests still ran when --stop ended; raise it")
+	drainCtx, drainCancel := context.WithTimeout(ctx, a.Stop)
+	defer drainCancel()
+	if err := r.Drain(drainCtx); err != nil {
+		return errors.New("drain timed out: requests were still running after --stop; raise --stop")
 	}
-	return srv.Shutdown(dctx)
+	return srv.Shutdown(drainCtx)
 }
