--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -24,44 +24,46 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Cluster is a small fleet. Set the exported fields, then call Start.
+// Cluster is a small fleet in one process. Set the exported fields, then call Start.
 type Cluster struct {
-	// Declaration is the tree; the addresses of its endpoints are replaced by
-	// those of the stand-ins.
+	// Declaration is the settings tree; Start replaces the addresses of its endpoints
+	// by those of the fakes.
 	Declaration settings.Declaration
-	// Hosts is the number of hosts, spread over Zones.
+	// Hosts is the number of hosts that Start starts, assigned to Zones in turn.
 	Hosts int
-	// Zones are the availability zones; empty means those of the endpoints.
+	// Zones are the availability zones of the hosts; Start adds those of the endpoints
+	// with fakes, up to 16 zones in all.
 	Zones []string
-	// StepTime is the time of an engine's step; 0 means 3 ms.
+	// StepTime is the duration of an engine's step; 0 means 3 ms.
 	StepTime time.Duration
-	// RunPlacers runs a placer beside each host.
+	// RunPlacers makes each host run a placer.
 	RunPlacers bool
-	// AddressOverrides gives the addresses of endpoints that are served elsewhere.
+	// AddressOverrides maps endpoints to addresses outside the cluster; they get no fake.
 	AddressOverrides map[string]string
-	// ConfigureRouter changes a router before it runs; nil changes nothing.
+	// ConfigureRouter, if not nil, changes each router before it runs.
 	ConfigureRouter func(*router.Router)
-	// Log takes the hosts' changes of state.
+	// Log is the logger of the hosts and placers.
 	Log logr.Logger
 
-	// Platform, Engines and Services are the stand-ins.
+	// Platform, Engines and Services are the fakes; Engines and Services are keyed by
+	// the endpoint's name.
 	Platform fake.Platform
 	Engines  map[string]*fake.Engine
 	Services map[string]*fake.Service
-	// PlatformAddress is where the platform's stand-ins listen.
+	// PlatformAddress is the IP address and port of the fake platform.
 	PlatformAddress string
-	// StartedHosts are the hosts, in order of their start.
+	// StartedHosts are the hosts in order of their start, including killed ones.
 	StartedHosts []*Host
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	servers []*Server
-	started int // hosts ever started, for their names
+	ctx          context.Context
+	cancel       context.CancelFunc
+	servers      []*Server
+	hostsStarted int // total number of hosts started; numbers their names
 }
 
-// Host is one running host.
+// Host is a host that the cluster started.
 type Host struct {
-	// Router is the host and Address where it listens.
+	// Router is the host's router, and Address the IP address and port where it listens.
 	Router  *router.Router
 	Address string
 
@@ -69,15 +71,15 @@
 	cancel context.CancelFunc
 }
 
-// Server is an HTTP server on loopback that can be killed.
+// Server is an HTTP server that Kill ends at once.
 type Server struct {
-	// Address is its IP number and port.
+	// Address is the IP address and port where the server listens.
 	Address string
 
 	http *http.Server
 }
 
-// Serve starts a server at an address of loopback, port 0 for any.
+// Serve starts a server at an address; port 0 selects a free port.
 func Serve(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -88,13 +90,13 @@
 	return s, nil
 }
 
-// Kill closes the listener and all connections at once.
+// Kill closes the listener and all connections immediately.
 func (s *Server) Kill() { _ = s.http.Close() }
 
-// anyPort asks for a free port of loopback.
+// anyPort selects a free port on loopback.
 const anyPort = "127.0.0.1:0"
 
-// Start starts all parts; Stop ends them.
+// Start starts the fakes, applies the declaration and starts the hosts. Stop ends them.
 func (c *Cluster) Start() error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	if c.Platform.KV == nil {
@@ -108,7 +110,7 @@
 	if err := c.startEndpoints(); err != nil {
 		return err
 	}
-	if err := c.declare(); err != nil {
+	if err := c.applyDeclaration(); err != nil {
 		return err
 	}
 	for range c.Hosts {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// serve starts a server that Stop kills.
+// serve starts a server on a free port; Stop kills it.
 func (c *Cluster) serve(h http.Handler) (*Server, error) {
 	s, err := Serve(anyPort, h)
 	if err == nil {
@@ -128,24 +130,24 @@
 	return s, err
 }
 
-// Stop ends all parts.
+// Stop ends the hosts and the fakes.
 func (c *Cluster) Stop() {
 	c.cancel()
-	for _, n := range c.StartedHosts {
-		n.Kill()
+	for _, h := range c.StartedHosts {
+		h.Kill()
 	}
 	for _, s := range c.servers {
 		s.Kill()
 	}
 }
 
-// startEndpoints starts a stand-in for each declared endpoint and puts its
-// address into the declaration.
+// startEndpoints starts a fake for each declared endpoint without an override, and
+// writes its address into the declaration.
 func (c *Cluster) startEndpoints() error {
 	c.Engines = make(map[string]*fake.Engine)
 	c.Services = make(map[string]*fake.Service)
 	fl := settings.NewSnapshot(1, c.Declaration).Fleet
-	held := initial(fl)
+	held := initialHoldings(fl)
 	zones := make(map[string]bool)
 	for i, e := range fl.Endpoints {
 		if a := c.AddressOverrides[e.Name]; a != "" {
@@ -180,7 +182,8 @@
 	return nil
 }
 
-// newEngine makes a stand-in engine; engines are of three unlike speeds.
+// newEngine returns a fake engine for the i-th endpoint. Engines cycle through three
+// speeds: their steps take 1, 1.5 or 2 times StepTime.
 func (c *Cluster) newEngine(i int, e settings.Endpoint) *fake.Engine {
 	step := c.StepTime
 	if step == 0 {
@@ -195,24 +198,24 @@
 	}
 }
 
-// initial spreads the declared placements over the engines of each zone, as if
-// a placer had run before.
-func initial(fl *settings.Fleet) map[string]endpoint.Holding {
+// initialHoldings assigns the declared placements to the engines of each zone, as a
+// placer would. The result is keyed by the engine's name.
+func initialHoldings(fl *settings.Fleet) map[string]endpoint.Holding {
 	held := make(map[string]endpoint.Holding)
 	for _, p := range fl.Placements {
-		left := make(map[string]int)
+		assigned := make(map[string]int)
 		for _, e := range fl.Endpoints {
-			if _, used := held[e.Name]; used || !e.Engine || (p.Zone != "" && p.Zone != e.Zone) || left[e.Zone] >= p.Replicas {
+			if _, used := held[e.Name]; used || !e.Engine || (p.Zone != "" && p.Zone != e.Zone) || assigned[e.Zone] >= p.Replicas {
 				continue
 			}
-			left[e.Zone]++
+			assigned[e.Zone]++
 			held[e.Name] = endpoint.Holding{Model: p.Model, Version: p.Version, Adapters: p.Adapters}
 		}
 	}
 	return held
 }
 
-// setAddress replaces the address of an endpoint in the declaration.
+// setAddress sets the address of an endpoint in the declaration.
 func (c *Cluster) setAddress(name, address string) {
 	for i, e := range c.Declaration {
 		if e.Node == "endpoints/"+name && e.Key == settings.KeyAddress {
@@ -221,51 +224,51 @@
 	}
 }
 
-// declare puts the declaration in force.
-func (c *Cluster) declare() error {
-	st := revision.Store{KV: c.Platform.KV}
+// applyDeclaration stores the declaration as the first revision of the settings.
+func (c *Cluster) applyDeclaration() error {
+	store := revision.Store{KV: c.Platform.KV}
 	edits := settings.Diff(nil, c.Declaration)
-	_, err := st.Apply(c.ctx, revision.Change{ID: "first", Author: "hkdev", AtMS: time.Now().UnixMilli()}, edits)
+	_, err := store.Apply(c.ctx, revision.Change{ID: "first", Author: "hkdev", AtMS: time.Now().UnixMilli()}, edits)
 	return err
 }
 
-// AddHost starts another host at an address.
+// AddHost starts another host that listens at an address; port 0 selects a free port.
 func (c *Cluster) AddHost(address string) (*Host, error) {
-	i := c.started
-	c.started++
+	i := c.hostsStarted
+	c.hostsStarted++
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	zone := c.Zones[i%len(c.Zones)]
-	pc := &keyval.Client{Base: "http://" + c.PlatformAddress}
+	kv := &keyval.Client{Base: "http://" + c.PlatformAddress}
 	r := &router.Router{
 		Self: fleet.Host{
 			Name: fmt.Sprintf("host-%d", i+1), Incarnation: once.NewIncarnation(),
 			Address: l.Addr().String(), Zone: zone,
 		},
-		KV: pc, List: pc, Log: c.Log.WithValues("host", i+1),
+		KV: kv, List: kv, Log: c.Log.WithValues("host", i+1),
 	}
 	if c.ConfigureRouter != nil {
 		c.ConfigureRouter(r)
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := &Host{Router: r, Address: l.Addr().String(), cancel: cancel}
-	n.server = &Server{Address: n.Address, http: &http.Server{Handler: r.Handler()}}
-	c.Platform.Hosts.Put(keyval.ListEntry{Name: r.Self.Name, Address: n.Address, Zone: zone})
-	go func() { _ = n.server.http.Serve(l) }()
+	h := &Host{Router: r, Address: l.Addr().String(), cancel: cancel}
+	h.server = &Server{Address: h.Address, http: &http.Server{Handler: r.Handler()}}
+	c.Platform.Hosts.Put(keyval.ListEntry{Name: r.Self.Name, Address: h.Address, Zone: zone})
+	go func() { _ = h.server.http.Serve(l) }()
 	go r.Run(ctx)
 	if c.RunPlacers {
-		go c.placer(r, pc).Run(ctx)
+		go c.newPlacer(r, kv).Run(ctx)
 	}
-	c.StartedHosts = append(c.StartedHosts, n)
-	return n, nil
+	c.StartedHosts = append(c.StartedHosts, h)
+	return h, nil
 }
 
-// placer makes the placer beside a host.
-func (c *Cluster) placer(r *router.Router, pc *keyval.Client) *placer.Manager {
+// newPlacer returns the placer of a host.
+func (c *Cluster) newPlacer(r *router.Router, kv *keyval.Client) *placer.Manager {
 	return &placer.Manager{
-		Name: r.Self.Name + "/" + r.Self.Incarnation.String(), KV: pc, Weights: pc,
+		Name: r.Self.Name + "/" + r.Self.Incarnation.String(), KV: kv, Weights: kv,
 		Settings: r.Snapshot, Candidate: r.PlacerCandidate, Log: r.Log,
 		Engine: func(e settings.Endpoint) endpoint.Engine {
 			return &endpoint.Client{Base: "http://" + e.Address}
@@ -273,29 +276,31 @@
 	}
 }
 
-// Kill ends a host at once, with all its connections.
-func (n *Host) Kill() {
-	n.cancel()
-	n.server.Kill()
+// Kill ends a host immediately and closes all its connections. The host stays in the
+// platform's list.
+func (h *Host) Kill() {
+	h.cancel()
+	h.server.Kill()
 }
 
-// WaitReady waits until every host is ready and knows all others.
+// WaitReady waits until every host is ready, sees all hosts live and has reports of its
+// endpoints.
 func (c *Cluster) WaitReady(ctx context.Context) error {
-	for _, n := range c.StartedHosts {
+	for _, h := range c.StartedHosts {
 		for {
-			st := n.Router.Status()
+			status := h.Router.Status()
 			live := 0
-			for _, h := range st.Hosts {
-				if h.Live() {
+			for _, peer := range status.Hosts {
+				if peer.Live() {
 					live++
 				}
 			}
-			if st.Ready && live >= len(c.StartedHosts) && n.Router.SeesEndpoints() {
+			if status.Ready && live >= len(c.StartedHosts) && h.Router.SeesEndpoints() {
 				break
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("host %s not ready: %s, %d of %d hosts live", n.Address, st.WhyNot, live, len(c.StartedHosts))
+				return fmt.Errorf("host %s is not ready: %s; it sees %d of %d hosts live", h.Address, status.WhyNot, live, len(c.StartedHosts))
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
@@ -303,11 +308,11 @@
 	return nil
 }
 
-// Addresses returns the addresses of all hosts.
+// Addresses returns the addresses of StartedHosts.
 func (c *Cluster) Addresses() []string {
 	var out []string
-	for _, n := range c.StartedHosts {
-		out = append(out, n.Address)
+	for _, h := range c.StartedHosts {
+		out = append(out, h.Address)
 	}
 	return out
 }
--- a/internal/dev/doc.go
+++ b/internal/dev/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package dev runs a whole small fleet in one process on loopback: stand-ins of
-// the platform and of every declared endpoint, and several hosts. It serves
-// hkdev and the tests.
+// Package dev runs a small but complete fleet in one process on loopback: fakes of
+// the platform and of every declared endpoint, and several hosts. hkdev and tests
+// use it.
 package dev
--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -43,8 +43,8 @@
       write: {set: {tier: normal, models: [m], deadline: 60s}}
 `
 
-// fleet is a cluster under load with its counts.
-type fleet struct {
+// loadedCluster is a cluster under the load of callers, with counts of the calls' outcomes.
+type loadedCluster struct {
 	*dev.Cluster
 	t        *testing.T
 	stop     atomic.Bool
@@ -53,34 +53,34 @@
 	notRun   atomic.Int64
 	unknown  atomic.Int64
 	other    atomic.Int64
-	ids      sync.Map // name of a call to its outcome
-	quiet    bool     // do not log each lost call
+	outcomes sync.Map // outcome of each call, by its name
+	quiet    bool     // do not log lost calls
 	mu       sync.Mutex
 }
 
-// seeds are the addresses of the hosts that run now.
-func (f *fleet) seeds() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.Addresses()
+// hostAddresses returns the addresses of the hosts that replaceHost has not removed.
+func (c *loadedCluster) hostAddresses() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.Addresses()
 }
 
-// replace kills a host and starts another.
-func (f *fleet) replace(i int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.StartedHosts[i].Kill()
-	f.StartedHosts = append(f.StartedHosts[:i], f.StartedHosts[i+1:]...)
-	if _, err := f.AddHost("127.0.0.1:0"); err != nil {
-		f.t.Error(err)
+// replaceHost kills the i-th host and starts a new one.
+func (c *loadedCluster) replaceHost(i int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.StartedHosts[i].Kill()
+	c.StartedHosts = append(c.StartedHosts[:i], c.StartedHosts[i+1:]...)
+	if _, err := c.AddHost("127.0.0.1:0"); err != nil {
+		c.t.Error(err)
 	}
 }
 
-// start starts three hosts.
-func start(t *testing.T, place bool) *fleet {
+// startCluster starts three hosts in three zones and waits until they are ready.
+func startCluster(t *testing.T, place bool) *loadedCluster {
 	p := settings.Parse([]settings.File{{Name: "t.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
-	f := &fleet{t: t, Cluster: &dev.Cluster{
+	c := &loadedCluster{t: t, Cluster: &dev.Cluster{
 		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, RunPlacers: place,
 		ConfigureRouter: func(r *router.Router) {
 			r.ReportEvery, r.ReportRate = 50*time.Millisecond, 1000
@@ -88,78 +88,79 @@
 			r.MaxAge = 300 * time.Millisecond
 		},
 	}}
-	must.NoError(t, f.Start())
-	t.Cleanup(f.Stop)
-	f.ready()
-	return f
+	must.NoError(t, c.Start())
+	t.Cleanup(c.Stop)
+	c.waitReady()
+	return c
 }
 
-// ready waits until all hosts are.
-func (f *fleet) ready() {
+// waitReady waits until all hosts are ready, for at most 20 s.
+func (c *loadedCluster) waitReady() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	must.NoError(f.t, f.WaitReady(ctx))
+	must.NoError(c.t, c.WaitReady(ctx))
 }
 
-// load starts callers that send until halt; call is one request and its result.
-func (f *fleet) load(callers int, call func(cl *client.Client, name string) error) {
+// startLoad starts callers that repeat call until stopLoad; call sends the requests of one
+// name and returns their result.
+func (c *loadedCluster) startLoad(callers int, call func(cl *client.Client, name string) error) {
 	for i := range callers {
-		f.wg.Add(1)
+		c.wg.Add(1)
 		go func() {
-			defer f.wg.Done()
-			cl := &client.Client{Seeds: f.Addresses(), Workspace: "w"}
-			for n := 0; !f.stop.Load(); n++ {
-				cl.Seeds = f.seeds()
+			defer c.wg.Done()
+			cl := &client.Client{Seeds: c.Addresses(), Workspace: "w"}
+			for n := 0; !c.stop.Load(); n++ {
+				cl.Seeds = c.hostAddresses()
 				name := fmt.Sprintf("c%d-%d", i, n)
-				f.count(name, call(cl, name))
+				c.recordOutcome(name, call(cl, name))
 			}
 		}()
 	}
 }
 
-// count notes one outcome.
-func (f *fleet) count(name string, err error) {
+// recordOutcome counts and stores the outcome of a call.
+func (c *loadedCluster) recordOutcome(name string, err error) {
 	out := problem.Answered
 	var p *problem.Problem
 	switch {
 	case err == nil:
-		f.answered.Add(1)
+		c.answered.Add(1)
 	case errors.As(err, &p) && p.Outcome == problem.NotRun:
 		out = problem.NotRun
-		f.notRun.Add(1)
+		c.notRun.Add(1)
 	case errors.As(err, &p):
 		out = problem.Unknown
-		f.unknown.Add(1)
-		f.say(name, err)
+		c.unknown.Add(1)
+		c.logLostCall(name, err)
 	default:
 		out = problem.Unknown
-		f.other.Add(1)
-		f.say(name, err)
+		c.other.Add(1)
+		c.logLostCall(name, err)
 	}
-	f.ids.Store(name, out)
+	c.outcomes.Store(name, out)
 }
 
-// say logs a lost call.
-func (f *fleet) say(name string, err error) {
-	if !f.quiet {
-		f.t.Logf("%s: %v", name, err)
+// logLostCall logs a call with an unknown outcome unless quiet is set.
+func (c *loadedCluster) logLostCall(name string, err error) {
+	if !c.quiet {
+		c.t.Logf("%s: %v", name, err)
 	}
 }
 
-// halt ends the callers.
-func (f *fleet) halt() {
-	f.stop.Store(true)
-	f.wg.Wait()
-	f.t.Logf("answered %d, not run %d, unknown %d, other %d", f.answered.Load(), f.notRun.Load(), f.unknown.Load(), f.other.Load())
+// stopLoad stops the callers, waits for them and logs the counts.
+func (c *loadedCluster) stopLoad() {
+	c.stop.Store(true)
+	c.wg.Wait()
+	c.t.Logf("answered %d, not run %d, unknown %d, other %d", c.answered.Load(), c.notRun.Load(), c.unknown.Load(), c.other.Load())
 }
 
-// write sends a request to an engine.
-func write(cl *client.Client, name string) error {
+// complete sends a completion request to an engine.
+func complete(cl *client.Client, name string) error {
 	_, err := cl.Complete(context.Background(), client.Completion{Service: "write", Model: "m", Prompt: name, MaxTokens: 30})
 	return err
 }
 
-// push makes a call that may not be repeated.
+// push sends a call that may not be repeated, with owner and witness.
 func push(cl *client.Client, name string) error {
 	_, err := cl.Do(context.Background(), client.Call{
 		Service: "push", Method: http.MethodPost, Path: "/", Header: http.Header{fake.HeaderCall: {name}}, NoRepeat: true,
@@ -167,87 +168,95 @@
 	return err
 }
 
-// both sends one of each.
-func both(cl *client.Client, name string) error {
-	if err := write(cl, name); err != nil {
+// completeAndPush sends a completion request and a call that may not be repeated.
+func completeAndPush(cl *client.Client, name string) error {
+	if err := complete(cl, name); err != nil {
 		return err
 	}
 	return push(cl, name)
 }
 
-// checkRuns holds the promises of calls that may not be repeated.
-func (f *fleet) checkRuns() {
-	most, _ := f.Services["s1"].Most()
-	must.LessEq(f.t, 1, most)
-	f.ids.Range(func(name, out any) bool {
-		runs := f.Services["s1"].Runs(name.(string))
+// checkRunCounts checks that no call that may not be repeated ran more than once, that calls
+// with outcome NotRun did not run and answered ones ran once, and that no completion ran more
+// than once.
+func (c *loadedCluster) checkRunCounts() {
+	maxRuns, _ := c.Services["s1"].Most()
+	must.LessEq(c.t, 1, maxRuns)
+	c.outcomes.Range(func(name, out any) bool {
+		runs := c.Services["s1"].Runs(name.(string))
 		if out == problem.NotRun {
-			must.Zero(f.t, runs, must.Sprint(name))
+			must.Zero(c.t, runs, must.Sprint(name))
 		}
 		if out == problem.Answered {
-			must.Eq(f.t, 1, runs, must.Sprint(name))
+			must.Eq(c.t, 1, runs, must.Sprint(name))
 		}
 		return true
 	})
-	for name, e := range f.Engines {
+	for name, e := range c.Engines {
 		_, n := e.TotalRuns()
-		must.LessEq(f.t, 1, n, must.Sprint(name))
+		must.LessEq(c.t, 1, n, must.Sprint(name))
 	}
 }
 
+// TestPlacementMovesWithoutLoss checks that no request is lost while a placement changes the
+// version of all its engines under load.
 func TestPlacementMovesWithoutLoss(t *testing.T) {
-	f := start(t, true)
-	f.load(4, write)
-	st := revision.Store{KV: f.Platform.KV}
+	c := startCluster(t, true)
+	c.startLoad(4, complete)
+	st := revision.Store{KV: c.Platform.KV}
 	_, err := st.Apply(context.Background(), revision.Change{ID: "v2"},
 		[]settings.Edit{{Node: "placements/m", Key: settings.KeyVersion, Old: "1", New: "2"}})
 	must.NoError(t, err)
-	f.until("all engines hold version 2", func() bool {
-		for _, e := range f.Engines {
+	c.eventually("all engines hold version 2", func() bool {
+		for _, e := range c.Engines {
 			if h := e.Held(); h == nil || h.Version != "2" {
 				return false
 			}
 		}
 		return true
 	})
-	f.halt()
-	must.Zero(t, f.notRun.Load()+f.unknown.Load()+f.other.Load())
-	must.Positive(t, f.answered.Load())
+	c.stopLoad()
+	must.Zero(t, c.notRun.Load()+c.unknown.Load()+c.other.Load())
+	must.Positive(t, c.answered.Load())
 }
 
-// until waits until ok holds.
-func (f *fleet) until(what string, ok func() bool) {
-	f.t.Helper()
+// eventually polls ok until it returns true; it fails the test after about 60 s.
+func (c *loadedCluster) eventually(what string, ok func() bool) {
+	c.t.Helper()
 	for range 6000 {
 		if ok() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatalf("never: %s", what)
+	c.t.Fatalf("condition did not hold within 60 s: %s", what)
 }
 
-func TestRollingRestartCutsNothing(t *testing.T) {
-	f := start(t, false)
-	f.load(6, both)
+// TestRollingRestartLosesNoCalls checks that every call is answered while all three hosts are
+// drained and replaced one after the other.
+func TestRollingRestartLosesNoCalls(t *testing.T) {
+	c := startCluster(t, false)
+	c.startLoad(6, completeAndPush)
 	for range 3 {
-		old := f.StartedHosts[0]
+		old := c.StartedHosts[0]
 		must.NoError(t, old.Router.Drain(context.Background()))
-		f.replace(0)
-		f.ready()
+		c.replaceHost(0)
+		c.waitReady()
 	}
-	f.halt()
-	must.Zero(t, f.unknown.Load()+f.other.Load()+f.notRun.Load())
-	f.checkRuns()
+	c.stopLoad()
+	must.Zero(t, c.unknown.Load()+c.other.Load()+c.notRun.Load())
+	c.checkRunCounts()
 }
 
+// TestKillOfOneHostUnderLoad checks that calls go on after one of three hosts is killed, and
+// that the kill makes no call run twice.
 func TestKillOfOneHostUnderLoad(t *testing.T) {
-	f := start(t, false)
-	f.load(8, both)
-	f.until("load runs", func() bool { return f.answered.Load() > 200 })
-	f.StartedHosts[1].Kill()
-	before := f.answered.Load()
-	f.until("load goes on", func() bool { return f.answered.Load() > before+400 })
-	f.halt()
-	f.checkRuns()
+	c := startCluster(t, false)
+	c.startLoad(8, completeAndPush)
+	c.eventually("load runs", func() bool { return c.answered.Load() > 200 })
+	c.StartedHosts[1].Kill()
+	before := c.answered.Load()
+	c.eventually("load goes on", func() bool { return c.answered.Load() > before+400 })
+	c.stopLoad()
+	c.checkRunCounts()
 }
--- a/internal/dev/outcomes_test.go
+++ b/internal/dev/outcomes_test.go
@@ -22,32 +22,33 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// callsEnv sets the number of calls for the page of measurements.
-const callsEnv = "HEATHKEEL_TEST_CALLS"
+// envCalls is the environment variable that sets the number of calls of each method.
+const envCalls = "HEATHKEEL_TEST_CALLS"
 
-// callCount is the number of calls of each way.
+// callCount returns the number of calls of each method, 800 by default.
 func callCount() int64 {
-	if n, err := strconv.ParseInt(os.Getenv(callsEnv), 10, 64); err == nil {
+	if n, err := strconv.ParseInt(os.Getenv(envCalls), 10, 64); err == nil {
 		return n
 	}
 	return 800
 }
 
-// pushAlone makes a call that only its owner guards.
-func pushAlone(cl *client.Client, name string) error {
+// pushWithoutWitness sends a call that may not be repeated, with an owner but no witness.
+func pushWithoutWitness(cl *client.Client, name string) error {
 	_, err := cl.Do(context.Background(), client.Call{
 		Service: "push-alone", Method: http.MethodPost, Path: "/", Header: http.Header{fake.HeaderCall: {name}}, NoRepeat: true, NoWitness: true,
 	})
 	return err
 }
 
-// plainTries is how often the plain way tries.
-const plainTries = 4
+// maxPlainAttempts bounds the attempts of one call of plainRetry.
+const maxPlainAttempts = 4
 
-// plainRetry calls hosts in turn, without an ID, until one answers.
+// plainRetry sends a call without an ID to a random host, and repeats it at another random
+// one until a host answers.
 func plainRetry(cl *client.Client, name string) error {
 	hc := &http.Client{Timeout: 5 * time.Second}
-	for range plainTries {
+	for range maxPlainAttempts {
 		list, err := cl.Addresses(context.Background())
 		if err != nil {
 			continue
@@ -66,11 +67,12 @@
 			return nil
 		}
 	}
-	return problem.Lost(problem.OwnerLost, "", "", "no answer after %d tries", plainTries)
+	return problem.Lost(problem.OwnerLost, "", "", "no answer after %d tries", maxPlainAttempts)
 }
 
-// trouble kills and replaces hosts and loses answers of the service until stop.
-func (f *fleet) trouble(stop <-chan struct{}) {
+// injectFaults replaces a random host and makes the service lose one answer, every 600 ms
+// until stop is closed.
+func (c *loadedCluster) injectFaults(stop <-chan struct{}) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for {
 		select {
@@ -78,57 +80,58 @@
 			return
 		case <-time.After(600 * time.Millisecond):
 		}
-		f.Services["s1"].SetFaults(fake.ServiceFaults{LoseAnswer: 1, Delay: 2 * time.Millisecond})
-		f.replace(rnd.IntN(len(f.StartedHosts)))
+		c.Services["s1"].SetFaults(fake.ServiceFaults{LoseAnswer: 1, Delay: 2 * time.Millisecond})
+		c.replaceHost(rnd.IntN(len(c.StartedHosts)))
 	}
 }
 
-// TestOutcomesUnderKills compares three ways of making a call that may not be
-// repeated while a host of three is killed and replaced every 0.6 s.
+// TestOutcomesUnderKills compares three methods of sending a call that may not be
+// repeated while one of three hosts is killed and replaced every 0.6 s. With an owner, no
+// call may run twice and no call that ran may be reported as not run.
 func TestOutcomesUnderKills(t *testing.T) {
-	ways := []struct {
+	methods := []struct {
 		name string
-		once bool // the way promises at most one run
+		once bool // the method guarantees at most one run
 		call func(*client.Client, string) error
 	}{
 		{"owner and witness", true, push},
-		{"owner only", true, pushAlone},
+		{"owner only", true, pushWithoutWitness},
 		{"plain retry", false, plainRetry},
 	}
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
-			f := start(t, false)
-			stop, done := make(chan struct{}), make(chan struct{})
-			f.quiet = true
-			f.load(8, way.call)
+	for _, method := range methods {
+		t.Run(method.name, func(t *testing.T) {
+			c := startCluster(t, false)
+			stopFaults, faultsDone := make(chan struct{}), make(chan struct{})
+			c.quiet = true
+			c.startLoad(8, method.call)
 			go func() {
-				defer close(done)
-				f.trouble(stop)
+				defer close(faultsDone)
+				c.injectFaults(stopFaults)
 			}()
-			for f.answered.Load()+f.notRun.Load()+f.unknown.Load()+f.other.Load() < callCount() {
+			for c.answered.Load()+c.notRun.Load()+c.unknown.Load()+c.other.Load() < callCount() {
 				time.Sleep(10 * time.Millisecond)
 			}
-			close(stop)
-			<-done
-			f.halt()
-			twice, falseNotRun, ranUnknown := 0, 0, 0
-			f.ids.Range(func(name, out any) bool {
-				n := f.Services["s1"].Runs(name.(string))
+			close(stopFaults)
+			<-faultsDone
+			c.stopLoad()
+			ranTwice, falseNotRun, unknownRan := 0, 0, 0
+			c.outcomes.Range(func(name, out any) bool {
+				n := c.Services["s1"].Runs(name.(string))
 				if n > 1 {
-					twice++
+					ranTwice++
 				}
 				if out == problem.NotRun && n > 0 {
 					falseNotRun++
 				}
 				if out == problem.Unknown && n > 0 {
-					ranUnknown++
+					unknownRan++
 				}
 				return true
 			})
 			t.Logf("calls: %s: answered %d, not run %d, unknown %d (of which run %d); run more than once %d, false \"not run\" %d",
-				way.name, f.answered.Load(), f.notRun.Load(), f.unknown.Load()+f.other.Load(), ranUnknown, twice, falseNotRun)
-			if way.once {
-				must.Zero(t, twice)
+				method.name, c.answered.Load(), c.notRun.Load(), c.unknown.Load()+c.other.Load(), unknownRan, ranTwice, falseNotRun)
+			if method.once {
+				must.Zero(t, ranTwice)
 				must.Zero(t, falseNotRun)
 			}
 		})
