--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -16,47 +16,48 @@
 
 // Exit codes, see docs/OPERATIONS.md.
 const (
-	// ExitFailed tells that the program could not go on.
+	// ExitFailed is the exit code of a program that stopped because of an error.
 	ExitFailed = 1
-	// ExitUsage tells that its settings are wrong.
+	// ExitUsage is the exit code of a program whose settings are invalid.
 	ExitUsage = 2
 )
 
-// Program is a running program.
+// Program is a running program with its log.
 type Program struct {
-	// Log takes its lines.
+	// Log is the program's logger.
 	Log logr.Logger
 
-	lines *logs.Writer
+	writer *logs.Writer
 }
 
-// Start reads the settings of a program into args and opens its log. Settings that cannot be
-// read end the process.
+// Start parses the settings of a program into args and opens its log. If they cannot be
+// parsed, it ends the process.
 func Start(name string, args any) *Program {
 	arg.MustParse(args)
 	p := &Program{}
-	p.Log, p.lines = logs.Open(name, version.Version, os.Stderr)
+	p.Log, p.writer = logs.Open(name, version.Version, os.Stderr)
 	return p
 }
 
-// ExitInvalidSettings ends the process because its settings are wrong. The reason is a line of the log like any
-// other: a host that does not start is looked for there.
+// ExitInvalidSettings ends the process with ExitUsage because its settings are invalid. It logs
+// the reason, because operators look in the log for why a host did not start.
 func (p *Program) ExitInvalidSettings(err error, keysAndValues ...any) {
 	p.Log.Error(err, "not started", keysAndValues...)
-	p.end(ExitUsage)
+	p.flushAndExit(ExitUsage)
 }
 
-// Exit ends the process: with code 0 if err is nil.
+// Exit ends the process with code 0 if err is nil; otherwise it logs err and exits with
+// ExitFailed.
 func (p *Program) Exit(err error) {
 	if err != nil {
 		p.Log.Error(err, "stopped")
-		p.end(ExitFailed)
+		p.flushAndExit(ExitFailed)
 	}
-	p.end(0)
+	p.flushAndExit(0)
 }
 
-// end writes what is left of the log and ends the process.
-func (p *Program) end(code int) {
-	_ = p.lines.Sync() // there is nowhere to tell of it
+// flushAndExit flushes the log and ends the process.
+func (p *Program) flushAndExit(code int) {
+	_ = p.writer.Sync() // an error cannot be reported without the log
 	os.Exit(code)
 }
