--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -2,6 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package logs makes the structured logs of all programs: JSON lines on
-// standard error, written only for changes of state.
+// Package logs provides the structured logs of all programs: JSON lines on standard
+// error. Programs log changes of state only.
 package logs
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -14,19 +14,19 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes JSON lines of a program to standard error, and
-// never waits for it.
+// New returns a logger that writes a program's JSON lines to standard error without
+// blocking the caller.
 func New(program, version string) logr.Logger {
 	log, _ := Open(program, version, os.Stderr)
 	return log
 }
 
-// Open returns a logger that writes JSON lines of a program to out, and its writer,
-// whose Sync is to be called before the program ends.
+// Open returns a logger that writes a program's JSON lines to out, and its writer. Call
+// the writer's Sync before the program ends.
 func Open(program, version string, out io.Writer) (logr.Logger, *Writer) {
-	w := &Writer{Out: out}
-	w.Init()
-	go w.Run()
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), w, zap.InfoLevel)
-	return zapr.NewLogger(zap.New(core)).WithValues("program", program, "version", version), w
+	writer := &Writer{Out: out}
+	writer.Init()
+	go writer.Run()
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), writer, zap.InfoLevel)
+	return zapr.NewLogger(zap.New(core)).WithValues("program", program, "version", version), writer
 }
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -12,52 +12,54 @@
 	"time"
 )
 
-// mostLines is the number of lines that wait to be written.
-const mostLines = 1024
+// maxQueuedLines is the capacity of a Writer's queue.
+const maxQueuedLines = 1024
 
-// Writer passes lines on without ever waiting: while Out takes nothing, lines beyond a
-// bound are dropped, counted and told once Out takes lines again. The exported field
-// must be set before Run.
+// Writer is a non-blocking writer of log lines. Run writes queued lines to Out. While Out
+// blocks and the queue is full, Write drops lines and counts them; once Out accepts lines
+// again, Run writes a line with the count. Set Out and call Init before Run.
 type Writer struct {
-	// Out is where lines go.
+	// Out is the destination of the lines.
 	Out io.Writer
 
-	lines   chan []byte
-	dropped atomic.Int64
-	waiting atomic.Int64
+	queue     chan []byte
+	dropped   atomic.Int64
+	unwritten atomic.Int64
 }
 
-// Init makes the writer ready; call it before the first Write.
-func (w *Writer) Init() { w.lines = make(chan []byte, mostLines) }
+// Init creates the queue; call it before the first Write.
+func (w *Writer) Init() { w.queue = make(chan []byte, maxQueuedLines) }
 
-// Write takes a line.
+// Write queues a copy of one line, or drops the line if the queue is full. It never blocks
+// and never returns an error.
 func (w *Writer) Write(p []byte) (int, error) {
-	w.waiting.Add(1)
+	w.unwritten.Add(1)
 	select {
-	case w.lines <- bytes.Clone(p):
+	case w.queue <- bytes.Clone(p):
 	default:
-		w.waiting.Add(-1)
+		w.unwritten.Add(-1)
 		w.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// Run writes lines for as long as the process lives.
+// Run writes queued lines to Out. It does not return.
 func (w *Writer) Run() {
-	for line := range w.lines {
-		// Nobody can be told of a log that is gone.
+	for line := range w.queue {
+		// An error of the log's destination cannot be logged.
 		_, _ = w.Out.Write(line)
-		w.waiting.Add(-1)
+		w.unwritten.Add(-1)
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(w.Out, "{\"level\":\"info\",\"msg\":\"log lines dropped\",\"count\":%d}\n", n)
 		}
 	}
 }
 
-// Sync waits a short while for the lines taken so far; zap calls it before a process ends.
+// Sync waits until all queued lines are written, but at most 0.5 s. It implements
+// zapcore.WriteSyncer.
 func (w *Writer) Sync() error {
 	for range 50 {
-		if w.waiting.Load() == 0 {
+		if w.unwritten.Load() == 0 {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -15,9 +15,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNobodyReads writes far more than a pipe holds while nobody reads it: no write may
-// wait (the test would not end), and the reader that comes later is told what was dropped.
-func TestNobodyReads(t *testing.T) {
+// TestBlockedReader writes far more than a pipe holds while nobody reads from it. Writes must
+// not block (the test would not end), and a later reader must get the count of dropped lines.
+func TestBlockedReader(t *testing.T) {
 	r, out, err := os.Pipe()
 	must.NoError(t, err)
 	w := &Writer{Out: out}
@@ -44,8 +44,8 @@
 	must.Greater(t, 0, dropped)
 }
 
-// TestClosed checks that a log that nobody will ever read stops nothing.
-func TestClosed(t *testing.T) {
+// TestClosedReader checks that Write and Sync return although the log is closed at both ends.
+func TestClosedReader(t *testing.T) {
 	r, out, err := os.Pipe()
 	must.NoError(t, err)
 	must.NoError(t, r.Close())
@@ -56,5 +56,5 @@
 	_, err = io.WriteString(w, "line\n")
 	must.NoError(t, err)
 	must.NoError(t, w.Sync())
-	must.EqOp(t, 0, w.waiting.Load())
+	must.EqOp(t, 0, w.unwritten.Load())
 }
