--- a/internal/jsoncall/doc.go
+++ b/internal/jsoncall/doc.go
@@ -2,6 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package jsoncall makes HTTP requests whose bodies are JSON, as all calls between heathkeel's
-// programs and to the platform are. What an answer means is its callers' to say.
+// Package jsoncall builds HTTP requests with JSON bodies, the form of all calls between
+// heathkeel's programs and to the platform. Its callers interpret the answers.
 package jsoncall
--- a/internal/jsoncall/request.go
+++ b/internal/jsoncall/request.go
@@ -12,7 +12,8 @@
 	"net/http"
 )
 
-// NewRequest returns a request with in as its body, or without a body if in is nil.
+// NewRequest returns a request with the JSON encoding of in as its body, or without a body if
+// in is nil.
 func NewRequest(ctx context.Context, method, url string, in any) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
--- a/internal/jsoncall/request_test.go
+++ b/internal/jsoncall/request_test.go
@@ -19,10 +19,10 @@
 		body, kind string
 		fails      bool
 	}{
-		{"nothing", nil, "", "", false},
+		{"no body", nil, "", "", false},
 		{"a struct", struct{ A int }{7}, `{"A":7}`, "application/json", false},
 		{"an empty list", []int{}, `[]`, "application/json", false},
-		{"no JSON", make(chan int), "", "", true},
+		{"not encodable as JSON", make(chan int), "", "", true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
