--- a/internal/version/doc.go
+++ b/internal/version/doc.go
@@ -2,5 +2,5 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package version holds the version that all programs show.
+// Package version defines the version that all programs print.
 package version
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -4,5 +4,5 @@
 
 package version
 
-// Version is the version of all programs, set at the release.
+// Version is the version of all programs; each release sets it.
 const Version = "0.1.0-dev"
