--- a/examples/doc.go
+++ b/examples/doc.go
@@ -2,5 +2,6 @@
 // Use of this source code is governed by a BSD-style
 // license that can be found in the LICENSE file.
 
-// Package examples embeds the example declarations of the two users.
+// Package examples embeds example declarations: those of Fjordkanal Felles and of
+// Litoral Collections.
 package examples
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -13,13 +13,13 @@
 var files embed.FS
 
 // Fjordkanal returns the declaration of Fjordkanal Felles.
-func Fjordkanal() fs.FS { return sub("fjordkanal") }
+func Fjordkanal() fs.FS { return subdirectory("fjordkanal") }
 
 // Litoral returns the declaration of Litoral Collections.
-func Litoral() fs.FS { return sub("litoral") }
+func Litoral() fs.FS { return subdirectory("litoral") }
 
-// sub returns a directory that is known to be embedded.
-func sub(name string) fs.FS {
+// subdirectory returns the embedded directory name. It panics if name is not a valid path.
+func subdirectory(name string) fs.FS {
 	dir, err := fs.Sub(files, name)
 	if err != nil {
 		panic(err)
