--- a/cmd/hkbench/bound.go
+++ b/cmd/hkbench/bound.go
@@ -58,7 +58,8 @@
 
 // printTables prints the earned part of the requests' worth and its two upper bounds, with
 // the callers' guesses of the lengths and with the lengths known: for all requests, by route
-// and by time window of their arrival.
+// and by time window of their arrival. The bounds of a route or window assume that all other
+// requests give way.
 func (a *boundArgs) printTables(w io.Writer, d *bound.Day) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	guessed := d.Guessed()
