--- a/internal/dev/moves_test.go
+++ b/internal/dev/moves_test.go
@@ -77,11 +77,11 @@
 }
 
 // startCluster starts three hosts in three zones and waits until they are ready.
-func startCluster(t *testing.T, place bool) *loadedCluster {
+func startCluster(t *testing.T, runPlacers bool) *loadedCluster {
 	p := settings.Parse([]settings.File{{Name: "t.yaml", Data: []byte(declaration)}})
 	must.Len(t, 0, p.Faults, must.Sprint(p.Faults))
 	c := &loadedCluster{t: t, Cluster: &dev.Cluster{
-		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, RunPlacers: place,
+		Declaration: p.Declaration, Hosts: 3, Zones: []string{"z1", "z2", "z3"}, StepTime: time.Millisecond, RunPlacers: runPlacers,
 		ConfigureRouter: func(r *router.Router) {
 			r.ReportEvery, r.ReportRate = 50*time.Millisecond, 1000
 			r.Heartbeat, r.WitnessTimeout = 200*time.Millisecond, 3*time.Second
@@ -120,24 +120,24 @@
 
 // recordOutcome counts and stores the outcome of a call.
 func (c *loadedCluster) recordOutcome(name string, err error) {
-	out := problem.Answered
+	outcome := problem.Answered
 	var p *problem.Problem
 	switch {
 	case err == nil:
 		c.answered.Add(1)
 	case errors.As(err, &p) && p.Outcome == problem.NotRun:
-		out = problem.NotRun
+		outcome = problem.NotRun
 		c.notRun.Add(1)
 	case errors.As(err, &p):
-		out = problem.Unknown
+		outcome = problem.Unknown
 		c.unknown.Add(1)
 		c.logLostCall(name, err)
 	default:
-		out = problem.Unknown
+		outcome = problem.Unknown
 		c.other.Add(1)
 		c.logLostCall(name, err)
 	}
-	c.outcomes.Store(name, out)
+	c.outcomes.Store(name, outcome)
 }
 
 // logLostCall logs a call with an unknown outcome unless quiet is set.
