--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -15,7 +15,7 @@
 
 // The policies compared.
 const (
-	Keel       = "heathkeel"
+	Heathkeel  = "heathkeel"
 	RoundRobin = "round robin"
 	LeastLoad  = "least load"
 	RandomTwo  = "random of two"
@@ -31,10 +31,10 @@
 	// Hosts is the number of hosts.
 	Hosts int
 	// Load is the offered work over the engines' capacity, and Lag the age of reports.
-	Load float64
-	Lag  time.Duration
-	// Length is the time over which requests arrive.
-	Length time.Duration
+	Load      float64
+	ReportLag time.Duration
+	// ArrivalDuration is the time over which requests arrive.
+	ArrivalDuration time.Duration
 	// Seed seeds all chance.
 	Seed uint64
 	// Case changes the course of the trial.
@@ -94,7 +94,7 @@
 		t.byName[e.name] = e
 	}
 	for i := range spec.Hosts {
-		if spec.Policy == Keel {
+		if spec.Policy == Heathkeel {
 			t.hosts = append(t.hosts, newKeel(t, spec.Sched, spec.Seed*100+uint64(i)))
 		} else {
 			t.hosts = append(t.hosts, newPlain(t, spec.Policy, spec.Seed*100+uint64(i)))
@@ -103,10 +103,10 @@
 	t.res.init(spec)
 	t.startSources()
 	t.startLoops()
-	if spec.Case.Start != nil {
-		spec.Case.Start(t)
+	if spec.Case.Schedule != nil {
+		spec.Case.Schedule(t)
 	}
-	t.run(spec.Length + drainTime)
+	t.run(spec.ArrivalDuration + drainTime)
 	t.finish()
 	return &t.res
 }
@@ -133,7 +133,7 @@
 		return
 	}
 	for _, e := range t.engines {
-		rep, ok := e.lagged(t.spec.Lag)
+		rep, ok := e.lagged(t.spec.ReportLag)
 		if !ok || e.dead || t.stopReports {
 			continue
 		}
@@ -152,7 +152,7 @@
 		for _, ev := range evs {
 			for k, o := range t.hosts {
 				if !t.deadAt[k] {
-					o.cached(e, ev.Block, ev.Gone)
+					o.cached(e, ev.Block, ev.Evicted)
 				}
 			}
 		}
@@ -176,7 +176,7 @@
 		for _, k := range kinds {
 			s := newSource(ws, k, plain, rand.New(rand.NewPCG(t.spec.Seed, uint64(len(t.sources))+50)))
 			t.sources = append(t.sources, s)
-			t.arrive(s, total*ws.Load*k.Share)
+			t.arrive(s, total*ws.Share*k.Share)
 		}
 	}
 }
@@ -184,11 +184,11 @@
 // capacity estimates the requests a second that all engines can serve, from the
 // mean work of a request in steps; lengths are lognormal, so that the mean is
 // the median times exp(spread^2/2), and part of the prompts is cached.
-func (t *Trial) capacity(kinds []Kind) float64 {
+func (t *Trial) capacity(kinds []RequestKind) float64 {
 	work := 0.0
 	for _, k := range kinds {
 		if !k.Plain {
-			work += k.Share * (lognormalMean(k.Output, k.Spread) + lognormalMean(k.Prompt, k.Spread)*(1-k.Again)/prefillMean)
+			work += k.Share * (lognormalMean(k.OutputTokens, k.Sigma) + lognormalMean(k.PromptTokens, k.Sigma)*(1-k.ReuseProbability)/prefillMean)
 		}
 	}
 	perSecond := 0.0
@@ -212,7 +212,7 @@
 	next = func() {
 		gap := time.Duration(s.rnd.ExpFloat64() / most * float64(time.Second))
 		t.after(gap, func() {
-			if t.now > t.spec.Length {
+			if t.now > t.spec.ArrivalDuration {
 				return
 			}
 			if t.now < warmUp {
@@ -285,28 +285,28 @@
 		return
 	}
 	from := t.byName[importFrom]
-	n := from.core.Holds(c.req.Blocks)
+	n := from.core.PeekPrefix(c.req.Blocks)
 	t.after(5*time.Millisecond+time.Duration(n)*100*time.Microsecond, func() {
 		e.core.Import(c.req.Blocks[:n])
-		t.res.Imports++
+		t.res.CacheImports++
 		send()
 	})
 }
 
 // token takes a token that an engine generated.
-func (t *Trial) token(_ *engine, em fake.Emit) {
+func (t *Trial) token(_ *engine, em fake.GeneratedToken) {
 	c := t.calls[em.Job.ID]
 	if c == nil || c.ended {
 		return
 	}
-	if em.Job.Sent == 1 {
+	if em.Job.GeneratedTokens == 1 {
 		c.first = t.now
 		c.host.first(c)
 	}
-	c.host.progress(c, em.Job.Sent)
+	c.host.progress(c, em.Job.GeneratedTokens)
 	if em.Last {
 		t.end(c)
-		c.host.done(c, sched.Completed, em.Job.Sent)
+		c.host.done(c, sched.Completed, em.Job.GeneratedTokens)
 		t.res.answered(t.now, c)
 	}
 }
@@ -334,7 +334,7 @@
 	}
 	t.end(c)
 	t.res.lost(t.now, c)
-	c.host.done(c, sched.Broken, j.Sent)
+	c.host.done(c, sched.Broken, j.GeneratedTokens)
 }
 
 // giveUp is the caller going away at its deadline.
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -16,7 +16,7 @@
 const topGoodput = 0.99
 
 func short(c Case, site, policy string) Spec {
-	return Spec{Site: site, Policy: policy, Hosts: 7, Load: c.Load, Lag: time.Second, Length: 70 * time.Second, Seed: 4, Case: c}
+	return Spec{Site: site, Policy: policy, Hosts: 7, Load: c.Load, ReportLag: time.Second, ArrivalDuration: 70 * time.Second, Seed: 4, Case: c}
 }
 
 func TestTopTierHoldsInEveryCase(t *testing.T) {
@@ -24,11 +24,11 @@
 		for _, c := range Cases {
 			t.Run(site+"/"+c.Name, func(t *testing.T) {
 				t.Parallel()
-				r := Run(short(c, site, Keel))
+				r := Run(short(c, site, Heathkeel))
 				must.GreaterEq(t, topGoodput, r.Tiers[0].Goodput())
 				must.Zero(t, r.Inversions)
 				for _, x := range r.Tiers {
-					must.Eq(t, x.Offered, x.Good+x.Refused+x.Late+x.Lost)
+					must.Eq(t, x.Offered, x.Completed+x.Refused+x.TimedOut+x.Lost)
 				}
 			})
 		}
@@ -36,9 +36,9 @@
 }
 
 func TestSameSeedSameResult(t *testing.T) {
-	a, b := Run(short(Cases[4], "litoral", Keel)), Run(short(Cases[4], "litoral", Keel))
+	a, b := Run(short(Cases[4], "litoral", Heathkeel)), Run(short(Cases[4], "litoral", Heathkeel))
 	for k := range a.Tiers {
-		must.Eq(t, a.Tiers[k].Good, b.Tiers[k].Good)
+		must.Eq(t, a.Tiers[k].Completed, b.Tiers[k].Completed)
 		must.Eq(t, a.Tiers[k].Refused, b.Tiers[k].Refused)
 	}
 	must.Eq(t, a.WastedPrefill(), b.WastedPrefill())
--- a/keyval/http.go
+++ b/keyval/http.go
@@ -56,9 +56,9 @@
 }{
 	{http.StatusNotFound, ErrNotFound},
 	{http.StatusConflict, ErrConflict},
-	{http.StatusTooManyRequests, ErrLimited},
+	{http.StatusTooManyRequests, ErrRateLimited},
 	{http.StatusRequestEntityTooLarge, ErrTooLarge},
-	{http.StatusGone, ErrLeaseGone},
+	{http.StatusGone, ErrLeaseExpired},
 }
 
 // StatusOf gives the HTTP status that carries err.
@@ -76,8 +76,8 @@
 
 // Client speaks to the platform over HTTP; it is a KV, a HostList and a WeightStore.
 type Client struct {
-	// Base is the platform's address, such as "http://127.0.0.1:7000".
-	Base string
+	// BaseURL is the platform's address, such as "http://127.0.0.1:7000".
+	BaseURL string
 	// HTTP does the calls; nil means http.DefaultClient.
 	HTTP *http.Client
 
@@ -96,7 +96,7 @@
 
 // call sends one request and decodes a JSON answer into out, if out is not nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	req, err := jsoncall.NewRequest(ctx, method, c.Base+path, in)
+	req, err := jsoncall.NewRequest(ctx, method, c.BaseURL+path, in)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 
 // Swap implements KV.
 func (c *Client) Swap(ctx context.Context, key string, version uint64, value []byte, lease Lease) (uint64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueSize {
 		return 0, ErrTooLarge
 	}
 	var it Item
@@ -174,7 +174,7 @@
 func (c *Client) List(ctx context.Context) ([]ListEntry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+PathHosts, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.BaseURL+PathHosts, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/keyval/kv.go
+++ b/keyval/kv.go
@@ -19,16 +19,16 @@
 	ErrConflict = eris.New("version conflict; read the key again and retry")
 	// ErrUnavailable means that no answer came: a write may or may not have been made.
 	ErrUnavailable = eris.New("key-value service gave no answer; read before writing again")
-	// ErrLimited means that the call was refused by the rate limit; nothing was written.
-	ErrLimited = eris.New("key-value service refused the call by its rate limit; retry later")
+	// ErrRateLimited means that the call was refused by the rate limit; nothing was written.
+	ErrRateLimited = eris.New("key-value service refused the call by its rate limit; retry later")
 	// ErrTooLarge means that a value is over MaxValue.
 	ErrTooLarge = eris.New("value larger than 1 MB; cut it into chunks")
-	// ErrLeaseGone means that a lease lapsed or never was.
-	ErrLeaseGone = eris.New("lease lapsed; acquire a new one")
+	// ErrLeaseExpired means that a lease lapsed or never was.
+	ErrLeaseExpired = eris.New("lease lapsed; acquire a new one")
 )
 
-// MaxValue is the largest value of a key, in bytes.
-const MaxValue = 1 << 20
+// MaxValueSize is the largest value of a key, in bytes.
+const MaxValueSize = 1 << 20
 
 // Lease identifies a lease; 0 is none.
 type Lease uint64
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -20,12 +20,12 @@
 const (
 	// FirstToken is from arrival to the first token sent to the caller.
 	FirstToken Measure = iota
-	// BetweenTokens is from one token to the next.
-	BetweenTokens
+	// InterToken is from one token to the next.
+	InterToken
 	// QueueWait is from arrival to dispatch.
 	QueueWait
-	// WholeTime is from arrival to the end of the answer.
-	WholeTime
+	// TotalTime is from arrival to the end of the answer.
+	TotalTime
 	// ListAge is the age of the list of endpoints as a request was sent by it.
 	ListAge
 	// ChoiceToSend is from the choice of an endpoint to the sending.
@@ -38,8 +38,8 @@
 
 // Bounds of the histograms.
 const (
-	// DefaultSeries bounds the series of a host beside the "other" ones.
-	DefaultSeries = 128
+	// DefaultMaxSeries bounds the series of a host beside the "other" ones.
+	DefaultMaxSeries = 128
 	// maxMicros is the largest time told apart: one hour.
 	maxMicros = int64(time.Hour / time.Microsecond)
 	// digits is the number of significant digits kept.
@@ -64,8 +64,8 @@
 
 // Set is all series of a host, safe for concurrent use.
 type Set struct {
-	// Limit bounds the series; 0 means DefaultSeries.
-	Limit int
+	// MaxSeries bounds the series; 0 means DefaultSeries.
+	MaxSeries int
 
 	mu     sync.Mutex
 	series map[Key]*series
@@ -90,9 +90,9 @@
 		return x
 	}
 	x.at = s.recent.PushFront(x)
-	limit := s.Limit
+	limit := s.MaxSeries
 	if limit == 0 {
-		limit = DefaultSeries
+		limit = DefaultMaxSeries
 	}
 	if s.recent.Len() > limit {
 		s.fold(s.recent.Remove(s.recent.Back()).(*series))
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestSeriesAreBoundedAndLoseNothing(t *testing.T) {
-	s := &Set{Limit: 10}
+	s := &Set{MaxSeries: 10}
 	const n = 8300
 	for i := range n {
 		k := Key{fmt.Sprint("w", i), "normal"}
@@ -37,7 +37,7 @@
 
 func TestExpvarForm(t *testing.T) {
 	s := &Set{}
-	s.Record(Key{"w", "urgent"}, WholeTime, 3*time.Hour)
+	s.Record(Key{"w", "urgent"}, TotalTime, 3*time.Hour)
 	var out []Series
 	must.NoError(t, json.Unmarshal([]byte(s.String()), &out))
 	must.Eq(t, 1, out[0].Times["whole_time_us"].Count)
@@ -55,7 +55,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				i++
-				s.Record(keys[i%n], BetweenTokens, time.Duration(i%5000)*time.Microsecond)
+				s.Record(keys[i%n], InterToken, time.Duration(i%5000)*time.Microsecond)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s := &Set{Limit: n}
+				s := &Set{MaxSeries: n}
 				for i := range n {
 					for m := range measureCount {
 						s.Record(Key{fmt.Sprint("w", i), "normal"}, m, time.Millisecond)
--- a/once/id.go
+++ b/once/id.go
@@ -85,15 +85,15 @@
 	Unique string
 }
 
-// MaxUnique is the longest caller's part of an ID, in bytes.
-const MaxUnique = 64
+// MaxUniqueLength is the longest caller's part of an ID, in bytes.
+const MaxUniqueLength = 64
 
 // idParts is the number of parts of an ID between dots.
 const idParts = 5
 
 // String gives the ID as text.
 func (id ID) String() string {
-	var buf [maxPrefix + MaxUnique]byte
+	var buf [maxPrefix + MaxUniqueLength]byte
 	return string(append(id.appendTo(buf[:0]), id.Unique...))
 }
 
@@ -119,7 +119,7 @@
 	}
 	id.Unique = parts[4]
 	if !validUnique(id.Unique) {
-		return ID{}, fmt.Errorf("the caller's part of an ID has 1 to %d letters, digits, '-' or '_'", MaxUnique)
+		return ID{}, fmt.Errorf("the caller's part of an ID has 1 to %d letters, digits, '-' or '_'", MaxUniqueLength)
 	}
 	if id.Owner == 0 || id.String() != s {
 		return ID{}, fmt.Errorf("%q is not in canonical form; use the prefix as it was given", s)
@@ -138,7 +138,7 @@
 
 // validUnique reports whether s may be the caller's part.
 func validUnique(s string) bool {
-	if s == "" || len(s) > MaxUnique {
+	if s == "" || len(s) > MaxUniqueLength {
 		return false
 	}
 	for _, c := range s {
--- a/once/id_test.go
+++ b/once/id_test.go
@@ -20,7 +20,7 @@
 		{"whole", good.String(), true},
 		{"no witness", ID{Prefix{1, 1, 0, 0}, "u"}.String(), true},
 		{"no caller's part", good.Prefix.String(), false},
-		{"long caller's part", good.Prefix.String() + strings.Repeat("a", MaxUnique+1), false},
+		{"long caller's part", good.Prefix.String() + strings.Repeat("a", MaxUniqueLength+1), false},
 		{"dot in caller's part", good.Prefix.String() + "a.b", false},
 		{"no owner", ID{Prefix{0, 1, 2, 1}, "u"}.String(), false},
 		{"upper case", strings.ToUpper(good.Prefix.String()) + "u", false},
--- a/once/machines_test.go
+++ b/once/machines_test.go
@@ -26,7 +26,7 @@
 		{"after a question", testID("a"), func(o *Owner) { o.Query(testID("a")) }, Known},
 		{"other incarnation", ID{Prefix{9, 1, 2, 1}, "a"}, func(*Owner) {}, NotOwner},
 		{"future generation", ID{Prefix{1, 2, 2, 1}, "a"}, func(*Owner) {}, Forged},
-		{"old generation", testID("a"), func(o *Owner) { o.Advance(); o.Advance() }, Forgotten},
+		{"old generation", testID("a"), func(o *Owner) { o.Advance(); o.Advance() }, Expired},
 		{"full", testID("c"), func(o *Owner) { o.Accept(testID("a")); o.Accept(testID("b")) }, Full},
 		{"sealed since it was full", testID("c"), func(o *Owner) {
 			a, _ := o.Accept(testID("a"))
@@ -57,7 +57,7 @@
 	must.NoError(t, o.Finish(r, true))
 	o.Advance()
 	_, v = o.Query(long)
-	must.Eq(t, Forgotten, v)
+	must.Eq(t, Expired, v)
 	must.Zero(t, o.Size())
 }
 
@@ -76,17 +76,17 @@
 	w := NewWitness(2, 0, 0)
 	must.Eq(t, AckRecorded, w.Record(RecordRequest{testID("a"), "e"}))
 	f, _ := w.Close(testID("closed"))
-	must.Eq(t, FoundNone, f)
-	c, err := Adopt(w.Leave(), 0, 0)
+	must.Eq(t, FindingNotRun, f)
+	c, err := NewWitnessCopy(w.PrepareHandover(), 0, 0)
 	must.NoError(t, err)
 	cases := []struct {
 		unique string
 		want   Finding
-	}{{"a", FoundRecord}, {"closed", FoundNone}, {"never", FoundNone}}
+	}{{"a", FindingRecorded}, {"closed", FindingNotRun}, {"never", FindingNotRun}}
 	for _, x := range cases {
 		f, _ := c.Close(testID(x.unique))
 		must.Eq(t, x.want, f, must.Sprint(x.unique))
-		must.Eq(t, x.want == FoundRecord, w.Record(RecordRequest{testID(x.unique), "e"}) == AckRecorded, must.Sprint(x.unique))
+		must.Eq(t, x.want == FindingRecorded, w.Record(RecordRequest{testID(x.unique), "e"}) == AckRecorded, must.Sprint(x.unique))
 	}
 	w.Advance()
 	late := ID{Prefix{1, 1, 2, 2}, "late"}
--- a/once/model_test.go
+++ b/once/model_test.go
@@ -104,13 +104,13 @@
 }
 
 func (w *world) deliverRecord(q RecordRequest) {
-	ack := AckWrong
+	ack := AckNotResponsible
 	for _, h := range w.hosts {
 		if h.witness.Self() == q.ID.Witness {
 			ack = h.witness.Record(q)
 		}
 	}
-	if c := w.copies[q.ID.Witness]; c != nil && ack == AckWrong {
+	if c := w.copies[q.ID.Witness]; c != nil && ack == AckNotResponsible {
 		ack = c.Record(q)
 	}
 	w.acks = append(w.acks, ackMessage{q.ID.String(), ack})
@@ -130,7 +130,7 @@
 	if at == nil {
 		return
 	}
-	if f, _ := at.Close(id); f == FoundNone {
+	if f, _ := at.Close(id); f == FindingNotRun {
 		w.tell(id)
 	}
 }
@@ -273,7 +273,7 @@
 			},
 			"leave": func(t *rapid.T) {
 				x := w.hosts[rapid.IntRange(0, 1).Draw(t, "host")].witness
-				c, err := Adopt(x.Leave(), testKeep, testLimit)
+				c, err := NewWitnessCopy(x.PrepareHandover(), testKeep, testLimit)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/once/owner.go
+++ b/once/owner.go
@@ -40,10 +40,10 @@
 type Record struct {
 	// ID is the request's ID.
 	ID ID
-	// Witnessed says that the witness must acknowledge before a dispatch: always,
+	// NeedsWitness says that the witness must acknowledge before a dispatch: always,
 	// if the ID names one, since the witness says "not run" of what it has no
 	// record of.
-	Witnessed bool
+	NeedsWitness bool
 	// State is the state reached.
 	State State
 	// Endpoint is where it was or will be dispatched.
@@ -61,9 +61,9 @@
 	Known
 	// NotOwner means that the ID names another incarnation.
 	NotOwner
-	// Forgotten means that its generation is no longer kept: it will not run
+	// Expired means that its generation is no longer kept: it will not run
 	// now, and whether it ran is not known.
-	Forgotten
+	Expired
 	// Full means that it was never dispatched and never will be, for lack of memory.
 	Full
 	// Forged means that no address answer can have given the prefix.
@@ -105,7 +105,7 @@
 	case placeFuture:
 		return nil, Forged
 	case placeExpired:
-		return nil, Forgotten
+		return nil, Expired
 	case placeSealed:
 		// A refusal must stay true after room is found again.
 		o.records.seal()
@@ -122,7 +122,7 @@
 	if v != New {
 		return r, v
 	}
-	r = &Record{ID: id, Witnessed: id.Witness != 0}
+	r = &Record{ID: id, NeedsWitness: id.Witness != 0}
 	o.records.put(id.OwnerGeneration, id.String(), r)
 	return r, New
 }
@@ -147,7 +147,7 @@
 // BeginRecord binds a waiting request to an endpoint and returns what the
 // witness must be sent. It may be repeated while nothing was dispatched.
 func (o *Owner) BeginRecord(r *Record, endpoint string) (RecordRequest, error) {
-	if r.State > Recorded || !r.Witnessed {
+	if r.State > Recorded || !r.NeedsWitness {
 		return RecordRequest{}, errState("record", r)
 	}
 	r.State = Recording
@@ -171,7 +171,7 @@
 // once in the life of an ID.
 func (o *Owner) Dispatch(r *Record, endpoint string) error {
 	want := Waiting
-	if r.Witnessed {
+	if r.NeedsWitness {
 		want = Recorded
 	}
 	if r.State != want {
@@ -189,7 +189,7 @@
 		return errState("retract", r)
 	}
 	r.State = Waiting
-	if r.Witnessed {
+	if r.NeedsWitness {
 		r.State = Recorded
 	}
 	return nil
--- a/once/window.go
+++ b/once/window.go
@@ -4,8 +4,8 @@
 
 package once
 
-// DefaultKeep is the number of generations whose records are kept, the current one included.
-const DefaultKeep = 3
+// DefaultGenerations is the number of generations whose records are kept, the current one included.
+const DefaultGenerations = 3
 
 // DefaultMaxRecords bounds the records of one machine; at about 200 bytes each
 // it bounds the memory at 26 MB.
@@ -26,7 +26,7 @@
 // newWindow returns a window at generation 1 with nothing sealed.
 func newWindow[T any](keep, limit int) window[T] {
 	if keep == 0 {
-		keep = DefaultKeep
+		keep = DefaultGenerations
 	}
 	if limit == 0 {
 		limit = DefaultMaxRecords
--- a/once/witness.go
+++ b/once/witness.go
@@ -21,12 +21,12 @@
 	AckRecorded Ack = iota
 	// AckClosed means that a caller was told "not run".
 	AckClosed
-	// AckForgotten means that the generation is no longer kept.
-	AckForgotten
+	// AckExpired means that the generation is no longer kept.
+	AckExpired
 	// AckFull means that the witness has no room or was handed on.
 	AckFull
-	// AckWrong means that the ID names another witness.
-	AckWrong
+	// AckNotResponsible means that the ID names another witness.
+	AckNotResponsible
 )
 
 // Finding is the witness's answer to a caller that lost the owner.
@@ -34,14 +34,14 @@
 
 // The answers to Close.
 const (
-	// FoundRecord means that a dispatch was recorded: it may have run.
-	FoundRecord Finding = iota
-	// FoundNone means that it was never dispatched and, from now on, never will be.
-	FoundNone
-	// FoundForgotten means that the generation is no longer kept.
-	FoundForgotten
-	// FoundWrong means that the ID names another witness or a forged generation.
-	FoundWrong
+	// FindingRecorded means that a dispatch was recorded: it may have run.
+	FindingRecorded Finding = iota
+	// FindingNotRun means that it was never dispatched and, from now on, never will be.
+	FindingNotRun
+	// FindingExpired means that the generation is no longer kept.
+	FindingExpired
+	// FindingNotResponsible means that the ID names another witness or a forged generation.
+	FindingNotResponsible
 )
 
 // note is what a witness holds of one ID.
@@ -82,12 +82,12 @@
 // Record notes an ID, if no caller was told "not run" of it. Recording twice is harmless.
 func (w *Witness) Record(q RecordRequest) Ack {
 	if q.ID.Witness != w.self {
-		return AckWrong
+		return AckNotResponsible
 	}
 	g, key := q.ID.WitnessGeneration, q.ID.String()
 	where := w.notes.where(g)
 	if where == placeExpired {
-		return AckForgotten
+		return AckExpired
 	}
 	if n, ok := w.notes.find(g, key); ok {
 		if n.closed {
@@ -98,7 +98,7 @@
 	}
 	switch where {
 	case placeFuture:
-		return AckWrong
+		return AckNotResponsible
 	case placeSealed:
 		return AckFull
 	}
@@ -110,33 +110,33 @@
 // ID is closed for ever.
 func (w *Witness) Close(id ID) (Finding, string) {
 	if id.Witness != w.self {
-		return FoundWrong, ""
+		return FindingNotResponsible, ""
 	}
 	g, key := id.WitnessGeneration, id.String()
 	where := w.notes.where(g)
 	if where == placeExpired {
-		return FoundForgotten, ""
+		return FindingExpired, ""
 	}
 	if n, ok := w.notes.find(g, key); ok {
 		if n.closed {
-			return FoundNone, ""
+			return FindingNotRun, ""
 		}
-		return FoundRecord, n.endpoint
+		return FindingRecorded, n.endpoint
 	}
 	switch where {
 	case placeFuture:
-		return FoundWrong, ""
+		return FindingNotResponsible, ""
 	case placeSealed:
 		// With no room for a note the whole generation is closed instead.
 		w.notes.seal()
 	default:
 		w.notes.put(g, key, note{closed: true})
 	}
-	return FoundNone, ""
+	return FindingNotRun, ""
 }
 
-// HandedNote is one recorded ID in a Handover.
-type HandedNote struct {
+// HandoverRecord is one recorded ID in a Handover.
+type HandoverRecord struct {
 	// ID is the request's ID.
 	ID string `json:"id"`
 	// Endpoint is where it was to be dispatched.
@@ -151,27 +151,27 @@
 	Generation Generation `json:"generation"`
 	// Recorded are the IDs that it had recorded. Closed ones need no mention:
 	// the copy is sealed, so that whatever has no record is closed.
-	Recorded []HandedNote `json:"recorded"`
+	Recorded []HandoverRecord `json:"recorded"`
 }
 
-// Leave seals the witness and returns its state for a successor. It records
+// PrepareHandover seals the witness and returns its state for a successor. It records
 // nothing any more, so any number of copies may answer for it.
-func (w *Witness) Leave() Handover {
+func (w *Witness) PrepareHandover() Handover {
 	w.left = true
 	w.notes.seal()
 	h := Handover{Self: w.self, Generation: w.notes.current}
 	for _, t := range w.notes.tables {
 		for key, n := range t {
 			if !n.closed {
-				h.Recorded = append(h.Recorded, HandedNote{ID: key, Endpoint: n.endpoint})
+				h.Recorded = append(h.Recorded, HandoverRecord{ID: key, Endpoint: n.endpoint})
 			}
 		}
 	}
 	return h
 }
 
-// Adopt returns a sealed copy of a witness that left.
-func Adopt(h Handover, keep, limit int) (*Witness, error) {
+// NewWitnessCopy returns a sealed copy of a witness that left.
+func NewWitnessCopy(h Handover, keep, limit int) (*Witness, error) {
 	w := NewWitness(h.Self, keep, limit)
 	w.left = true
 	w.notes.current = h.Generation
--- a/outcome/account.go
+++ b/outcome/account.go
@@ -65,32 +65,32 @@
 	Share
 }
 
-// Account says where requests lost what they are worth.
-type Account struct {
+// LossReport says where requests lost what they are worth.
+type LossReport struct {
 	// Routes are sorted by route, then by size.
 	Routes []RouteShare
 	// Windows are in order of time.
 	Windows []WindowShare
 }
 
-// NewAccount adds up the final events of requests. The hosts must have traced all
+// NewLossReport adds up the final events of requests. The hosts must have traced all
 // requests, since else those that went well are missing. Attempts under new IDs of the
 // same caller count one by one.
-func NewAccount(events []Event, window time.Duration) Account {
+func NewLossReport(events []Event, window time.Duration) LossReport {
 	final := slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return !e.Final() || e.Route == "" })
 	if len(final) == 0 {
-		return Account{}
+		return LossReport{}
 	}
 	Sort(final)
 	byRoute := make(map[string][]Event)
 	for _, e := range final {
 		byRoute[e.Route] = append(byRoute[e.Route], e)
 	}
-	var a Account
+	var a LossReport
 	spans := make(map[int64]*Share)
 	for _, name := range slices.Sorted(maps.Keys(byRoute)) {
 		es := byRoute[name]
-		weight := Weigher(es)
+		weight := WeightFunc(es)
 		a.Routes = append(a.Routes, bandShares(name, es, weight)...)
 		for i := range es {
 			at := int64(time.Duration((es[i].Time-final[0].Time)*float64(time.Second)) / window)
@@ -110,8 +110,8 @@
 // size is the work that a request names, in tokens of a prompt.
 func (e *Event) size() int { return e.TokensIn + outWeight*e.TokensOut }
 
-// Weigher returns the weight of requests of one route, by the sizes of some of them.
-func Weigher(es []Event) func(*Event) float64 {
+// WeightFunc returns the weight of requests of one route, by the sizes of some of them.
+func WeightFunc(es []Event) func(*Event) float64 {
 	sum := 0
 	for i := range es {
 		sum += es[i].size()
@@ -128,7 +128,7 @@
 // bandShares adds up a route's requests by size; those over their amount, which nobody
 // owes, are left out.
 func bandShares(route string, es []Event, weight func(*Event) float64) []RouteShare {
-	owed := slices.DeleteFunc(slices.Clone(es), func(e Event) bool { return e.Loss() == OverAmount })
+	owed := slices.DeleteFunc(slices.Clone(es), func(e Event) bool { return e.Loss() == OverQuota })
 	slices.SortStableFunc(owed, func(a, b Event) int { return cmp.Compare(b.size(), a.size()) })
 	shares := make(map[Band]*Share)
 	for i := range owed {
--- a/outcome/budget.go
+++ b/outcome/budget.go
@@ -12,9 +12,9 @@
 	defaultBurst = 200
 )
 
-// Budget bounds lines a second; the zero value holds the defaults. It is not safe for
+// LineLimiter bounds lines a second; the zero value holds the defaults. It is not safe for
 // concurrent use.
-type Budget struct {
+type LineLimiter struct {
 	// Rate is in lines a second and Burst in lines; 0 means 20 and 200.
 	Rate, Burst float64
 
@@ -24,9 +24,9 @@
 	dropped int64
 }
 
-// Take tells whether a line may be written now, and how many were dropped since the
+// Allow tells whether a line may be written now, and how many were dropped since the
 // last that was.
-func (b *Budget) Take(now time.Duration) (dropped int64, ok bool) {
+func (b *LineLimiter) Allow(now time.Duration) (dropped int64, ok bool) {
 	rate, burst := b.Rate, b.Burst
 	if rate <= 0 {
 		rate = defaultRate
--- a/outcome/cause.go
+++ b/outcome/cause.go
@@ -13,38 +13,38 @@
 const (
 	// InTime means that nothing was lost.
 	InTime Loss = "in time"
-	// LateFirst means that the first event or answer came after the objective.
-	LateFirst Loss = "late first"
+	// LateFirstEvent means that the first event or answer came after the objective.
+	LateFirstEvent Loss = "late first"
 	// LatePause means that a pause between two events was longer than wanted.
 	LatePause Loss = "late pause"
-	// AtDeadline means that the answer was not whole by the deadline.
-	AtDeadline Loss = "deadline"
+	// DeadlineMissed means that the answer was not whole by the deadline.
+	DeadlineMissed Loss = "deadline"
 	// CallerLeft means that the caller left well before its deadline.
 	CallerLeft Loss = "caller left"
 	// EndpointFault means that the endpoint failed, or broke its answer off.
 	EndpointFault Loss = "endpoint fault"
-	// NoPlace means a refusal because no endpoint had room in time.
-	NoPlace Loss = "no place"
-	// OverAmount means a refusal because the workspace's amount was used up.
-	OverAmount Loss = "over amount"
+	// NoSlot means a refusal because no endpoint had room in time.
+	NoSlot Loss = "no place"
+	// OverQuota means a refusal because the workspace's amount was used up.
+	OverQuota Loss = "over amount"
 	// CrashesEndpoints means a refusal because endpoints crashed under the request.
 	CrashesEndpoints Loss = "crashes endpoints"
-	// Improper means that the request itself was refused.
-	Improper Loss = "improper"
+	// InvalidRequest means that the request itself was refused.
+	InvalidRequest Loss = "improper"
 )
 
 // Losses are all of them in the order in which tables show them.
-var Losses = []Loss{InTime, LateFirst, LatePause, AtDeadline, CallerLeft, EndpointFault, NoPlace, OverAmount, CrashesEndpoints, Improper}
+var Losses = []Loss{InTime, LateFirstEvent, LatePause, DeadlineMissed, CallerLeft, EndpointFault, NoSlot, OverQuota, CrashesEndpoints, InvalidRequest}
 
 // Final tells whether the event ends its request: a send may be followed by another.
-func (e *Event) Final() bool { return e.Outcome != SendLost && e.Outcome != SentByOldList }
+func (e *Event) Final() bool { return e.Outcome != SendLost && e.Outcome != SentByStaleList }
 
 // Loss names what was lost by the event that ended a request.
 func (e *Event) Loss() Loss {
 	late := e.LeftMS <= nearDeadline
 	switch {
-	case e.Outcome == Served && e.ObjectiveMS > 0 && e.FirstMS > e.ObjectiveMS:
-		return LateFirst
+	case e.Outcome == Served && e.ObjectiveMS > 0 && e.FirstEventMS > e.ObjectiveMS:
+		return LateFirstEvent
 	case e.Outcome == Served && e.PauseObjectiveMS > 0 && e.LongestPauseMS > e.PauseObjectiveMS:
 		return LatePause
 	case e.Outcome == Served:
@@ -52,16 +52,16 @@
 	case e.Outcome == Held:
 		return CrashesEndpoints
 	case e.Outcome == Refused && e.Status == http.StatusTooManyRequests:
-		return OverAmount
+		return OverQuota
 	case e.Outcome == Refused && e.Status == http.StatusServiceUnavailable:
-		return NoPlace
+		return NoSlot
 	case e.Outcome == Refused:
-		return Improper
+		return InvalidRequest
 	case e.Outcome == EndpointFailed:
 		return EndpointFault
 	case late:
-		return AtDeadline
-	case e.Outcome == Gone:
+		return DeadlineMissed
+	case e.Outcome == CallerGone:
 		return CallerLeft
 	}
 	return EndpointFault
--- a/outcome/event.go
+++ b/outcome/event.go
@@ -20,14 +20,14 @@
 	Failed Kind = "failed"
 	// EndpointFailed means that an endpoint's own failure was passed on.
 	EndpointFailed Kind = "endpoint failed"
-	// Cut means that the answer was broken off after some of it went to the caller.
-	Cut Kind = "cut"
-	// Gone means that the caller left.
-	Gone Kind = "caller gone"
+	// Truncated means that the answer was broken off after some of it went to the caller.
+	Truncated Kind = "cut"
+	// CallerGone means that the caller left.
+	CallerGone Kind = "caller gone"
 	// SendLost means that a send brought no whole answer; the request may go on elsewhere.
 	SendLost Kind = "send lost"
-	// SentByOldList means that the request was sent by a list of endpoints that was old; it says nothing of how the send ended.
-	SentByOldList Kind = "sent by old list"
+	// SentByStaleList means that the request was sent by a list of endpoints that was old; it says nothing of how the send ended.
+	SentByStaleList Kind = "sent by old list"
 	// Served means that the caller got an endpoint's whole answer; it is told only by a
 	// host that traces all requests.
 	Served Kind = "served"
@@ -56,12 +56,12 @@
 	// Fingerprint is the same for all attempts at one request, whoever they came to, SentMS the time since the newest
 	// send, and Beside the number of other requests that were known to be at that endpoint; lines of sends that
 	// were lost tell them, and those of requests that were held the first.
-	Fingerprint string `json:"fingerprint,omitempty"`
-	SentMS      int64  `json:"sent_ms,omitempty"`
-	Beside      int    `json:"beside,omitempty"`
-	// HeldMS is the time since its arrival, PredictedMS the predicted time to the first
+	Fingerprint   string `json:"fingerprint,omitempty"`
+	SentMS        int64  `json:"sent_ms,omitempty"`
+	OtherInFlight int    `json:"beside,omitempty"`
+	// ElapsedMS is the time since its arrival, PredictedMS the predicted time to the first
 	// event at that endpoint, and LeftMS what was left to its deadline.
-	HeldMS      int64 `json:"held_ms"`
+	ElapsedMS   int64 `json:"held_ms"`
 	PredictedMS int64 `json:"predicted_ms"`
 	LeftMS      int64 `json:"left_ms"`
 	// TokensIn and TokensOut are the prompt and the most of the answer as the caller named
@@ -77,7 +77,7 @@
 	// or answer that was passed on, -1 where there was none; LongestPauseMS is the longest
 	// pause between two events.
 	QueuedMS       int64 `json:"queued_ms"`
-	FirstMS        int64 `json:"first_ms"`
+	FirstEventMS   int64 `json:"first_ms"`
 	LongestPauseMS int64 `json:"longest_pause_ms"`
 	// ListAgeMS is how old the list of endpoints might be at the newest send, and ChoiceMS the time from the choice of the endpoint to
 	// that send; -1 where there was none.
@@ -102,14 +102,14 @@
 		"endpoint", e.Endpoint, "sends", e.Sends, "events", e.Events,
 		"tokens_in", e.TokensIn, "tokens_out", e.TokensOut, "tokens_guess", e.TokensGuess,
 		"objective_ms", e.ObjectiveMS, "pause_objective_ms", e.PauseObjectiveMS,
-		"queued_ms", e.QueuedMS, "first_ms", e.FirstMS, "longest_pause_ms", e.LongestPauseMS,
+		"queued_ms", e.QueuedMS, "first_ms", e.FirstEventMS, "longest_pause_ms", e.LongestPauseMS,
 		"list_age_ms", e.ListAgeMS, "choice_ms", e.ChoiceMS, "step_us", e.StepUS, "load", e.Load,
-		"held_ms", e.HeldMS, "predicted_ms", e.PredictedMS, "left_ms", e.LeftMS,
+		"held_ms", e.ElapsedMS, "predicted_ms", e.PredictedMS, "left_ms", e.LeftMS,
 		"retry_after_ms", e.RetryAfterMS, "revision", e.Revision, "settings_age_ms", e.SettingsAgeMS,
 	}
 	switch e.Outcome {
 	case SendLost:
-		fields = append(fields, "fingerprint", e.Fingerprint, "sent_ms", e.SentMS, "beside", e.Beside)
+		fields = append(fields, "fingerprint", e.Fingerprint, "sent_ms", e.SentMS, "beside", e.OtherInFlight)
 	case Held:
 		fields = append(fields, "fingerprint", e.Fingerprint)
 	}
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestBudget(t *testing.T) {
-	b := Budget{Rate: 2, Burst: 3}
+	b := LineLimiter{Rate: 2, Burst: 3}
 	cases := []struct {
 		name    string
 		at      time.Duration
@@ -31,7 +31,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			dropped, ok := b.Take(tc.at)
+			dropped, ok := b.Allow(tc.at)
 			must.EqOp(t, tc.ok, ok)
 			must.EqOp(t, tc.dropped, dropped)
 		})
@@ -53,7 +53,7 @@
 	must.Len(t, 2, events)
 	must.EqOp(t, "e1", events[0].Endpoint)
 	must.EqOp(t, Failed, events[1].Outcome)
-	must.StrContains(t, events[1].Line(), "b: failed after 40 ms, status 502, endpoint e2")
+	must.StrContains(t, events[1].Describe(), "b: failed after 40 ms, status 502, endpoint e2")
 	must.StrContains(t, Cause(events), "e2")
 }
 
@@ -68,10 +68,10 @@
 		{Event{Outcome: Failed, Status: 504, Endpoint: "e"}, "Endpoint e did not answer by the deadline."},
 		{Event{Outcome: Failed, Status: 502, Endpoint: "e"}, "may have run"},
 		{Event{Outcome: EndpointFailed, Status: 500, Endpoint: "e"}, "its own failure 500"},
-		{Event{Outcome: Cut, Events: 7, Endpoint: "e", LeftMS: 900}, "cut after 7 events"},
-		{Event{Outcome: Cut, Events: 7, Endpoint: "e"}, "not whole by the deadline; 7 events"},
-		{Event{Outcome: Gone, LeftMS: 900}, "caller left"},
-		{Event{Outcome: Gone, Endpoint: "e"}, "endpoint e was not whole by the deadline"},
+		{Event{Outcome: Truncated, Events: 7, Endpoint: "e", LeftMS: 900}, "cut after 7 events"},
+		{Event{Outcome: Truncated, Events: 7, Endpoint: "e"}, "not whole by the deadline; 7 events"},
+		{Event{Outcome: CallerGone, LeftMS: 900}, "caller left"},
+		{Event{Outcome: CallerGone, Endpoint: "e"}, "endpoint e was not whole by the deadline"},
 		{Event{Outcome: SendLost, Endpoint: "e"}, "The send to endpoint e was lost"},
 	}
 	for _, tc := range cases {
--- a/outcome/story.go
+++ b/outcome/story.go
@@ -76,10 +76,10 @@
 	})
 }
 
-// Line tells an event in words.
-func (e *Event) Line() string {
+// Describe tells an event in words.
+func (e *Event) Describe() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s after %d ms", e.Host, e.Outcome, e.HeldMS)
+	fmt.Fprintf(&b, "%s: %s after %d ms", e.Host, e.Outcome, e.ElapsedMS)
 	if e.Status > 0 {
 		fmt.Fprintf(&b, ", status %d", e.Status)
 	}
@@ -108,11 +108,11 @@
 	e := &events[len(events)-1]
 	late := e.LeftMS <= nearDeadline
 	switch {
-	case (e.Outcome == Gone || e.Outcome == Cut) && late:
+	case (e.Outcome == CallerGone || e.Outcome == Truncated) && late:
 		return fmt.Sprintf("The answer of endpoint %s was not whole by the deadline; %d events had come.", e.Endpoint, e.Events)
-	case e.Outcome == Gone:
+	case e.Outcome == CallerGone:
 		return "The caller left before its answer was whole."
-	case e.Outcome == Cut:
+	case e.Outcome == Truncated:
 		return fmt.Sprintf("The stream was cut after %d events because endpoint %s ended it and it may not go on elsewhere.", e.Events, e.Endpoint)
 	case e.Outcome == EndpointFailed:
 		return fmt.Sprintf("Endpoint %s answered with its own failure %d.", e.Endpoint, e.Status)
@@ -120,7 +120,7 @@
 		return fmt.Sprintf("Endpoint %s did not answer by the deadline.", e.Endpoint)
 	case e.Outcome == Failed:
 		return fmt.Sprintf("Endpoint %s was sent the request and its answer was lost; it may have run.", e.Endpoint)
-	case e.Outcome == SentByOldList:
+	case e.Outcome == SentByStaleList:
 		return fmt.Sprintf("It was sent to endpoint %s by a list that was %d ms old, and ended well, or the host ended.", e.Endpoint, e.ListAgeMS)
 	case e.Outcome == SendLost:
 		return fmt.Sprintf("The send to endpoint %s was lost; the request went on and ended well, or the host ended.", e.Endpoint)
--- a/peers/agent.go
+++ b/peers/agent.go
@@ -82,8 +82,8 @@
 // Usage is what one or several other hosts used of shared amounts.
 type Usage struct {
 	// Source names who told, Life one run of its process.
-	Source string
-	Life   uint64
+	Source      string
+	Incarnation uint64
 	// Hosts is the number of hosts whose use it is.
 	Hosts int
 	// Used is what they used since the life began, by workspace, and Left the level of
@@ -101,8 +101,8 @@
 	Seeds []string
 	// Host is the program.
 	Host Host
-	// Places is the program as an owner of places and one that asks for them, or nil.
-	Places SlotHost
+	// Slots is the program as an owner of places and one that asks for them, or nil.
+	Slots SlotHost
 	// Now is the host's clock; it counts the time in which the host is suspended.
 	Now func() time.Duration
 	// CheckGap looks whether the process did not run for a while, which Woke is then told, or nil. It is called before what was
@@ -122,7 +122,7 @@
 	kick   chan struct{}
 	ticks  int
 	live   map[string]bool // as it was logged last
-	lines  outcome.Budget
+	lines  outcome.LineLimiter
 	row    HostInfo // what this host told last of itself
 	relay  Relay    // what this host passes on
 	uplink uplink   // the relay that passes on what this host tells
@@ -141,8 +141,8 @@
 	a.kick = make(chan struct{}, 1)
 	a.asking = make(chan struct{}, 1)
 	a.live = make(map[string]bool)
-	a.lines = outcome.Budget{Rate: liveLines, Burst: mostLiveLines}
-	a.relay = Relay{Host: a.Table.Host, Life: a.Table.Life}
+	a.lines = outcome.LineLimiter{Rate: liveLines, Burst: mostLiveLines}
+	a.relay = Relay{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
 	if a.Interval == 0 {
 		a.Interval = DefaultInterval
 	}
@@ -216,7 +216,7 @@
 func (a *Agent) Run(ctx context.Context) {
 	go a.receive(ctx)
 	go a.tellChanges(ctx)
-	if a.Places != nil {
+	if a.Slots != nil {
 		go a.ask(ctx)
 	}
 	t := time.NewTicker(a.Interval)
@@ -238,7 +238,7 @@
 // send sends one heartbeat: to all others, or to the relay, and now and then to the seeds
 // and to some hosts that it names others to.
 func (a *Agent) send() {
-	b := Heartbeat{Host: a.Table.Host, Life: a.Table.Life}
+	b := Heartbeat{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
 	a.Host.Fill(&b)
 	a.mu.Lock()
 	a.row = b.Info
@@ -349,7 +349,7 @@
 	if len(seen)+len(lost) == 0 {
 		return
 	}
-	dropped, ok := a.lines.Take(now)
+	dropped, ok := a.lines.Allow(now)
 	if !ok {
 		return
 	}
@@ -406,7 +406,7 @@
 	if !ok {
 		return
 	}
-	u := Update{Host: a.Table.Host, Life: a.Table.Life, Load: load, Waiting: waiting}
+	u := Update{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Load: load, Waiting: waiting}
 	a.mu.Lock()
 	u.LoadSeq = a.Table.NextLoadSeq()
 	a.mu.Unlock()
--- a/peers/amounts_test.go
+++ b/peers/amounts_test.go
@@ -39,7 +39,7 @@
 func (p *payer) UsageReceived(u Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.ApplyReport(p.now(), u.Source, u.Life, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
+	p.book.ApplyReport(p.now(), u.Source, u.Incarnation, quota.Report{Hosts: u.Hosts, Used: u.Used, Left: u.Left})
 }
 
 // begin starts a life of the host.
@@ -52,7 +52,7 @@
 	p.mu.Unlock()
 	ctx, p.cancel = context.WithCancel(ctx)
 	p.agent = &Agent{
-		Table: &Table{Host: fmt.Sprintf("h%03d", i), Life: uint64(p.now()) + 1}, Conn: p.conn, Seeds: []string{seed}, Host: p, Now: p.now,
+		Table: &Table{Host: fmt.Sprintf("h%03d", i), Incarnation: uint64(p.now()) + 1}, Conn: p.conn, Seeds: []string{seed}, Host: p, Now: p.now,
 		Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: logr.Discard(),
 	}
 	p.agent.Init()
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -13,8 +13,8 @@
 // Heartbeat is a heartbeat. It is one datagram of JSON.
 type Heartbeat struct {
 	// Host names the sender, Life one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Seq numbers the sender's heartbeats and digests.
 	Seq uint32 `json:"s"`
 	// Echo is the newest Seq heard of each receiver.
@@ -68,8 +68,8 @@
 // KnownHost is another host as the sender knows it.
 type KnownHost struct {
 	// Host and Life name it.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Info is what it told.
 	Info HostInfo `json:"r"`
 	// Age is the time in milliseconds since it was heard.
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -47,7 +47,7 @@
 		return deflate(kindDigest, msg)
 	case *Update:
 		return plain(kindUpdate, msg)
-	case *Asks:
+	case *SlotRequests:
 		return plain(kindAsks, msg)
 	case *Grants:
 		return plain(kindGrants, msg)
@@ -102,7 +102,7 @@
 		var u Update
 		return &u, json.Unmarshal(data, &u)
 	case kindAsks:
-		var m Asks
+		var m SlotRequests
 		return &m, json.Unmarshal(data, &m)
 	case kindGrants:
 		var m Grants
--- a/peers/codec_test.go
+++ b/peers/codec_test.go
@@ -17,7 +17,7 @@
 // fullBeat is a heartbeat with n hosts and endpoints.
 func fullBeat(n int) *Heartbeat {
 	b := &Heartbeat{
-		Host: "edge-a-1", Life: 1 << 50, Seq: 7, Echo: map[string]uint32{},
+		Host: "edge-a-1", Incarnation: 1 << 50, Seq: 7, Echo: map[string]uint32{},
 		Words: Words{Load: map[string]Load{}, Used: map[string]float64{"w": 1234567}, Settings: Stamp{Revision: 9, AgeMS: 300}},
 	}
 	for i := range n {
@@ -35,7 +35,7 @@
 	got, err := decode(data)
 	must.NoError(t, err)
 	must.Eq(t, any(b), got)
-	u := &Update{Host: "edge-a-1", Life: 1 << 50, LoadSeq: 9, Load: b.Load, Waiting: map[string][]int{"s": {0, 3}}}
+	u := &Update{Host: "edge-a-1", Incarnation: 1 << 50, LoadSeq: 9, Load: b.Load, Waiting: map[string][]int{"s": {0, 3}}}
 	text, err := encode(u)
 	must.NoError(t, err)
 	got, err = decode(text)
@@ -55,7 +55,7 @@
 	must.NoError(f, err)
 	f.Add(text)
 	for _, msg := range []any{
-		&Asks{Host: "h", Life: 1, Seq: 2, Asks: map[string]places.Request{"e": {Running: 1, Rank: -1, Returned: true}}},
+		&SlotRequests{Host: "h", Incarnation: 1, Seq: 2, Requests: map[string]places.Request{"e": {Running: 1, Rank: -1, Returned: true}}},
 		&Grants{Host: "h", To: 1, Grants: map[string]places.Grant{"e": {Slots: 1, Running: 3}}},
 	} {
 		data, err := encode(msg)
--- a/peers/digest.go
+++ b/peers/digest.go
@@ -8,8 +8,8 @@
 // datagram of JSON.
 type Digest struct {
 	// Host names the relay, Life one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// Seq numbers the relay's heartbeats and digests.
 	Seq uint32 `json:"s"`
 	// Partial says that it is the sum of the relay's own members, for other relays; else it
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -107,7 +107,7 @@
 	ctx, n.cancel = context.WithCancel(ctx)
 	n.heard = make(map[string]Usage)
 	n.agent = &Agent{
-		Table: &Table{Host: fmt.Sprintf("h%03d", i), Life: uint64(n.now()) + 1}, Conn: n.conn, Seeds: []string{seed}, Host: n.host, Now: n.now,
+		Table: &Table{Host: fmt.Sprintf("h%03d", i), Incarnation: uint64(n.now()) + 1}, Conn: n.conn, Seeds: []string{seed}, Host: n.host, Now: n.now,
 		Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: logr.Discard(),
 	}
 	n.agent.Init()
--- a/peers/places.go
+++ b/peers/places.go
@@ -22,14 +22,14 @@
 	ownersEvery = 200 * time.Millisecond
 )
 
-// Asks is what a host tells the owner of some endpoints' places. It is one datagram of JSON.
-type Asks struct {
+// SlotRequests is what a host tells the owner of some endpoints' places. It is one datagram of JSON.
+type SlotRequests struct {
 	// Host names the sender, Life one run of its process; Seq numbers its asks.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
-	Seq  uint32 `json:"s"`
-	// Asks are by the life of the endpoint.
-	Asks map[string]places.Request `json:"a"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
+	Seq         uint32 `json:"s"`
+	// Requests are by the life of the endpoint.
+	Requests map[string]places.Request `json:"a"`
 }
 
 // Grants is what an owner answers, and tells hosts when places get free. It is one datagram of JSON.
@@ -45,10 +45,10 @@
 type SlotHost interface {
 	// ZoneOf names the zone of an endpoint, by its life.
 	ZoneOf(endpoint string) string
-	// Asks gives what is to be told to owners, and whether something waits.
-	Asks() (asks map[string]places.Request, waits bool)
-	// HandleAsks takes what a host tells this one as an owner and returns the grants, by host.
-	HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
+	// SlotRequests gives what is to be told to owners, and whether something waits.
+	SlotRequests() (asks map[string]places.Request, waits bool)
+	// HandleSlotRequests takes what a host tells this one as an owner and returns the grants, by host.
+	HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
 	// HandleGrants takes what an owner answers.
 	HandleGrants(grants map[string]places.Grant)
 }
@@ -76,14 +76,14 @@
 	}
 	name, ok := o.names[endpoint]
 	if !ok {
-		name = places.Owner(endpoint, a.Places.ZoneOf(endpoint), o.hosts)
+		name = places.Owner(endpoint, a.Slots.ZoneOf(endpoint), o.hosts)
 		o.names[endpoint] = name
 	}
 	return name
 }
 
-// TriggerAsks makes the agent ask for places soon.
-func (a *Agent) TriggerAsks() {
+// TriggerSlotRequests makes the agent ask for places soon.
+func (a *Agent) TriggerSlotRequests() {
 	select {
 	case a.asking <- struct{}{}:
 	default:
@@ -114,7 +114,7 @@
 			continue
 		}
 		var asks map[string]places.Request
-		asks, waits = a.Places.Asks()
+		asks, waits = a.Slots.SlotRequests()
 		a.sendAsks(asks)
 	}
 }
@@ -145,9 +145,9 @@
 	a.mu.Unlock()
 	for name, part := range by {
 		if name == a.Table.Host {
-			a.answerAsks(a.Places.HandleAsks(name, a.Table.Life, seq, part))
+			a.answerAsks(a.Slots.HandleSlotRequests(name, a.Table.Incarnation, seq, part))
 		} else if to[name] != "" {
-			a.write(&Asks{Host: a.Table.Host, Life: a.Table.Life, Seq: seq, Asks: part}, []string{to[name]})
+			a.write(&SlotRequests{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Seq: seq, Requests: part}, []string{to[name]})
 		}
 	}
 }
@@ -156,14 +156,14 @@
 func (a *Agent) answerAsks(grants map[string]map[string]places.Grant) {
 	for host, part := range grants {
 		if host == a.Table.Host {
-			a.Places.HandleGrants(part)
+			a.Slots.HandleGrants(part)
 			continue
 		}
 		a.mu.Lock()
 		m := a.Table.members[host]
 		address, life := "", uint64(0)
 		if m != nil {
-			address, life = m.Info.Address, m.Life
+			address, life = m.Info.Address, m.Incarnation
 		}
 		a.mu.Unlock()
 		if address != "" {
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -37,7 +37,7 @@
 
 func (p *placeNode) ZoneOf(endpoint string) string { return p.zones[endpoint] }
 
-func (p *placeNode) Asks() (map[string]places.Request, bool) {
+func (p *placeNode) SlotRequests() (map[string]places.Request, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]places.Request)
@@ -66,7 +66,7 @@
 	return out, p.waiting > 0
 }
 
-func (p *placeNode) HandleAsks(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+func (p *placeNode) HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.node.now()
@@ -107,10 +107,10 @@
 			p.running[e]--
 			p.waiting++
 			p.mu.Unlock()
-			p.node.agent.TriggerAsks()
+			p.node.agent.TriggerSlotRequests()
 		})
 	}
-	p.node.agent.TriggerAsks()
+	p.node.agent.TriggerSlotRequests()
 }
 
 // TestPlacesAreGiven lets fleets that have 1.5 times as many requests as there are places ask owners for them: how many of the
@@ -146,7 +146,7 @@
 						node: n, rand: rand.New(rand.NewPCG(uint64(i), 5)), zones: zones, slots: slots, takes: takes, running: make(map[string]int),
 						told: make(map[string]places.Request), books: make(map[string]*places.Allocator), back: make(map[string]bool),
 					}
-					n.agent.Places = all[i]
+					n.agent.Slots = all[i]
 					go n.agent.ask(ctx)
 				}
 				time.Sleep(4 * time.Second)
@@ -155,7 +155,7 @@
 					p.mu.Lock()
 					p.waiting++
 					p.mu.Unlock()
-					p.node.agent.TriggerAsks()
+					p.node.agent.TriggerSlotRequests()
 				}
 				if tc.dies > 0 {
 					time.Sleep(time.Second)
--- a/peers/receive.go
+++ b/peers/receive.go
@@ -57,15 +57,15 @@
 		a.hearDigest(msg)
 	case *Update:
 		a.hearUpdate(msg)
-	case *Asks:
-		if a.Places != nil && msg.Host != a.Table.Host {
-			a.lives(msg.Host, msg.Life)
-			a.answerAsks(a.Places.HandleAsks(msg.Host, msg.Life, msg.Seq, msg.Asks))
+	case *SlotRequests:
+		if a.Slots != nil && msg.Host != a.Table.Host {
+			a.lives(msg.Host, msg.Incarnation)
+			a.answerAsks(a.Slots.HandleSlotRequests(msg.Host, msg.Incarnation, msg.Seq, msg.Requests))
 		}
 	case *Grants:
-		if a.Places != nil && msg.To == a.Table.Life {
+		if a.Slots != nil && msg.To == a.Table.Incarnation {
 			a.lives(msg.Host, 0)
-			a.Places.HandleGrants(msg.Grants)
+			a.Slots.HandleGrants(msg.Grants)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	relayed := a.relayed()
 	a.mu.Unlock()
 	if !relayed {
-		a.Host.UsageReceived(Usage{Source: b.Host, Life: b.Life, Hosts: 1, Used: b.Used, Left: b.Left})
+		a.Host.UsageReceived(Usage{Source: b.Host, Incarnation: b.Incarnation, Hosts: 1, Used: b.Used, Left: b.Left})
 	}
 	if ok {
 		a.Host.ProofReceived(proof)
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -26,8 +26,8 @@
 // safe for concurrent use.
 type Relay struct {
 	// Host and Life name this host.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 
 	members map[string]*source
 	relays  map[string]*source
@@ -39,13 +39,13 @@
 
 // source is what a host or a relay told last.
 type source struct {
-	life    uint64
-	seq     uint32
-	heard   time.Duration
-	hosts   int
-	address string
-	lost    []string
-	words   Words
+	incarnation uint64
+	seq         uint32
+	heard       time.Duration
+	hosts       int
+	address     string
+	lost        []string
+	words       Words
 }
 
 // init makes the maps.
@@ -62,7 +62,7 @@
 func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
-	used, ok := hear(r.members, b.Host, &source{life: b.Life, seq: b.Seq, heard: now, hosts: 1, address: b.Info.Address, words: b.Words})
+	used, ok := hear(r.members, b.Host, &source{incarnation: b.Incarnation, seq: b.Seq, heard: now, hosts: 1, address: b.Info.Address, words: b.Words})
 	if !ok {
 		return
 	}
@@ -75,7 +75,7 @@
 // ReceivePartial takes another relay's part.
 func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
-	used, ok := hear(r.relays, d.Host, &source{life: d.Life, seq: d.Seq, heard: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
+	used, ok := hear(r.relays, d.Host, &source{incarnation: d.Incarnation, seq: d.Seq, heard: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
 	if !ok {
 		return
 	}
@@ -89,11 +89,11 @@
 // were overtaken.
 func hear(from map[string]*source, name string, s *source) (map[string]float64, bool) {
 	old := from[name]
-	if old != nil && old.life == s.life && s.seq <= old.seq {
+	if old != nil && old.incarnation == s.incarnation && s.seq <= old.seq {
 		return nil, false
 	}
 	from[name] = s
-	if old == nil || old.life != s.life {
+	if old == nil || old.incarnation != s.incarnation {
 		return nil, true
 	}
 	used := make(map[string]float64)
@@ -147,7 +147,7 @@
 // PartialDigest is the sum of the members, for other relays.
 func (r *Relay) PartialDigest(now time.Duration) Digest {
 	r.expire(now)
-	d := Digest{Host: r.Host, Life: r.Life, Partial: true, Echo: make(map[string]uint32)}
+	d := Digest{Host: r.Host, Incarnation: r.Incarnation, Partial: true, Echo: make(map[string]uint32)}
 	var sum loadSum
 	for _, s := range r.members {
 		d.Hosts += s.hosts
@@ -164,7 +164,7 @@
 // FullDigest is the sum of all hosts, for the members.
 func (r *Relay) FullDigest(now time.Duration) Digest {
 	r.expire(now)
-	d := Digest{Host: r.Host, Life: r.Life, Echo: make(map[string]uint32)}
+	d := Digest{Host: r.Host, Incarnation: r.Incarnation, Echo: make(map[string]uint32)}
 	var sum loadSum
 	for name, s := range r.members {
 		d.Hosts += s.hosts
--- a/peers/relayed.go
+++ b/peers/relayed.go
@@ -17,7 +17,7 @@
 	a.mu.Lock()
 	now := a.Now()
 	a.told.note(&b)
-	self := &Member{Host: b.Host, Life: b.Life, Info: b.Info}
+	self := &Member{Host: b.Host, Incarnation: b.Incarnation, Info: b.Info}
 	up := a.uplink.choose(now, b.Host, a.Table.Relays(now, b.Info.Zone, self))
 	var to []string
 	switch up {
@@ -70,7 +70,7 @@
 // otherRelays are the addresses of the first choices of all zones, but for this host; mu
 // must be held.
 func (a *Agent) otherRelays(now time.Duration, b *Heartbeat) []string {
-	self := &Member{Host: b.Host, Life: b.Life, Info: b.Info}
+	self := &Member{Host: b.Host, Incarnation: b.Incarnation, Info: b.Info}
 	all := append(a.Table.Live(now), self)
 	var out []string
 	for _, zone := range zonesOf(all) {
--- a/peers/start_test.go
+++ b/peers/start_test.go
@@ -58,7 +58,7 @@
 		s.told = s.now()
 	}
 	s.agent = &Agent{
-		Table: &Table{Host: fmt.Sprintf("h%03d", i), Life: uint64(s.now()) + 1}, Conn: s.conn, Seeds: seeds, Host: s, Now: s.now,
+		Table: &Table{Host: fmt.Sprintf("h%03d", i), Incarnation: uint64(s.now()) + 1}, Conn: s.conn, Seeds: seeds, Host: s, Now: s.now,
 		Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: logr.Discard(),
 	}
 	s.agent.Init()
@@ -131,7 +131,7 @@
 				time.Sleep(5 * time.Second)
 				seen := make(map[int]int)
 				for _, n := range nodes {
-					turn, far := n.agent.Turn()
+					turn, far := n.agent.ReadRank()
 					seen[turn]++
 					must.EqOp(t, tc.hosts > fanout+1, far)
 					if _, relay := n.agent.Relaying(); relay {
@@ -142,7 +142,7 @@
 				must.EqOp(t, 1, seen[1])
 				nodes[0].conn.silence()
 				time.Sleep(30 * time.Second)
-				turn, far := nodes[0].agent.Turn()
+				turn, far := nodes[0].agent.ReadRank()
 				must.EqOp(t, 0, turn)
 				must.False(t, far)
 				cancel()
--- a/peers/table.go
+++ b/peers/table.go
@@ -36,8 +36,8 @@
 // Member is another host.
 type Member struct {
 	// Host and Life name it.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 	// Info is what it told.
 	Info HostInfo
 	// LastHeard is when it was last known to live.
@@ -64,8 +64,8 @@
 // Table is what a host knows of the others. It is pure and not safe for concurrent use.
 type Table struct {
 	// Host and Life name this host.
-	Host string
-	Life uint64
+	Host        string
+	Incarnation uint64
 	// SilenceTimeout and Forget are silences; see the defaults.
 	SilenceTimeout, ForgetTimeout time.Duration
 
@@ -108,15 +108,15 @@
 		return Proof{}, false
 	}
 	m := t.member(b.Host)
-	if b.Life == m.Life && b.Seq <= m.lastSeq {
+	if b.Incarnation == m.Incarnation && b.Seq <= m.lastSeq {
 		return Proof{}, false
 	}
-	if b.Life != m.Life || b.LoadSeq >= m.loadSeq {
+	if b.Incarnation != m.Incarnation || b.LoadSeq >= m.loadSeq {
 		m.Load, m.Waiting, m.loadSeq = b.Load, b.Waiting, b.LoadSeq
 	}
 	m.setRow(now, b.Info)
 	t.back(now, m)
-	m.Life, m.lastSeq = b.Life, b.Seq
+	m.Incarnation, m.lastSeq = b.Incarnation, b.Seq
 	m.LastHeard, m.direct = now, now
 	for _, k := range b.Known {
 		t.hearOf(now, k)
@@ -130,11 +130,11 @@
 		return Proof{}, false
 	}
 	m := t.member(d.Host)
-	if d.Life == m.Life && d.Seq <= m.lastSeq {
+	if d.Incarnation == m.Incarnation && d.Seq <= m.lastSeq {
 		return Proof{}, false
 	}
 	m.setRow(now, d.Info)
-	m.Life, m.lastSeq = d.Life, d.Seq
+	m.Incarnation, m.lastSeq = d.Incarnation, d.Seq
 	m.LastHeard, m.direct = now, now
 	for _, k := range d.Known {
 		t.hearOf(now, k)
@@ -150,7 +150,7 @@
 // MarkAlive notes that a known member, in one life of its process or in the one that is known if life is 0, sent something but a heartbeat. A relay that
 // lost some heartbeats takes it for silent; who hears from it knows better.
 func (t *Table) MarkAlive(now time.Duration, host string, life uint64) {
-	if m := t.members[host]; m != nil && (life == 0 || life == m.Life) {
+	if m := t.members[host]; m != nil && (life == 0 || life == m.Incarnation) {
 		t.back(now, m)
 		m.LastHeard, m.direct = now, now
 	}
@@ -240,8 +240,8 @@
 	}
 	m := t.member(k.Host)
 	if m.Info.Address == "" || (heard > m.direct && heard > m.LastHeard) {
-		if m.Life != k.Life {
-			m.Life, m.lastSeq, m.loadSeq = k.Life, 0, 0
+		if m.Incarnation != k.Incarnation {
+			m.Incarnation, m.lastSeq, m.loadSeq = k.Incarnation, 0, 0
 		}
 		m.setRow(now, k.Info)
 		t.back(now, m)
@@ -350,7 +350,7 @@
 
 // known is how a member is passed on.
 func (m *Member) known(now time.Duration) KnownHost {
-	return KnownHost{m.Host, m.Life, m.Info, (now - m.LastHeard).Milliseconds()}
+	return KnownHost{m.Host, m.Incarnation, m.Info, (now - m.LastHeard).Milliseconds()}
 }
 
 // heardSeq is the number of the newest heartbeat heard of a host, 0 for none.
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -16,7 +16,7 @@
 // beat makes a heartbeat as a host would send it.
 func beat(t *Table, now time.Duration, to []*Member, age int64) *Heartbeat {
 	return &Heartbeat{
-		Host: t.Host, Life: t.Life, Seq: t.NextSeq(now), Echo: t.Echo(to), Known: t.KnownHosts(now, ""),
+		Host: t.Host, Incarnation: t.Incarnation, Seq: t.NextSeq(now), Echo: t.Echo(to), Known: t.KnownHosts(now, ""),
 		Info: HostInfo{Address: t.Host, Ready: true}, Words: Words{Settings: Stamp{Revision: 7, AgeMS: age}, Endpoints: Stamp{AgeMS: -1}},
 	}
 }
@@ -26,7 +26,7 @@
 func TestProofNeverTooYoung(t *testing.T) {
 	const proven = 10 * time.Second
 	r := rand.New(rand.NewPCG(3, 4))
-	a, b := &Table{Host: "a", Life: 1}, &Table{Host: "b", Life: 2}
+	a, b := &Table{Host: "a", Incarnation: 1}, &Table{Host: "b", Incarnation: 2}
 	type mail struct {
 		at time.Duration
 		to *Table
@@ -69,28 +69,28 @@
 		at   time.Duration
 		live []string
 	}{
-		{"heard", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1}) }, time.Second, []string{"b"}},
-		{"silent", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1}) }, 2 * time.Second, nil},
-		{"itself", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "a", Life: 9, Seq: 1}) }, 0, nil},
+		{"heard", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 1}) }, time.Second, []string{"b"}},
+		{"silent", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 1}) }, 2 * time.Second, nil},
+		{"itself", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Host: "a", Incarnation: 9, Seq: 1}) }, 0, nil},
 		{"nameless", func(tb *Table) { tb.ReceiveHeartbeat(0, &Heartbeat{Seq: 1}) }, 0, nil},
 		{"a heartbeat that comes twice keeps nobody alive", func(tb *Table) {
-			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 5})
-			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 1, Seq: 5})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 5})
+			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Incarnation: 1, Seq: 5})
 		}, 2 * time.Second, nil},
 		{"a new life starts its numbers again", func(tb *Table) {
-			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 500})
-			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Life: 2, Seq: 1})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 500})
+			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Incarnation: 2, Seq: 1})
 		}, 2 * time.Second, []string{"b"}},
 		{"heard of", func(tb *Table) {
-			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Info: HostInfo{Address: "c"}, Age: 300}}})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 1, Known: []KnownHost{{Host: "c", Incarnation: 1, Info: HostInfo{Address: "c"}, Age: 300}}})
 		}, 500 * time.Millisecond, []string{"b", "c"}},
 		{"heard of long ago", func(tb *Table) {
-			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1, Known: []KnownHost{{Host: "c", Life: 1, Age: 30000}}})
+			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 1, Known: []KnownHost{{Host: "c", Incarnation: 1, Age: 30000}}})
 		}, 0, []string{"b"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			tb := &Table{Host: "a", Life: 1}
+			tb := &Table{Host: "a", Incarnation: 1}
 			tc.do(tb)
 			var names []string
 			for _, m := range tb.Live(tc.at) {
@@ -104,7 +104,7 @@
 // TestForget checks that a silent host is counted for a while and then dropped.
 func TestForget(t *testing.T) {
 	tb := &Table{Host: "a"}
-	tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Life: 1, Seq: 1})
+	tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 1})
 	must.Len(t, 1, tb.Unexpired(DefaultForgetTimeout))
 	must.Len(t, 0, tb.Unexpired(DefaultForgetTimeout+1))
 	must.MapEmpty(t, tb.members)
@@ -120,7 +120,7 @@
 			names := make([]string, n)
 			for i := range names {
 				names[i] = fmt.Sprintf("h%03d", i)
-				tables[names[i]] = &Table{Host: names[i], Life: 1}
+				tables[names[i]] = &Table{Host: names[i], Incarnation: 1}
 			}
 			rounds, full := 0, false
 			for ; rounds < 60 && !full; rounds++ {
@@ -147,13 +147,13 @@
 func BenchmarkHear(b *testing.B) {
 	for _, n := range []int{6, 60, 930} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tb := &Table{Host: "a", Life: 1}
+			tb := &Table{Host: "a", Incarnation: 1}
 			for i := range n {
-				tb.ReceiveHeartbeat(0, &Heartbeat{Host: fmt.Sprint(i), Life: 1, Seq: 1})
+				tb.ReceiveHeartbeat(0, &Heartbeat{Host: fmt.Sprint(i), Incarnation: 1, Seq: 1})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				tb.ReceiveHeartbeat(time.Duration(i), &Heartbeat{Host: "0", Life: 1, Seq: uint32(i + 2)})
+				tb.ReceiveHeartbeat(time.Duration(i), &Heartbeat{Host: "0", Incarnation: 1, Seq: uint32(i + 2)})
 				tb.Live(time.Duration(i))
 			}
 		})
--- a/peers/turn.go
+++ b/peers/turn.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turn is this host's place in the order in which hosts read the store for each other, and far tells
+// ReadRank is this host's place in the order in which hosts read the store for each other, and far tells
 // whether proofs reach it by way of relays. In small fleets the order is drawn from names. In those with relays these
 // come first, whose words reach all hosts of their zone soonest. A host that hears no other has turn 0.
-func (a *Agent) Turn() (turn int, far bool) {
+func (a *Agent) ReadRank() (turn int, far bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
@@ -21,7 +21,7 @@
 	if len(live) == 0 {
 		return 0, false
 	}
-	self := &Member{Host: a.Table.Host, Life: a.Table.Life, Info: a.row}
+	self := &Member{Host: a.Table.Host, Incarnation: a.Table.Incarnation, Info: a.row}
 	if !a.relayed() {
 		return before(live, self.Host), false
 	}
--- a/peers/update.go
+++ b/peers/update.go
@@ -10,8 +10,8 @@
 // one datagram of JSON. A lost one is made good by the next heartbeat, which tells all.
 type Update struct {
 	// Host names the sender, Life one run of its process.
-	Host string `json:"h"`
-	Life uint64 `json:"l"`
+	Host        string `json:"h"`
+	Incarnation uint64 `json:"l"`
 	// LoadSeq numbers the loads that the sender told, in updates and heartbeats.
 	LoadSeq uint32 `json:"n"`
 	// Load is what the sender has running now at the endpoints where that changed.
@@ -24,7 +24,7 @@
 // overtaken, or that comes from a host or a life not known yet, does not.
 func (t *Table) ReceiveUpdate(u *Update) bool {
 	m := t.members[u.Host]
-	if m == nil || m.Life != u.Life || u.LoadSeq <= m.loadSeq {
+	if m == nil || m.Incarnation != u.Incarnation || u.LoadSeq <= m.loadSeq {
 		return false
 	}
 	m.loadSeq = u.LoadSeq
--- a/peers/update_test.go
+++ b/peers/update_test.go
@@ -15,11 +15,11 @@
 // holds of that host's loads in the end must be the newest that was told.
 func TestUpdates(t *testing.T) {
 	two, three, none := Load{Running: 2}, Load{Running: 3}, Load{}
-	first := &Heartbeat{Host: "b", Life: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
-	second := &Update{Host: "b", Life: 1, LoadSeq: 2, Load: map[string]Load{"f": two}, Waiting: map[string][]int{"s": {1}}}
-	third := &Update{Host: "b", Life: 1, LoadSeq: 3, Load: map[string]Load{"e": none, "f": three}}
-	full := &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
-	reborn := &Heartbeat{Host: "b", Life: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
+	first := &Heartbeat{Host: "b", Incarnation: 1, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"e": two}}}
+	second := &Update{Host: "b", Incarnation: 1, LoadSeq: 2, Load: map[string]Load{"f": two}, Waiting: map[string][]int{"s": {1}}}
+	third := &Update{Host: "b", Incarnation: 1, LoadSeq: 3, Load: map[string]Load{"e": none, "f": three}}
+	full := &Heartbeat{Host: "b", Incarnation: 1, Seq: 2, Words: Words{LoadSeq: 4, Load: map[string]Load{"f": three}}}
+	reborn := &Heartbeat{Host: "b", Incarnation: 2, Seq: 1, Words: Words{LoadSeq: 1, Load: map[string]Load{"g": two}}}
 	cases := []struct {
 		name    string
 		heard   []any
@@ -29,14 +29,14 @@
 		{"in order", []any{first, second}, map[string]Load{"e": two, "f": two}, 1},
 		{"an endpoint without requests any more", []any{first, second, third}, map[string]Load{"e": none, "f": three}, 0},
 		{"an overtaken update is passed over", []any{first, third, second}, map[string]Load{"e": none, "f": three}, 0},
-		{"an overtaken heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Life: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
+		{"an overtaken heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Incarnation: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
 		{"a lost update is made good", []any{first, full}, map[string]Load{"f": three}, 0},
 		{"an update of a host not known yet", []any{second}, nil, 0},
 		{"an update of an ended life", []any{first, reborn, third}, map[string]Load{"g": two}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			table := &Table{Host: "a", Life: 9}
+			table := &Table{Host: "a", Incarnation: 9}
 			var given []Member
 			for _, msg := range tc.heard {
 				switch msg := msg.(type) {
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -62,7 +62,7 @@
 // hear takes a digest of the relay in use and returns what the other hosts used.
 func (u *uplink) hear(now time.Duration, d *Digest, told *history) (Usage, bool) {
 	old := u.digest
-	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Life == d.Life && d.Seq <= old.Seq) {
+	if d.Partial || d.Host != u.host || (old != nil && old.Host == d.Host && old.Incarnation == d.Incarnation && d.Seq <= old.Seq) {
 		return Usage{}, false
 	}
 	u.heard = now
@@ -79,7 +79,7 @@
 	for ws, n := range d.Used {
 		used[ws] = n - own.Used[ws]
 	}
-	return Usage{Source: d.Host, Life: d.Life, Hosts: d.Hosts - 1, Used: used, Left: d.Left}, true
+	return Usage{Source: d.Host, Incarnation: d.Incarnation, Hosts: d.Hosts - 1, Used: used, Left: d.Left}, true
 }
 
 // others gives what the other hosts have running and waiting by the last digest: the sum
--- a/peers/woke_test.go
+++ b/peers/woke_test.go
@@ -180,7 +180,7 @@
 			return n
 		})
 		time.Sleep(time.Second)
-		told := &Heartbeat{Host: "h001", Life: nodes[1].agent.Table.Life, Words: Words{Crashes: quarantine.Evidence{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
+		told := &Heartbeat{Host: "h001", Incarnation: nodes[1].agent.Table.Incarnation, Words: Words{Crashes: quarantine.Evidence{Clears: []quarantine.Clear{{AgeMS: 1}}}}}
 		tell := func() {
 			told.Seq = 1000 + nodes[1].agent.Table.seq
 			nodes[1].agent.write(told, []string{nodes[0].row.Address})
--- a/placer/demand.go
+++ b/placer/demand.go
@@ -47,12 +47,12 @@
 type demands map[string]*demand
 
 // note takes the reports of one sweep.
-func (ds demands) note(wishes []Wish, engines []Engine) {
+func (ds demands) note(wishes []DesiredPlacement, engines []Engine) {
 	for i := range wishes {
 		w := &wishes[i]
 		busy, slots := 0, 0
 		for _, e := range engines {
-			if e.Reachable && same(e.Holding, w.holding()) && e.Role != RoleDrain {
+			if e.Reachable && same(e.Loaded, w.holding()) && e.Role != RoleDrain {
 				busy += e.Busy
 				slots += e.Slots
 			}
@@ -75,8 +75,8 @@
 
 // extras returns wishes for what demand adds to the declared replicas. They come
 // last, so that they get only engines that no placement needs.
-func (ds demands) extras(wishes []Wish) []Wish {
-	var out []Wish
+func (ds demands) extras(wishes []DesiredPlacement) []DesiredPlacement {
+	var out []DesiredPlacement
 	for _, w := range wishes {
 		d := ds[w.Name]
 		if d == nil || d.extra == 0 || w.Replicas == 0 {
--- a/placer/demand_test.go
+++ b/placer/demand_test.go
@@ -42,7 +42,7 @@
 
 func TestDemandTakesOnlyWhatNobodyNeeds(t *testing.T) {
 	ds := demands{}
-	wishes := []Wish{wish("a", "1", 1, 0), wish("b", "1", 2, 1)}
+	wishes := []DesiredPlacement{wish("a", "1", 1, 0), wish("b", "1", 2, 1)}
 	busy := serving("x", holds("a", "1"))
 	busy.Busy, busy.Slots = 8, 8
 	engines := []Engine{busy, serving("y", holds("b", "1")), serving("z", nil)}
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -47,7 +47,7 @@
 		name := fmt.Sprintf("e%02d", i)
 		e := &fake.Engine{Core: fake.EngineCore{Slots: 4, PrefillPerStep: 512, CacheBlocks: 10}, StepTime: 5 * time.Millisecond, Store: b.store, Unfenced: !fenced}
 		if held {
-			e.Hold(*holds("m", "1"))
+			e.SetLoaded(*holds("m", "1"))
 		}
 		b.engines[name] = e
 		b.net[name] = e.Handler()
@@ -108,7 +108,7 @@
 	n := 0
 	for name := range b.engines {
 		rep, err := b.reach(settings.Endpoint{Name: name}).Report(b.ctx, noEvents)
-		if err == nil && rep.Holding != nil && rep.Role != RoleDrain && (version == "" || rep.Holding.Version == version) {
+		if err == nil && rep.Loaded != nil && rep.Role != RoleDrain && (version == "" || rep.Loaded.Version == version) {
 			n++
 		}
 	}
@@ -153,7 +153,7 @@
 	}{
 		{"empty engines are filled", engines, func(b *bay) time.Duration {
 			for _, e := range b.engines {
-				e.Hold(*holds("other", "9"))
+				e.SetLoaded(*holds("other", "9"))
 			}
 			b.add(b.kv)
 			return b.until("1")
@@ -205,7 +205,7 @@
 			return b.until("2")
 		}},
 		{"weight store ten times slower", engines, func(b *bay) time.Duration {
-			b.store.SetFaults(fake.WeightFaults{SlowBy: 10})
+			b.store.SetFaults(fake.WeightFaults{Slowdown: 10})
 			b.add(b.kv)
 			b.declare("2", engines, true)
 			return b.until("2")
@@ -282,7 +282,7 @@
 				b.until("2")
 				if fenced {
 					err := b.reach(settings.Endpoint{Name: "e00"}).Order(b.ctx, endpoint.Order{Token: stale, Want: holds("m", "1"), Role: "both"})
-					must.ErrorIs(t, err, endpoint.ErrStale)
+					must.ErrorIs(t, err, endpoint.ErrStaleToken)
 					must.Eq(t, 2, b.serving("2"))
 				}
 			})
@@ -293,11 +293,11 @@
 func TestGuardTimeOfUnfencedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: clock.NewSteady()}
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		must.True(t, l.MayOrder(true))
 		must.False(t, l.MayOrder(false))
 		time.Sleep(DefaultTTL - time.Second)
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		must.False(t, l.MayOrder(false))
 		time.Sleep(time.Second)
 		must.True(t, l.MayOrder(false))
@@ -316,9 +316,9 @@
 		var asleep time.Duration
 		c := clock.NewSteady().Skewed(func() time.Duration { return asleep })
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: c}
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(DefaultTTL - time.Second)
-		must.NoError(t, l.Step(t.Context()))
+		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(time.Second)
 		must.True(t, l.MayOrder(false))
 		asleep = DefaultTTL / 2
--- a/placer/lease.go
+++ b/placer/lease.go
@@ -21,8 +21,8 @@
 	renewals = 3
 )
 
-// KeyShard is followed by the zone.
-const KeyShard = "placement/"
+// ShardKeyPrefix is followed by the zone.
+const ShardKeyPrefix = "placement/"
 
 // Lease is one host's claim on a shard. Its fields are exported for read-outs.
 type Lease struct {
@@ -57,8 +57,8 @@
 // Token is the fencing token: the version of the key's write, which only rises.
 func (l *Lease) Token() uint64 { return l.token }
 
-// Step renews the lease if it is held, or tries to acquire it.
-func (l *Lease) Step(ctx context.Context) error {
+// RenewOrAcquire renews the lease if it is held, or tries to acquire it.
+func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	if l.token != 0 {
 		return l.renew(ctx)
 	}
@@ -73,7 +73,7 @@
 	switch {
 	case err == nil:
 		l.renewed = sent
-	case errors.Is(err, keyval.ErrLeaseGone), l.Clock.Now()-l.renewed >= l.ttl():
+	case errors.Is(err, keyval.ErrLeaseExpired), l.Clock.Now()-l.renewed >= l.ttl():
 		l.token, l.id = 0, 0
 	}
 	return err
--- a/placer/manager.go
+++ b/placer/manager.go
@@ -30,9 +30,9 @@
 	// Engine gives the means to reach an engine.
 	Engine func(settings.Endpoint) endpoint.Engine
 	// Limits, TTL and Sweep are those of each Placer.
-	Limits Limits
-	TTL    time.Duration
-	Sweep  time.Duration
+	Limits        Limits
+	TTL           time.Duration
+	SweepInterval time.Duration
 	// Log takes changes of state.
 	Log logr.Logger
 
@@ -65,7 +65,7 @@
 	p := &Placer{
 		Name: m.Name, Zone: zone, KV: m.KV, Weights: m.Weights, Settings: m.Settings,
 		Candidate: func() bool { return m.Candidate(zone) }, Engine: m.Engine,
-		Limits: m.Limits, TTL: m.TTL, Sweep: m.Sweep, Log: m.Log,
+		Limits: m.Limits, TTL: m.TTL, SweepInterval: m.SweepInterval, Log: m.Log,
 	}
 	m.placers[zone] = p
 	go p.Run(ctx)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -20,8 +20,8 @@
 
 // Defaults of a Placer.
 const (
-	// DefaultSweep is the time between readings of all engines of the zone.
-	DefaultSweep = 2 * time.Second
+	// DefaultSweepInterval is the time between readings of all engines of the zone.
+	DefaultSweepInterval = 2 * time.Second
 	// callTimeout bounds one call to an engine.
 	callTimeout = 2 * time.Second
 	// firstBackoff is the time after a failed load, doubled with each failure up
@@ -51,8 +51,8 @@
 	// Limits bound what changes at once.
 	Limits Limits
 	// TTL and Sweep default to the constants above.
-	TTL   time.Duration
-	Sweep time.Duration
+	TTL           time.Duration
+	SweepInterval time.Duration
 	// Clock is the host's clock; nil means one that counts suspensions.
 	Clock *clock.Clock
 	// Log takes changes of state.
@@ -61,7 +61,7 @@
 	mu      sync.Mutex
 	lease   Lease
 	failed  map[string]failure
-	loading map[string]*endpoint.Holding
+	loading map[string]*endpoint.ModelSpec
 	drains  map[string]time.Duration // when an engine was first seen to drain
 	demand  demands
 	counts  Counts
@@ -105,12 +105,12 @@
 		p.Clock = clock.New()
 	}
 	p.failed = make(map[string]failure)
-	p.loading = make(map[string]*endpoint.Holding)
+	p.loading = make(map[string]*endpoint.ModelSpec)
 	p.drains = make(map[string]time.Duration)
 	p.demand = make(demands)
-	p.lease = Lease{KV: p.KV, Key: KeyShard + p.Zone, Holder: p.Name, TTL: p.TTL, Clock: p.Clock}
-	if p.Sweep == 0 {
-		p.Sweep = DefaultSweep
+	p.lease = Lease{KV: p.KV, Key: ShardKeyPrefix + p.Zone, Holder: p.Name, TTL: p.TTL, Clock: p.Clock}
+	if p.SweepInterval == 0 {
+		p.SweepInterval = DefaultSweepInterval
 	}
 	renew := p.lease.ttl() / renewals
 	p.mu.Unlock()
@@ -136,10 +136,10 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	held, had := l.Held(), l.token != 0
-	err := l.Step(ctx)
+	err := l.RenewOrAcquire(ctx)
 	if err == nil && !l.Held() {
 		// A claim taken up again counts from its first answered renewal.
-		_ = l.Step(ctx)
+		_ = l.RenewOrAcquire(ctx)
 	}
 	p.mu.Lock()
 	if had && p.lease.token == 0 {
@@ -159,7 +159,7 @@
 		p.sweep(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(p.Sweep):
+		case <-time.After(p.SweepInterval):
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	specs := zoneEngines(snap, p.Zone)
 	states := p.read(ctx, specs)
-	wishes := Wishes(snap, p.Zone)
+	wishes := DesiredPlacements(snap, p.Zone)
 	p.holdBack(wishes)
 	p.demand.note(wishes, states)
 	orders := Plan(p.Clock.Now(), append(wishes, p.demand.extras(wishes)...), states, p.Limits)
@@ -197,9 +197,9 @@
 	return out
 }
 
-// Wishes returns the placements of a zone, each with the rank of the highest tier
+// DesiredPlacements returns the placements of a zone, each with the rank of the highest tier
 // that may use its model.
-func Wishes(s *settings.Snapshot, zone string) []Wish {
+func DesiredPlacements(s *settings.Snapshot, zone string) []DesiredPlacement {
 	ranks := make(map[string]int)
 	for _, ws := range s.Workspaces() {
 		for _, ref := range s.Refs(ws) {
@@ -215,7 +215,7 @@
 			}
 		}
 	}
-	var out []Wish
+	var out []DesiredPlacement
 	for _, pl := range s.Fleet.Placements {
 		if pl.Zone != "" && pl.Zone != zone {
 			continue
@@ -224,7 +224,7 @@
 		if !ok {
 			r = len(s.Fleet.Tiers)
 		}
-		out = append(out, Wish{Placement: pl, Rank: r})
+		out = append(out, DesiredPlacement{Placement: pl, Rank: r})
 	}
 	return out
 }
@@ -259,11 +259,11 @@
 	if err != nil {
 		return st
 	}
-	st.Holding, st.Loading, st.Role = rep.Holding, rep.Loading, rep.Role
+	st.Loaded, st.Loading, st.Role = rep.Loaded, rep.Loading, rep.Role
 	st.Busy, st.Slots = rep.Running+rep.Waiting, rep.Slots
 	st.Served, st.Errors = rep.Served, rep.Errors
 	p.noteLoad(e.Name, rep)
-	st.Drained = p.noteDrain(e.Name, rep.Role == RoleDrain)
+	st.DrainTime = p.noteDrain(e.Name, rep.Role == RoleDrain)
 	return st
 }
 
@@ -295,7 +295,7 @@
 	key := want.Model + "@" + want.Version
 	now := p.Clock.Now()
 	switch {
-	case same(rep.Holding, want):
+	case same(rep.Loaded, want):
 		delete(p.loading, name)
 		delete(p.failed, key)
 	case rep.Loading == nil:
@@ -313,7 +313,7 @@
 }
 
 // holdBack sets when the wishes whose loads failed may be tried again.
-func (p *Placer) holdBack(wishes []Wish) {
+func (p *Placer) holdBack(wishes []DesiredPlacement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range wishes {
@@ -322,13 +322,13 @@
 }
 
 // noteUnplaced counts the replicas that are missing.
-func (p *Placer) noteUnplaced(wishes []Wish, states []Engine) {
+func (p *Placer) noteUnplaced(wishes []DesiredPlacement, states []Engine) {
 	n := 0
 	for i := range wishes {
 		w := &wishes[i]
 		have := 0
 		for _, e := range states {
-			if e.Reachable && same(e.Holding, w.holding()) && e.Role == w.Role {
+			if e.Reachable && same(e.Loaded, w.holding()) && e.Role == w.Role {
 				have++
 			}
 		}
@@ -369,7 +369,7 @@
 		p.counts.Loads++
 		p.loading[o.Engine] = o.Want
 	}
-	if err == endpoint.ErrStale {
+	if err == endpoint.ErrStaleToken {
 		p.counts.Stale++
 		p.lease.token = 0
 		p.Log.Info("order refused for an older token", "zone", p.Zone, "endpoint", o.Engine)
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -25,17 +25,17 @@
 	Reachable bool
 	// Leaving says that it gets no new work.
 	Leaving bool
-	// Holding and Loading are from its report; Role too.
-	Holding, Loading *endpoint.Holding
-	Role             string
+	// Loaded and Loading are from its report; Role too.
+	Loaded, Loading *endpoint.ModelSpec
+	Role            string
 	// Busy is the number of requests running or waiting there.
 	Busy int
 	// Slots is the number of requests that it runs at once.
 	Slots int
 	// Served and Errors count requests since it started.
 	Served, Errors int64
-	// Drained is how long its reports have said that it drains.
-	Drained time.Duration
+	// DrainTime is how long its reports have said that it drains.
+	DrainTime time.Duration
 }
 
 // Order is what an engine shall be.
@@ -43,7 +43,7 @@
 	// Engine is its name.
 	Engine string
 	// Want is what it shall hold and Role what it shall do.
-	Want *endpoint.Holding
+	Want *endpoint.ModelSpec
 	Role string
 	// Load says that obeying it means loading weights.
 	Load bool
@@ -51,32 +51,32 @@
 
 // Limits bound what a plan changes at once; a zero field means the default named.
 type Limits struct {
-	// Loads is the number of engines of a zone that load at once; default 2.
-	Loads int
-	// Share is the largest part of a model's engines that a new version takes out
+	// MaxLoads is the number of engines of a zone that load at once; default 2.
+	MaxLoads int
+	// MaxShare is the largest part of a model's engines that a new version takes out
 	// at once; default 0.25, but one at least.
-	Share float64
-	// ErrorShare stops a version whose engines fail more than that part of their
+	MaxShare float64
+	// MaxErrorRatio stops a version whose engines fail more than that part of their
 	// requests; default 0.05, and ErrorLeast is the least number; default 5.
-	ErrorShare float64
-	ErrorLeast int64
-	// Settle is how long an engine must have drained before it is reloaded: until
+	MaxErrorRatio float64
+	MinErrors     int64
+	// MinDrainTime is how long an engine must have drained before it is reloaded: until
 	// every host has read a report that says so; default 6 s.
-	Settle time.Duration
+	MinDrainTime time.Duration
 }
 
 // withDefaults fills in the fields that are zero.
 func (l Limits) withDefaults() Limits {
-	l.Loads = cmp.Or(l.Loads, 2)
-	l.Share = cmp.Or(l.Share, 0.25)
-	l.ErrorShare = cmp.Or(l.ErrorShare, 0.05)
-	l.ErrorLeast = cmp.Or(l.ErrorLeast, 5)
-	l.Settle = cmp.Or(l.Settle, 6*time.Second)
+	l.MaxLoads = cmp.Or(l.MaxLoads, 2)
+	l.MaxShare = cmp.Or(l.MaxShare, 0.25)
+	l.MaxErrorRatio = cmp.Or(l.MaxErrorRatio, 0.05)
+	l.MinErrors = cmp.Or(l.MinErrors, 5)
+	l.MinDrainTime = cmp.Or(l.MinDrainTime, 6*time.Second)
 	return l
 }
 
-// Wish is a placement of one zone with its urgency.
-type Wish struct {
+// DesiredPlacement is a placement of one zone with its urgency.
+type DesiredPlacement struct {
 	settings.Placement
 	// Rank is that of the highest tier that uses the model, 0 the most urgent.
 	Rank int
@@ -86,12 +86,12 @@
 }
 
 // holding is what an engine of the wish holds.
-func (w *Wish) holding() *endpoint.Holding {
-	return &endpoint.Holding{Model: w.Model, Version: w.Version, Adapters: w.Adapters}
+func (w *DesiredPlacement) holding() *endpoint.ModelSpec {
+	return &endpoint.ModelSpec{Model: w.Model, Version: w.Version, Adapters: w.Adapters}
 }
 
 // same compares two holdings.
-func same(a, b *endpoint.Holding) bool {
+func same(a, b *endpoint.ModelSpec) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -102,7 +102,7 @@
 type planner struct {
 	now    time.Duration
 	limits Limits
-	wishes []Wish
+	wishes []DesiredPlacement
 	list   []Engine
 	taken  map[string]int // engine to index of its wish
 	orders []Order
@@ -115,9 +115,9 @@
 // another version, then those no wish needs. An engine is drained before it is
 // reloaded, and no order takes a model's last serving engine while the model
 // is wished for.
-func Plan(now time.Duration, wishes []Wish, engines []Engine, l Limits) []Order {
+func Plan(now time.Duration, wishes []DesiredPlacement, engines []Engine, l Limits) []Order {
 	p := &planner{now: now, limits: l.withDefaults(), wishes: slices.Clone(wishes), taken: make(map[string]int)}
-	slices.SortStableFunc(p.wishes, func(a, b Wish) int { return cmp.Or(a.Rank-b.Rank, cmp.Compare(a.Name, b.Name)) })
+	slices.SortStableFunc(p.wishes, func(a, b DesiredPlacement) int { return cmp.Or(a.Rank-b.Rank, cmp.Compare(a.Name, b.Name)) })
 	for _, e := range engines {
 		if e.Reachable && !e.Leaving {
 			p.list = append(p.list, e)
@@ -141,7 +141,7 @@
 		left := w.Replicas
 		for _, loading := range []bool{false, true} {
 			for _, e := range p.list {
-				h := e.Holding
+				h := e.Loaded
 				if loading {
 					h = e.Loading
 				}
@@ -178,10 +178,10 @@
 	missing := w.Replicas - p.have(i)
 	allowed := p.rolling(w)
 	for _, e := range p.candidates(w) {
-		if missing <= 0 || p.loads >= p.limits.Loads {
+		if missing <= 0 || p.loads >= p.limits.MaxLoads {
 			return
 		}
-		older := e.Holding != nil && e.Holding.Model == w.Model
+		older := e.Loaded != nil && e.Loaded.Model == w.Model
 		if p.lastServing(e) || (older && allowed <= 0) {
 			continue
 		}
@@ -195,10 +195,10 @@
 }
 
 // change drains an engine or, once it is idle, orders the load.
-func (p *planner) change(e Engine, w *Wish) {
+func (p *planner) change(e Engine, w *DesiredPlacement) {
 	p.loads++
-	if e.Holding != nil && (e.Busy > 0 || e.Role != RoleDrain || e.Drained < p.limits.Settle) {
-		p.orders = append(p.orders, Order{Engine: e.Name, Want: e.Holding, Role: RoleDrain})
+	if e.Loaded != nil && (e.Busy > 0 || e.Role != RoleDrain || e.DrainTime < p.limits.MinDrainTime) {
+		p.orders = append(p.orders, Order{Engine: e.Name, Want: e.Loaded, Role: RoleDrain})
 		return
 	}
 	p.orders = append(p.orders, Order{Engine: e.Name, Want: w.holding(), Role: w.Role, Load: true})
@@ -207,7 +207,7 @@
 // candidates are the engines that may be taken for a wish, the best first:
 // draining ones go on, idle ones cost nothing, an older version of the model
 // is to be replaced, and what no wish needs comes last.
-func (p *planner) candidates(w *Wish) []Engine {
+func (p *planner) candidates(w *DesiredPlacement) []Engine {
 	var out []Engine
 	for _, e := range p.list {
 		if _, used := p.taken[e.Name]; used || e.Loading != nil {
@@ -217,11 +217,11 @@
 	}
 	rank := func(e Engine) int {
 		switch {
-		case e.Holding != nil && e.Role == RoleDrain:
+		case e.Loaded != nil && e.Role == RoleDrain:
 			return 0
-		case e.Holding == nil:
+		case e.Loaded == nil:
 			return 1
-		case e.Holding.Model == w.Model:
+		case e.Loaded.Model == w.Model:
 			return 2
 		}
 		return 3
@@ -233,15 +233,15 @@
 // lastServing reports whether an engine is the only one that serves a model
 // which a wish needs; an engine that drains already serves no more.
 func (p *planner) lastServing(e Engine) bool {
-	if e.Holding == nil || e.Role == RoleDrain {
+	if e.Loaded == nil || e.Role == RoleDrain {
 		return false
 	}
-	wanted := slices.ContainsFunc(p.wishes, func(w Wish) bool { return w.Model == e.Holding.Model && w.Replicas > 0 })
+	wanted := slices.ContainsFunc(p.wishes, func(w DesiredPlacement) bool { return w.Model == e.Loaded.Model && w.Replicas > 0 })
 	if !wanted {
 		return false
 	}
 	for _, o := range p.list {
-		if o.Name != e.Name && o.Holding != nil && o.Holding.Model == e.Holding.Model && o.Role != RoleDrain && !p.draining(o.Name) {
+		if o.Name != e.Name && o.Loaded != nil && o.Loaded.Model == e.Loaded.Model && o.Role != RoleDrain && !p.draining(o.Name) {
 			return false
 		}
 	}
@@ -254,27 +254,27 @@
 }
 
 // rolling is how many serving engines of a wish's model may be taken out now.
-func (p *planner) rolling(w *Wish) int {
+func (p *planner) rolling(w *DesiredPlacement) int {
 	n, out := 0, 0
 	for _, e := range p.list {
 		if e.Loading != nil && e.Loading.Model == w.Model {
 			out++
 		}
-		if e.Holding != nil && e.Holding.Model == w.Model {
+		if e.Loaded != nil && e.Loaded.Model == w.Model {
 			n++
 		}
 	}
-	return max(1, int(p.limits.Share*float64(n+out))) - out
+	return max(1, int(p.limits.MaxShare*float64(n+out))) - out
 }
 
 // failing reports whether the engines that hold a wish's version fail too much.
-func (p *planner) failing(w *Wish) bool {
+func (p *planner) failing(w *DesiredPlacement) bool {
 	var served, failed int64
 	for _, e := range p.list {
-		if same(e.Holding, w.holding()) {
+		if same(e.Loaded, w.holding()) {
 			served += e.Served
 			failed += e.Errors
 		}
 	}
-	return failed >= p.limits.ErrorLeast && float64(failed) > p.limits.ErrorShare*float64(served+failed)
+	return failed >= p.limits.MinErrors && float64(failed) > p.limits.MaxErrorRatio*float64(served+failed)
 }
--- a/placer/wasted_test.go
+++ b/placer/wasted_test.go
@@ -15,7 +15,7 @@
 
 // naive is the rule compared with: engines that can be reached are given to the
 // wishes in name order, anew at each sweep.
-func naive(wishes []Wish, engines []Engine) []Order {
+func naive(wishes []DesiredPlacement, engines []Engine) []Order {
 	var out []Order
 	i := 0
 	for w := range wishes {
@@ -24,7 +24,7 @@
 				continue
 			}
 			n++
-			if !same(engines[i].Holding, wishes[w].holding()) {
+			if !same(engines[i].Loaded, wishes[w].holding()) {
 				out = append(out, Order{Engine: engines[i].Name, Want: wishes[w].holding(), Role: "both", Load: true})
 			}
 		}
@@ -36,9 +36,9 @@
 // no report in 3 of 100, for wishes that never change and are met at the start.
 func TestWastedLoads(t *testing.T) {
 	const sweeps, silent = 500, 0.03
-	loads := func(plan func(time.Duration, []Wish, []Engine) []Order) int {
+	loads := func(plan func(time.Duration, []DesiredPlacement, []Engine) []Order) int {
 		rnd := rand.New(rand.NewPCG(1, 1))
-		wishes := []Wish{wish("a", "1", 11, 0), wish("b", "1", 5, 1)}
+		wishes := []DesiredPlacement{wish("a", "1", 11, 0), wish("b", "1", 5, 1)}
 		engines := make([]Engine, 18)
 		for i := range engines {
 			m := "a"
@@ -54,13 +54,13 @@
 				seen[i] = e
 				seen[i].Reachable = rnd.Float64() >= silent
 				if e.Role == RoleDrain {
-					seen[i].Drained = time.Minute
+					seen[i].DrainTime = time.Minute
 				}
 			}
-			for _, o := range plan(time.Duration(s)*DefaultSweep, wishes, seen) {
+			for _, o := range plan(time.Duration(s)*DefaultSweepInterval, wishes, seen) {
 				for i := range engines {
 					if engines[i].Name == o.Engine {
-						engines[i].Holding, engines[i].Role = o.Want, o.Role
+						engines[i].Loaded, engines[i].Role = o.Want, o.Role
 					}
 				}
 				if o.Load {
@@ -70,8 +70,8 @@
 		}
 		return n
 	}
-	own := loads(func(now time.Duration, w []Wish, e []Engine) []Order { return Plan(now, w, e, Limits{}) })
-	other := loads(func(_ time.Duration, w []Wish, e []Engine) []Order { return naive(w, e) })
+	own := loads(func(now time.Duration, w []DesiredPlacement, e []Engine) []Order { return Plan(now, w, e, Limits{}) })
+	other := loads(func(_ time.Duration, w []DesiredPlacement, e []Engine) []Order { return naive(w, e) })
 	t.Logf("loads without need in %d sweeps of 18 engines, 3 in 100 reports missing: %d, naive rule %d", sweeps, own, other)
 	must.Less(t, other/4, own)
 }
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -44,17 +44,17 @@
 	RateLimited      Kind = "rate-limited"
 	RetryBudget      Kind = "retry-budget"
 	DeadlineTooNear  Kind = "deadline-too-near"
-	Expired          Kind = "expired-id"
-	Closed           Kind = "closed-id"
+	ExpiredID        Kind = "expired-id"
+	ClosedID         Kind = "closed-id"
 	WitnessLost      Kind = "witness-lost"
 	OwnerLost        Kind = "owner-lost"
 	EndpointLost     Kind = "endpoint-lost"
 	BadAnswer        Kind = "bad-answer"
 	NotReady         Kind = "not-ready"
-	Cancelled        Kind = "cancelled"
+	Canceled         Kind = "cancelled"
 	InProgress       Kind = "in-progress"
 	AlreadyRun       Kind = "already-run"
-	Refused          Kind = "endpoint-refused"
+	EndpointRefused  Kind = "endpoint-refused"
 )
 
 // statusOf gives the HTTP status of each kind; a kind not listed is 502.
@@ -64,9 +64,9 @@
 	UnknownModel: http.StatusNotFound, NoEndpoint: http.StatusServiceUnavailable,
 	Overloaded: http.StatusServiceUnavailable, RateLimited: http.StatusTooManyRequests,
 	RetryBudget: http.StatusTooManyRequests, DeadlineTooNear: http.StatusServiceUnavailable,
-	Expired: http.StatusConflict, Closed: http.StatusConflict, WitnessLost: http.StatusServiceUnavailable,
-	NotReady:  http.StatusServiceUnavailable,
-	Cancelled: 499, InProgress: http.StatusConflict, AlreadyRun: http.StatusConflict,
+	ExpiredID: http.StatusConflict, ClosedID: http.StatusConflict, WitnessLost: http.StatusServiceUnavailable,
+	NotReady: http.StatusServiceUnavailable,
+	Canceled: 499, InProgress: http.StatusConflict, AlreadyRun: http.StatusConflict,
 }
 
 // Problem is an error with its outcome and remedy; it is also the JSON body of a refusal.
@@ -102,8 +102,8 @@
 	return p
 }
 
-// After sets the time after which to try again and returns p.
-func (p *Problem) After(d time.Duration) *Problem {
+// WithRetryAfter sets the time after which to try again and returns p.
+func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfterMS = d.Milliseconds()
 	return p
 }
@@ -121,8 +121,8 @@
 	return http.StatusBadGateway
 }
 
-// Of returns err as a Problem, wrapping an error of another type as BadRequest.
-func Of(err error) *Problem {
+// FromError returns err as a Problem, wrapping an error of another type as BadRequest.
+func FromError(err error) *Problem {
 	var p *Problem
 	if errors.As(err, &p) {
 		return p
--- a/revision/follower.go
+++ b/revision/follower.go
@@ -309,7 +309,7 @@
 		fleet = fleet || s == FleetShard
 	}
 	if !fleet {
-		return f.Snapshot().With(h.Revision, changed), nil
+		return f.Snapshot().WithShards(h.Revision, changed), nil
 	}
 	var all settings.Declaration
 	for _, r := range h.Chunks {
--- a/revision/head.go
+++ b/revision/head.go
@@ -130,7 +130,7 @@
 
 // shardOf returns the chunk's number of an entry.
 func shardOf(e settings.Entry) int {
-	top := settings.Top(e.Node)
+	top := settings.TopLevel(e.Node)
 	if top == "" {
 		return FleetShard
 	}
--- a/revision/store.go
+++ b/revision/store.go
@@ -43,8 +43,8 @@
 type Store struct {
 	// KV is the key-value service.
 	KV keyval.KV
-	// Pause is the time before a retry, 0 for 100 ms.
-	Pause time.Duration
+	// RetryDelay is the time before a retry, 0 for 100 ms.
+	RetryDelay time.Duration
 }
 
 // Load returns the head and the declaration in force; with none yet, an empty head.
@@ -121,7 +121,7 @@
 		if err == nil || !again(err) {
 			return done, err
 		}
-		pause := s.Pause
+		pause := s.RetryDelay
 		if pause == 0 {
 			pause = 100 * time.Millisecond
 		}
@@ -136,7 +136,7 @@
 // again reports whether an error may pass by itself.
 func again(err error) bool {
 	return errors.Is(err, keyval.ErrConflict) || errors.Is(err, keyval.ErrUnavailable) ||
-		errors.Is(err, keyval.ErrLimited) || errors.Is(err, keyval.ErrNotFound)
+		errors.Is(err, keyval.ErrRateLimited) || errors.Is(err, keyval.ErrNotFound)
 }
 
 // try makes one attempt. A head whose write gave no answer is read again by the
--- a/router/admit.go
+++ b/router/admit.go
@@ -112,7 +112,7 @@
 func (r *Router) resolve(j *job, req *http.Request, service string) *problem.Problem {
 	j.snap = r.follower.Snapshot()
 	if j.snap == nil {
-		return problem.New(problem.NotReady, "retry at another host", "no settings yet").After(time.Second)
+		return problem.New(problem.NotReady, "retry at another host", "no settings yet").WithRetryAfter(time.Second)
 	}
 	ref := settings.Ref{
 		Workspace: req.Header.Get(HeaderWorkspace), Service: service, Tier: req.Header.Get(HeaderTier),
@@ -185,16 +185,16 @@
 // outcomeOf tells what the owner's record of an ID means to a caller.
 func outcomeOf(rec *once.Record, v once.Verdict) *problem.Problem {
 	switch v {
-	case once.Forgotten:
-		return problem.Lost(problem.Expired, "", "ask for a new address; resubmit under a new ID if running twice does no harm", "the ID is too old to be known")
+	case once.Expired:
+		return problem.Lost(problem.ExpiredID, "", "ask for a new address; resubmit under a new ID if running twice does no harm", "the ID is too old to be known")
 	case once.Full:
-		return problem.New(problem.Overloaded, "ask for a new address and use its prefix", "no room for the ID").After(time.Second)
+		return problem.New(problem.Overloaded, "ask for a new address and use its prefix", "no room for the ID").WithRetryAfter(time.Second)
 	case once.Forged, once.NotOwner:
 		return problem.Lost(problem.BadID, "", "use a prefix of an address answer", "no address answer gave this prefix")
 	}
 	switch rec.State {
 	case once.Refused:
-		return problem.New(problem.Closed, "resubmit under a new ID", "the request was refused before")
+		return problem.New(problem.ClosedID, "resubmit under a new ID", "the request was refused before")
 	case once.Dispatched:
 		p := problem.Lost(problem.InProgress, rec.Endpoint, "resume it at "+PathStreams+"{endpoint}/{id}, or ask again later", "the request runs")
 		p.Outcome = problem.Pending
@@ -223,7 +223,7 @@
 	r.leave(j)
 	p.RequestID = j.id()
 	if p.Kind != problem.BadRequest && p.Kind != problem.BodyTooLarge {
-		p.Prefix = r.freshPrefix(j.rec.Witnessed)
+		p.Prefix = r.freshPrefix(j.rec.NeedsWitness)
 	}
 	r.metrics.Count(j.key(), string(p.Outcome))
 	r.metrics.Count(j.key(), "refused: "+string(p.Kind))
@@ -253,8 +253,8 @@
 	if req.ContentLength >= 0 {
 		j.held = req.ContentLength
 	}
-	if r.memory.Add(j.held) > r.Memory {
-		return problem.New(problem.Overloaded, "retry later or at another host", "the host holds %d bytes of bodies", r.Memory).After(time.Second)
+	if r.memory.Add(j.held) > r.MaxBodyMemory {
+		return problem.New(problem.Overloaded, "retry later or at another host", "the host holds %d bytes of bodies", r.MaxBodyMemory).WithRetryAfter(time.Second)
 	}
 	b, err := io.ReadAll(io.LimitReader(req.Body, limit+1))
 	if err != nil {
@@ -316,7 +316,7 @@
 	if !ok {
 		return nil
 	}
-	return r.refuse(j, problem.New(problem.Cancelled, "submit again if the answer is still wanted", "the caller went away"))
+	return r.refuse(j, problem.New(problem.Canceled, "submit again if the answer is still wanted", "the caller went away"))
 }
 
 // witnessCheck is the time between looks at the witness of a waiting request.
@@ -326,7 +326,7 @@
 // can be dispatched after the witness is gone.
 func (r *Router) recordEarly(ctx context.Context, j *job) {
 	r.onceMu.Lock()
-	due := j.rec.Witnessed && j.rec.State == once.Waiting
+	due := j.rec.NeedsWitness && j.rec.State == once.Waiting
 	r.onceMu.Unlock()
 	if !due {
 		return
@@ -353,7 +353,7 @@
 			kind = k.kind
 		}
 	}
-	return problem.New(kind, "resubmit under a new ID after the time given", "%s", d.Reason).After(d.RetryAfter)
+	return problem.New(kind, "resubmit under a new ID after the time given", "%s", d.Reason).WithRetryAfter(d.RetryAfter)
 }
 
 // pump hands due decisions to the requests that wait; mu must be held.
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -92,7 +92,7 @@
 // benchHost starts one host and instant engines.
 func benchHost(b *testing.B, tokens int) (host, engine string) {
 	r := &dev.Cluster{Declaration: parse(b), Hosts: 1}
-	r.ConfigureRouter = func(x *router.Router) { x.ReportEvery, x.ReportRate = 20*time.Millisecond, 1000 }
+	r.ConfigureRouter = func(x *router.Router) { x.MinReportInterval, x.MaxReportRate = 20*time.Millisecond, 1000 }
 	s, err := dev.Serve("127.0.0.1:0", instant(tokens))
 	must.NoError(b, err)
 	b.Cleanup(s.Kill)
@@ -102,7 +102,7 @@
 	r.AddressOverrides = map[string]string{"e1": s.Address, "e2": other.Address}
 	must.NoError(b, r.Start())
 	b.Cleanup(r.Stop)
-	eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.SeesEndpoints() })
+	eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.AllEndpointsReported() })
 	return r.StartedHosts[0].Address, s.Address
 }
 
@@ -157,7 +157,7 @@
 								live++
 							}
 						}
-						if live < 3 || !n.Router.SeesEndpoints() {
+						if live < 3 || !n.Router.AllEndpointsReported() {
 							return false
 						}
 					}
@@ -191,7 +191,7 @@
 	for b.Loop() {
 		r := &dev.Cluster{Declaration: parse(b), Hosts: 7}
 		must.NoError(b, r.Start())
-		eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.SeesEndpoints() })
+		eventually(b, "ready", func() bool { return r.StartedHosts[0].Router.AllEndpointsReported() })
 		time.Sleep(2 * time.Second)
 		cpu, start := cpuTime(), time.Now()
 		time.Sleep(5 * time.Second)
--- a/router/completions.go
+++ b/router/completions.go
@@ -65,7 +65,7 @@
 	r.onceMu.Lock()
 	r.active[j.id()] = a
 	r.onceMu.Unlock()
-	checked := &endpoint.Checked{Stream: stream, ID: j.id()}
+	checked := &endpoint.CheckedStream{Stream: stream, ID: j.id()}
 	if body.Stream {
 		r.streamAnswer(w, req, a, checked)
 		return
@@ -123,27 +123,27 @@
 
 // relay passes the pieces of an answer on, resuming a broken stream at the same
 // engine, and keeps the figures. It returns the number of pieces passed on.
-func (r *Router) relay(ctx context.Context, a *activity, s *endpoint.Checked, out sink) (int, error) {
+func (r *Router) relay(ctx context.Context, a *activity, s *endpoint.CheckedStream, out sink) (int, error) {
 	defer func() { _ = s.Close() }()
 	last := a.j.arrived
 	for {
 		p, err := s.Next()
 		switch {
 		case err == io.EOF:
-			return s.Want, nil
+			return s.NextSeq, nil
 		case errors.Is(err, endpoint.ErrLost):
 			if err = r.resumeAt(ctx, a, s); err != nil {
-				return s.Want, err
+				return s.NextSeq, err
 			}
 			continue
 		case err != nil:
-			return s.Want, err
+			return s.NextSeq, err
 		}
 		now := r.now()
 		r.noteToken(a, p.Seq, now-last)
 		last = now
 		if out(p) != nil || ctx.Err() != nil {
-			return s.Want, errCaller
+			return s.NextSeq, errCaller
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		r.metrics.Record(a.j.key(), metrics.FirstToken, since)
 		return
 	}
-	r.metrics.Record(a.j.key(), metrics.BetweenTokens, since)
+	r.metrics.Record(a.j.key(), metrics.InterToken, since)
 }
 
 // Figures of resuming.
@@ -172,16 +172,16 @@
 )
 
 // resumeAt replaces a broken stream by its continuation.
-func (r *Router) resumeAt(ctx context.Context, a *activity, s *endpoint.Checked) error {
+func (r *Router) resumeAt(ctx context.Context, a *activity, s *endpoint.CheckedStream) error {
 	_ = s.Close()
 	for range resumeTries {
-		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.j.id(), s.Want)
+		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.j.id(), s.NextSeq)
 		if err == nil {
 			s.Stream = next
 			r.metrics.Count(a.j.key(), "stream resumed")
 			return nil
 		}
-		if errors.Is(err, endpoint.ErrNoStream) {
+		if errors.Is(err, endpoint.ErrUnknownStream) {
 			return err
 		}
 		time.Sleep(resumePause)
@@ -190,7 +190,7 @@
 }
 
 // streamAnswer sends the answer as server-sent events.
-func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.Checked) {
+func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.CheckedStream) {
 	answerHead(w, a)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -221,7 +221,7 @@
 }
 
 // wholeAnswer collects the answer and sends it in one piece.
-func (r *Router) wholeAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.Checked) {
+func (r *Router) wholeAnswer(w http.ResponseWriter, req *http.Request, a *activity, s *endpoint.CheckedStream) {
 	var text strings.Builder
 	var finish string
 	n, err := r.relay(req.Context(), a, s, func(p endpoint.Piece) error {
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -50,7 +50,7 @@
 
 // allow obtains the right to dispatch, from the witness where one is named.
 func (r *Router) allow(ctx context.Context, j *job, d sched.Decision) *problem.Problem {
-	if j.rec.Witnessed {
+	if j.rec.NeedsWitness {
 		if st := r.record(ctx, j.rec, d.Endpoint); st != once.Recorded {
 			r.finishSched(j, sched.Canceled, 0)
 			return r.refuse(j, problem.New(problem.WitnessLost, "resubmit under the prefix given", "the witness did not record the request"))
@@ -125,8 +125,8 @@
 	kind, remedy := problem.EndpointLost, "ask "+PathOutcome+"{id}; resubmit under a new ID if running twice does no harm"
 	switch {
 	case errors.Is(err, endpoint.ErrRejected):
-		kind, remedy = problem.Refused, "correct the request or resubmit under a new ID"
-	case errors.Is(err, endpoint.ErrCrossed), errors.Is(err, endpoint.ErrOrder):
+		kind, remedy = problem.EndpointRefused, "correct the request or resubmit under a new ID"
+	case errors.Is(err, endpoint.ErrWrongStream), errors.Is(err, endpoint.ErrOutOfOrder):
 		kind = problem.BadAnswer
 	}
 	p := problem.Lost(kind, name, remedy, "%v", err)
@@ -152,6 +152,6 @@
 		r.metrics.Count(j.key(), "answered late")
 	}
 	if res == sched.Completed {
-		r.metrics.Record(j.key(), metrics.WholeTime, took)
+		r.metrics.Record(j.key(), metrics.TotalTime, took)
 	}
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -79,13 +79,13 @@
 // several may answer, and the loss of one loses nothing.
 func (r *Router) handOn(ctx context.Context) {
 	r.onceMu.Lock()
-	h := r.witness.Leave()
+	h := r.witness.PrepareHandover()
 	r.onceMu.Unlock()
 	if len(h.Recorded) == 0 {
 		return
 	}
 	done := 0
-	for _, to := range fleet.Set("handover", r.Self.Region, r.hosts(), handCopies) {
+	for _, to := range fleet.SelectHosts("handover", r.Self.Region, r.hosts(), handCopies) {
 		if r.handTo(ctx, to, h) {
 			done++
 		}
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -41,7 +41,7 @@
 func (r *rig) mostRuns() int {
 	most := 0
 	for _, e := range r.Engines {
-		_, n := e.TotalRuns()
+		_, n := e.RunStats()
 		most = max(most, n)
 	}
 	return most
@@ -65,9 +65,9 @@
 		ok     bool
 	}{
 		{"no fault", fake.EngineFaults{}, true},
-		{"stream cut once and resumed", fake.EngineFaults{CutAfter: 7}, true},
-		{"crossed piece", fake.EngineFaults{CrossAt: 5}, false},
-		{"repeated piece", fake.EngineFaults{RepeatAt: 5}, false},
+		{"stream cut once and resumed", fake.EngineFaults{BreakAfter: 7}, true},
+		{"crossed piece", fake.EngineFaults{WrongIDAt: 5}, false},
+		{"repeated piece", fake.EngineFaults{DuplicateAt: 5}, false},
 		{"missing piece", fake.EngineFaults{SkipAt: 5}, false},
 		{"server error", fake.EngineFaults{ServerErrors: true}, false},
 		{"dead", fake.EngineFaults{Dead: true}, false},
@@ -86,7 +86,7 @@
 				must.Eq(t, tokens, a.Tokens)
 			} else {
 				must.Error(t, err)
-				must.Eq(t, problem.Unknown, problem.Of(err).Outcome)
+				must.Eq(t, problem.Unknown, problem.FromError(err).Outcome)
 			}
 			must.LessEq(t, 1, r.mostRuns())
 		})
@@ -96,7 +96,7 @@
 func TestStreamOutlivesItsOwner(t *testing.T) {
 	r := newRig(t, nil)
 	for _, e := range r.Engines {
-		e.SetStep(20 * time.Millisecond)
+		e.SetStepTime(20 * time.Millisecond)
 	}
 	cl := newClient(r)
 	list, err := cl.Addresses(context.Background())
@@ -133,7 +133,7 @@
 func TestCallerThatLeavesCancelsItsStream(t *testing.T) {
 	r := newRig(t, func(x *router.Router) { x.CancelGrace = 50 * time.Millisecond })
 	for _, e := range r.Engines {
-		e.SetStep(10 * time.Millisecond)
+		e.SetStepTime(10 * time.Millisecond)
 	}
 	a := r.address(t, r.StartedHosts[0]).Addresses[0]
 	for _, id := range []string{"", a.Prefix + "leaves"} {
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -222,7 +222,7 @@
 
 // closeAtWitness asks the witness directly, as a host does that cannot reach the owner.
 func (s *scene) closeAtWitness() reply {
-	f, name := s.witness.Router.CloseHere(s.id)
+	f, name := s.witness.Router.CloseID(s.id)
 	r := reply{outcome: problem.Unknown, body: name}
 	if f {
 		r.outcome = problem.NotRun
--- a/router/forward.go
+++ b/router/forward.go
@@ -159,20 +159,20 @@
 	switch {
 	case err != nil:
 		p := problem.Lost(problem.WitnessLost, "", "ask again after the time given", "owner and witness cannot be reached: %v", err)
-		return p.After(time.Second)
-	case f == once.FoundNone:
-		return problem.New(problem.Closed, "resubmit under a new ID", "the owner cannot be reached and the witness closed the ID")
-	case f == once.FoundRecord:
+		return p.WithRetryAfter(time.Second)
+	case f == once.FindingNotRun:
+		return problem.New(problem.ClosedID, "resubmit under a new ID", "the owner cannot be reached and the witness closed the ID")
+	case f == once.FindingRecorded:
 		return problem.Lost(problem.OwnerLost, name, "read its effect at the endpoint", "a dispatch was recorded and the owner cannot be reached")
-	case f == once.FoundForgotten:
-		return problem.Lost(problem.Expired, "", "read its effect at the endpoints", "the ID is too old to be known")
+	case f == once.FindingExpired:
+		return problem.Lost(problem.ExpiredID, "", "read its effect at the endpoints", "the ID is too old to be known")
 	}
 	return problem.Lost(problem.WitnessLost, "", "read its effect at the endpoints", "the ID's witness is gone")
 }
 
 // askFinding asks whoever answers for the witness of an ID, this host first.
 func (r *Router) askFinding(ctx context.Context, id once.ID) (f once.Finding, name string, err error) {
-	if f, name = r.closeHere(id); f != once.FoundWrong {
+	if f, name = r.closeHere(id); f != once.FindingNotResponsible {
 		return f, name, nil
 	}
 	for _, h := range r.witnessHosts(id.Witness) {
@@ -182,11 +182,11 @@
 		actx, cancel := context.WithTimeout(ctx, askTimeout)
 		f, name, err = r.peers.closeID(actx, h.Address, id)
 		cancel()
-		if err == nil && f != once.FoundWrong {
+		if err == nil && f != once.FindingNotResponsible {
 			return f, name, nil
 		}
 	}
-	return once.FoundWrong, "", err
+	return once.FindingNotResponsible, "", err
 }
 
 // endForeign ends a stream of an owner that is gone.
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -103,9 +103,9 @@
 			g := newGate()
 			r.gates[x.Self.Name] = g
 			x.Trace = g.trace
-			x.ReportEvery, x.ReportRate = 50*time.Millisecond, 1000
+			x.MinReportInterval, x.MaxReportRate = 50*time.Millisecond, 1000
 			// Wide enough that a busy machine makes nobody suspect.
-			x.Heartbeat, x.WitnessTimeout = 200*time.Millisecond, 3*time.Second
+			x.HeartbeatInterval, x.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			x.MaxAge = 200 * time.Millisecond
 			if tune != nil {
 				tune(x)
--- a/router/local.go
+++ b/router/local.go
@@ -23,26 +23,28 @@
 // serveLocal answers the placer on the same host.
 func (r *Router) serveLocal(w http.ResponseWriter, req *http.Request) {
 	writeJSON(w, localAnswer{
-		Revision: r.follower.Revision(), Candidate: r.PlacerCandidate(req.URL.Query().Get("zone")),
+		Revision: r.follower.Revision(), Candidate: r.IsPlacerCandidate(req.URL.Query().Get("zone")),
 	})
 }
 
-// Local is the way from a placer to the router on the same host.
-type Local struct {
+// LocalClient is the way from a placer to the router on the same host.
+type LocalClient struct {
 	// Address is the router's IP number and port.
 	Address string
 
 	peers *peerClient
 }
 
-// NewLocal returns the way to the router at an address.
-func NewLocal(address string) *Local { return &Local{Address: address, peers: newPeerClient()} }
+// NewLocalClient returns the way to the router at an address.
+func NewLocalClient(address string) *LocalClient {
+	return &LocalClient{Address: address, peers: newPeerClient()}
+}
 
 // Peer reads settings from the router.
-func (l *Local) Peer() revision.Peer { return l.peers }
+func (l *LocalClient) Peer() revision.Peer { return l.peers }
 
-// Ask returns the router's revision and whether this host should try to hold a zone.
-func (l *Local) Ask(ctx context.Context, zone string) (rev uint64, candidate bool, err error) {
+// QueryZone returns the router's revision and whether this host should try to hold a zone.
+func (l *LocalClient) QueryZone(ctx context.Context, zone string) (rev uint64, candidate bool, err error) {
 	var a localAnswer
 	err = l.peers.decode(ctx, http.MethodGet, l.Address, pathLocal+"?zone="+url.QueryEscape(zone), nil, &a)
 	return a.Revision, a.Candidate, err
--- a/router/peers.go
+++ b/router/peers.go
@@ -33,7 +33,7 @@
 }
 
 // maxPeerAnswer bounds an answer of a peer, in bytes: a settings chunk at the most.
-const maxPeerAnswer = 2 * keyval.MaxValue
+const maxPeerAnswer = 2 * keyval.MaxValueSize
 
 // call sends one request with a JSON body and returns the answer's content.
 func (c *peerClient) call(ctx context.Context, method, address, path string, in any) ([]byte, error) {
--- a/router/resume.go
+++ b/router/resume.go
@@ -49,7 +49,7 @@
 		problem.Write(w, problem.Lost(problem.EndpointLost, name, "resubmit under a new ID if running twice does no harm", "%v", err))
 		return
 	}
-	checked := &endpoint.Checked{Stream: s, ID: id.String(), Want: from}
+	checked := &endpoint.CheckedStream{Stream: s, ID: id.String(), NextSeq: from}
 	if a != nil {
 		r.streamAnswer(w, req, a, checked)
 		return
@@ -70,7 +70,7 @@
 }
 
 // streamForeign passes on the stream of a request whose owner is gone.
-func (r *Router) streamForeign(w http.ResponseWriter, name string, s *endpoint.Checked) {
+func (r *Router) streamForeign(w http.ResponseWriter, name string, s *endpoint.CheckedStream) {
 	defer func() { _ = s.Close() }()
 	w.Header().Set(HeaderID, s.ID)
 	w.Header().Set(HeaderEndpoint, name)
--- a/router/router.go
+++ b/router/router.go
@@ -27,23 +27,23 @@
 
 // Defaults of a Router.
 const (
-	// DefaultReportEvery is the least time between reads of an endpoint's report.
-	DefaultReportEvery = 500 * time.Millisecond
-	// DefaultReportRate bounds the reports read from all endpoints together, a
+	// DefaultMinReportInterval is the least time between reads of an endpoint's report.
+	DefaultMinReportInterval = 500 * time.Millisecond
+	// DefaultMaxReportRate bounds the reports read from all endpoints together, a
 	// second: about 0.75 KB each, so that they keep to 8 KB/s.
-	DefaultReportRate = 10
-	// DefaultGeneration is the time after which a new generation of IDs begins.
-	DefaultGeneration = 10 * time.Minute
+	DefaultMaxReportRate = 10
+	// DefaultGenerationInterval is the time after which a new generation of IDs begins.
+	DefaultGenerationInterval = 10 * time.Minute
 	// DefaultWitnessTimeout bounds the wait for a witness's acknowledgement.
 	DefaultWitnessTimeout = 500 * time.Millisecond
 	// DefaultCancelGrace is how long a stream goes on for a caller that lost its
 	// connection and has an ID to resume with.
 	DefaultCancelGrace = time.Second
-	// DefaultMemory bounds the bodies that are held at once, in bytes.
-	DefaultMemory = 64 << 20
-	// DefaultWatched is the number of endpoints of a model and region above
+	// DefaultMaxBodyMemory bounds the bodies that are held at once, in bytes.
+	DefaultMaxBodyMemory = 64 << 20
+	// DefaultMaxWatched is the number of endpoints of a model and region above
 	// which a host watches only a part of them.
-	DefaultWatched = 24
+	DefaultMaxWatched = 24
 	// tickEvery is the time between looks at what time alone changes.
 	tickEvery = 50 * time.Millisecond
 )
@@ -59,17 +59,17 @@
 	Sched sched.Config
 	// MaxAge is how long callers keep an address answer; 0 means fleet.DefaultMaxAge.
 	MaxAge time.Duration
-	// Heartbeat is the time between heartbeats; 0 means fleet.DefaultInterval.
-	Heartbeat time.Duration
-	// ReportEvery, ReportRate, Generation, WitnessTimeout, CancelGrace, Memory and Watched
+	// HeartbeatInterval is the time between heartbeats; 0 means fleet.DefaultInterval.
+	HeartbeatInterval time.Duration
+	// MinReportInterval, ReportRate, Generation, WitnessTimeout, CancelGrace, Memory and Watched
 	// default to the constants above.
-	ReportEvery    time.Duration
-	ReportRate     float64
-	Generation     time.Duration
-	WitnessTimeout time.Duration
-	CancelGrace    time.Duration
-	Memory         int64
-	Watched        int
+	MinReportInterval  time.Duration
+	MaxReportRate      float64
+	GenerationInterval time.Duration
+	WitnessTimeout     time.Duration
+	CancelGrace        time.Duration
+	MaxBodyMemory      int64
+	MaxWatched         int
 	// OnDrain is called when an operator asks the host to leave; nil refuses that.
 	OnDrain func()
 	// Trace is told of each stage of each request, on the request's own
@@ -119,14 +119,14 @@
 func (r *Router) init() {
 	r.once.Do(func() {
 		def(&r.MaxAge, fleet.DefaultMaxAge)
-		def(&r.Heartbeat, fleet.DefaultInterval)
-		def(&r.ReportEvery, DefaultReportEvery)
-		def(&r.ReportRate, DefaultReportRate)
-		def(&r.Generation, DefaultGeneration)
+		def(&r.HeartbeatInterval, fleet.DefaultInterval)
+		def(&r.MinReportInterval, DefaultMinReportInterval)
+		def(&r.MaxReportRate, DefaultMaxReportRate)
+		def(&r.GenerationInterval, DefaultGenerationInterval)
 		def(&r.WitnessTimeout, DefaultWitnessTimeout)
 		def(&r.CancelGrace, DefaultCancelGrace)
-		def(&r.Memory, DefaultMemory)
-		def(&r.Watched, DefaultWatched)
+		def(&r.MaxBodyMemory, DefaultMaxBodyMemory)
+		def(&r.MaxWatched, DefaultMaxWatched)
 		if r.Clock == nil {
 			r.Clock = clock.New()
 		}
@@ -147,9 +147,9 @@
 			KV: r.KV, Peers: r.peers, Relay: r.isRelay, HostCount: r.fleetSize, OnSnapshot: r.taken, Log: r.Log,
 		}
 		r.agent = &fleet.Agent{
-			Self: r.Self, Peers: r.peers, List: r.List, Clock: r.Clock, Interval: r.Heartbeat, Seed: seed, Log: r.Log,
-			Revision: r.follower.Revision, Behind: r.behind, Floors: r.floors, SetFloors: r.setFloors,
-			Listed: r.listed,
+			Self: r.Self, Transport: r.peers, List: r.List, Clock: r.Clock, Interval: r.HeartbeatInterval, Seed: seed, Log: r.Log,
+			Revision: r.follower.Revision, OnNewerRevision: r.behind, Floors: r.floors, ApplyFloors: r.setFloors,
+			OnList: r.listed,
 		}
 		r.sched = sched.Scheduler{Config: r.Sched, Rand: rand.New(rand.NewPCG(seed, seed>>2)), SharingHosts: 1, Hosts: r.sharing}
 		r.sched.Init()
@@ -208,7 +208,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(r.Generation):
+		case <-time.After(r.GenerationInterval):
 		}
 		r.onceMu.Lock()
 		r.owner.Advance()
@@ -222,7 +222,7 @@
 		g := r.owner.Generation()
 		answers := r.answers()
 		r.onceMu.Unlock()
-		r.agent.Update(func(h *fleet.Host) { h.Generation, h.Answers = g, answers })
+		r.agent.Update(func(h *fleet.Host) { h.Generation, h.AnswersFor = g, answers })
 	}
 }
 
@@ -272,7 +272,7 @@
 	if len(in) == 0 {
 		in = all
 	}
-	for _, h := range fleet.Set(role+zone, r.Self.Region, in, rolesPerZone) {
+	for _, h := range fleet.SelectHosts(role+zone, r.Self.Region, in, rolesPerZone) {
 		if h.Incarnation == r.Self.Incarnation {
 			return true
 		}
@@ -283,8 +283,8 @@
 // isRelay reports whether this host watches the settings' head for its zone.
 func (r *Router) isRelay() bool { return r.hasRole("relay", r.Self.Zone) }
 
-// PlacerCandidate reports whether this host should try to hold a zone's placement.
-func (r *Router) PlacerCandidate(zone string) bool { return r.hasRole("placer/", zone) }
+// IsPlacerCandidate reports whether this host should try to hold a zone's placement.
+func (r *Router) IsPlacerCandidate(zone string) bool { return r.hasRole("placer/", zone) }
 
 // Snapshot returns the settings in force, or nil.
 func (r *Router) Snapshot() *settings.Snapshot {
@@ -298,7 +298,7 @@
 	if s == nil {
 		return 1
 	}
-	return min(max(1, s.Hosts(workspace)), r.fleetSize())
+	return min(max(1, s.HostCount(workspace)), r.fleetSize())
 }
 
 // behind pulls settings from a peer that has a higher revision.
@@ -307,7 +307,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 		defer cancel()
 		if r.follower.Pull(ctx, rev, address) == nil {
-			r.agent.Kick()
+			r.agent.SendNow()
 		}
 	}()
 }
@@ -318,7 +318,7 @@
 // taken puts new settings to use.
 func (r *Router) taken(s *settings.Snapshot) {
 	r.setEndpoints(s.Fleet.Endpoints)
-	r.agent.Kick()
+	r.agent.SendNow()
 }
 
 // floors gives the shedding floors for heartbeats.
--- a/router/serve.go
+++ b/router/serve.go
@@ -58,18 +58,18 @@
 		problem.Write(w, problem.New(problem.UnknownWorkspace, "ask for a declared workspace: ?workspace=NAME", "workspace %q is not declared", ws))
 		return
 	}
-	writeJSON(w, r.address(ws, s.Hosts(ws), s.Revision))
+	writeJSON(w, r.address(ws, s.HostCount(ws), s.Revision))
 }
 
 // address makes the answer for a workspace.
 func (r *Router) address(ws string, k int, rev uint64) fleet.Answer {
 	live := r.hosts()
-	set := fleet.Set(ws, r.Self.Region, live, k)
+	set := fleet.SelectHosts(ws, r.Self.Region, live, k)
 	var self fleet.Host
 	r.agent.View(func(t *fleet.Table) { self = t.Self })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fleet.Order(set, r.Self.Zone, r.rnd)
+	fleet.OrderForZone(set, r.Self.Zone, r.rnd)
 	ans := fleet.Answer{Workspace: ws, MaxAgeMS: r.MaxAge.Milliseconds(), Revision: rev}
 	for _, h := range set {
 		a := fleet.Address{Host: h.Name, Zone: h.Zone, Address: h.Address, Prefix: fleet.Prefix(h, fleet.Host{}).String()}
--- a/router/status.go
+++ b/router/status.go
@@ -25,8 +25,8 @@
 	Revision     uint64 `json:"revision"`
 	SeenRevision uint64 `json:"seen_revision"`
 	// Ready says whether it takes requests, and WhyNot what it lacks.
-	Ready  bool   `json:"ready"`
-	WhyNot string `json:"why_not,omitempty"`
+	Ready          bool   `json:"ready"`
+	NotReadyReason string `json:"why_not,omitempty"`
 	// Waiting and Active count requests.
 	Waiting int `json:"waiting"`
 	Active  int `json:"active"`
@@ -61,8 +61,8 @@
 	var st Status
 	r.agent.View(func(t *fleet.Table) { st.Host, st.Hosts = t.Self, t.Hosts() })
 	st.Revision, st.SeenRevision = r.follower.Revision(), r.follower.HighestSeen()
-	st.WhyNot = r.whyNotReady()
-	st.Ready = st.WhyNot == ""
+	st.NotReadyReason = r.whyNotReady()
+	st.Ready = st.NotReadyReason == ""
 	st.Relay = r.isRelay()
 	r.mu.Lock()
 	st.Waiting = r.sched.Waiting()
--- a/router/targets.go
+++ b/router/targets.go
@@ -22,7 +22,7 @@
 func (r *Router) setEndpoints(list []settings.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	watched := watchedPart(list, r.Self.Name, r.Watched)
+	watched := watchedPart(list, r.Self.Name, r.MaxWatched)
 	specs := make([]sched.Endpoint, 0, len(watched))
 	keep := make(map[string]bool, len(watched))
 	for _, e := range watched {
@@ -110,7 +110,7 @@
 	r.mu.Lock()
 	n := len(r.endpoints)
 	r.mu.Unlock()
-	return max(r.ReportEvery, time.Duration(float64(n)/r.ReportRate*float64(time.Second)))
+	return max(r.MinReportInterval, time.Duration(float64(n)/r.MaxReportRate*float64(time.Second)))
 }
 
 // takeReport hands a report to the scheduler.
@@ -124,12 +124,12 @@
 		Step: time.Duration(rep.StepUS) * time.Microsecond, PrefillPerStep: rep.PrefillPerStep,
 		AcceptsPrompts: rep.Role != "decode" && rep.Role != "drain",
 	}
-	if rep.Holding != nil {
-		sr.Model = rep.Holding.Model
+	if rep.Loaded != nil {
+		sr.Model = rep.Loaded.Model
 	}
 	r.sched.ApplyReport(now, name, sr)
 	for _, ev := range rep.Events {
-		r.sched.ApplyCacheEvent(name, ev.Block, ev.Gone)
+		r.sched.ApplyCacheEvent(name, ev.Block, ev.Evicted)
 	}
 	r.pump()
 }
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// SeesEndpoints reports whether every endpoint that the host watches has reported.
-func (r *Router) SeesEndpoints() bool {
+// AllEndpointsReported reports whether every endpoint that the host watches has reported.
+func (r *Router) AllEndpointsReported() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name := range r.endpoints {
--- a/router/witness.go
+++ b/router/witness.go
@@ -172,11 +172,11 @@
 func (r *Router) recordOne(text, endpoint string) once.Ack {
 	id, err := once.ParseID(text)
 	if err != nil {
-		return once.AckWrong
+		return once.AckNotResponsible
 	}
 	w := r.witnessFor(id.Witness)
 	if w == nil {
-		return once.AckWrong
+		return once.AckNotResponsible
 	}
 	return w.Record(once.RecordRequest{ID: id, Endpoint: endpoint})
 }
@@ -198,7 +198,7 @@
 	defer r.onceMu.Unlock()
 	w := r.witnessFor(id.Witness)
 	if w == nil {
-		return once.FoundWrong, ""
+		return once.FindingNotResponsible, ""
 	}
 	return w.Close(id)
 }
@@ -214,7 +214,7 @@
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	copied, err := once.Adopt(h, 0, 0)
+	copied, err := once.NewWitnessCopy(h, 0, 0)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -223,7 +223,7 @@
 	r.adopted[h.Self] = copied
 	answers := r.answers()
 	r.onceMu.Unlock()
-	r.agent.Update(func(s *fleet.Host) { s.Answers = answers })
+	r.agent.Update(func(s *fleet.Host) { s.AnswersFor = answers })
 	writeJSON(w, struct{}{})
 }
 
@@ -233,14 +233,14 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// CloseHere closes an ID at this witness, as for a caller whose owner cannot be
+// CloseID closes an ID at this witness, as for a caller whose owner cannot be
 // reached; it reports whether the request was never dispatched, and otherwise
 // the endpoint recorded.
-func (r *Router) CloseHere(id string) (notRun bool, endpoint string) {
+func (r *Router) CloseID(id string) (notRun bool, endpoint string) {
 	parsed, err := once.ParseID(id)
 	if err != nil {
 		return false, ""
 	}
 	f, endpoint := r.closeHere(parsed)
-	return f == once.FoundNone, endpoint
+	return f == once.FindingNotRun, endpoint
 }
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -33,7 +33,7 @@
 
 func benchSettings(ws string) *settings.Effective {
 	return &settings.Effective{
-		Workspace: ws, Service: "s", Tier: "normal", Rank: 1, Deadline: time.Hour, Weight: 1, Queue: 1 << 30, Affinity: true, MaxTokens: 256,
+		Workspace: ws, Service: "s", Tier: "normal", Rank: 1, Deadline: time.Hour, Weight: 1, MaxQueued: 1 << 30, Affinity: true, MaxTokens: 256,
 	}
 }
 
--- a/sched/claim_test.go
+++ b/sched/claim_test.go
@@ -122,7 +122,7 @@
 // request makes a request that may wait for 0.2 s.
 func (f *hostFleet) request(takes time.Duration) *Request {
 	return &Request{
-		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
+		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 1000, Rank: 1}, Model: "m", PromptTokens: 100,
 		MaxTokens: 100, ExpectedTokens: 100, Arrived: f.now, Deadline: f.now + 20*takes, DispatchBy: f.now + 200*time.Millisecond,
 		Objective: Objective{FirstToken: time.Second},
 	}
--- a/sched/grant_test.go
+++ b/sched/grant_test.go
@@ -24,7 +24,7 @@
 	s.SetPeerState(PeerState{Age: 450 * time.Millisecond, Waiting: map[string][]int{"m": {0, 20}}})
 	request := func(at time.Duration) *Request {
 		return &Request{
-			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 100, Rank: 1}, Model: "m", PromptTokens: 50, MaxTokens: 50,
+			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 100, Rank: 1}, Model: "m", PromptTokens: 50, MaxTokens: 50,
 			ExpectedTokens: 50, Arrived: at, DispatchBy: at + 200*time.Millisecond, Deadline: at + 10*time.Second, Objective: Objective{FirstToken: time.Second},
 		}
 	}
--- a/sched/health_test.go
+++ b/sched/health_test.go
@@ -52,7 +52,7 @@
 			}
 			request := func(now time.Duration) *Request {
 				return &Request{
-					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 100, Repeatable: tc.repeat}, Model: "m",
+					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 100, Repeatable: tc.repeat}, Model: "m",
 					PromptTokens: 100, MaxTokens: 20, ExpectedTokens: 20, Arrived: now, Deadline: now + 10*time.Second, Objective: Objective{FirstToken: time.Second},
 				}
 			}
--- a/sched/order.go
+++ b/sched/order.go
@@ -254,7 +254,7 @@
 // makeRoom bounds what waits: the workspace's own bound first, then the host's,
 // dropping the newest request of the lowest tier below r's, or refusing r.
 func (s *Scheduler) makeRoom(now time.Duration, r *Request) (Decision, bool) {
-	if s.waitingOf[r.Settings.Workspace] >= r.Settings.Queue {
+	if s.waitingOf[r.Settings.Workspace] >= r.Settings.MaxQueued {
 		return s.refuse(now, r, ReasonQueueFull, s.wait(now, r)), false
 	}
 	if s.waiting < s.cfg.MaxWaiting {
--- a/sched/ration_test.go
+++ b/sched/ration_test.go
@@ -49,7 +49,7 @@
 	rank := 1 + s.rand.IntN(2)
 	r := &Request{
 		Settings: &settings.Effective{
-			Workspace: fmt.Sprint("w", s.rand.IntN(3)), Service: fmt.Sprint("tier", rank), Weight: 1, Queue: 1000, Rank: rank,
+			Workspace: fmt.Sprint("w", s.rand.IntN(3)), Service: fmt.Sprint("tier", rank), Weight: 1, MaxQueued: 1000, Rank: rank,
 		},
 		Model: "m", PromptTokens: 100, MaxTokens: 3000, Arrived: s.now, Deadline: s.now + 30*time.Second,
 		DispatchBy: s.now + 100*time.Millisecond, Objective: Objective{FirstToken: 500 * time.Millisecond},
--- a/sched/rules_test.go
+++ b/sched/rules_test.go
@@ -60,7 +60,7 @@
 	return &Request{
 		ID: fmt.Sprint(s.next), Model: "m", PromptTokens: 64, MaxTokens: 20, Arrived: s.now, Deadline: s.now + time.Minute,
 		Settings: &settings.Effective{
-			Workspace: ws, Service: "s", Rank: rank, Deadline: time.Minute, Weight: 1, Queue: 100, Affinity: true, MaxTokens: 20, RetryBudget: 0.1,
+			Workspace: ws, Service: "s", Rank: rank, Deadline: time.Minute, Weight: 1, MaxQueued: 100, Affinity: true, MaxTokens: 20, RetryBudget: 0.1,
 		},
 	}
 }
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -55,7 +55,7 @@
 			s.Config.Disabled.Share = true
 			for range 20 { // the choice has chance in it
 				r := &Request{
-					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: tc.prompt,
+					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}, Model: "m", PromptTokens: tc.prompt,
 					MaxTokens: tc.out, ExpectedTokens: tc.out, Deadline: 15 * time.Second, DispatchBy: 200 * time.Millisecond,
 					Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 				}
@@ -78,7 +78,7 @@
 func TestLastChanceOfWorthless(t *testing.T) {
 	s := aimed([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
-		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 60000,
+		Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}, Model: "m", PromptTokens: 60000,
 		MaxTokens: 100, ExpectedTokens: 100, Deadline: 20 * time.Second, DispatchBy: 200 * time.Millisecond,
 		Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 250 * time.Millisecond, EventTokens: 6},
 	}
@@ -120,7 +120,7 @@
 	s := aimed([]time.Duration{14 * time.Millisecond}, []int{200000}, []int{1})
 	ask := func(prompt int) *Request {
 		return &Request{
-			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: prompt, MaxTokens: 900,
+			Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}, Model: "m", PromptTokens: prompt, MaxTokens: 900,
 			ExpectedTokens: 900, Deadline: 14 * time.Second, DispatchBy: 200 * time.Millisecond,
 			Objective: Objective{FirstToken: 800 * time.Millisecond, EventGap: 400 * time.Millisecond, EventTokens: 5},
 		}
@@ -150,7 +150,7 @@
 			s.SetEndpoints([]Endpoint{{Name: "a", Engine: true, Slots: 1}})
 			s.ApplyReport(0, "a", Report{Slots: 1, Step: 20 * time.Millisecond, Model: "m", AcceptsPrompts: true})
 			ask := func(start time.Duration) *Request {
-				e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
+				e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}
 				return &Request{Settings: e, Model: "m", MaxTokens: 1, Deadline: time.Second, DispatchBy: start}
 			}
 			first := ask(time.Second)
@@ -199,7 +199,7 @@
 			near := 0
 			for range 100 {
 				r := &Request{
-					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}, Model: "m", PromptTokens: 500,
+					Settings: &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}, Model: "m", PromptTokens: 500,
 					MaxTokens: 100, ExpectedTokens: 100, Deadline: 15 * time.Second, Objective: Objective{FirstToken: time.Second, EventGap: time.Second, EventTokens: 5},
 				}
 				d := s.Submit(0, r)
@@ -222,7 +222,7 @@
 				steps[i], running[i] = time.Duration(2+i%12)*time.Millisecond, i%5
 			}
 			s := aimed(steps, prefill, running)
-			e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, Queue: 10}
+			e := &settings.Effective{Workspace: "w", Service: "s", Weight: 1, MaxQueued: 10}
 			b.ReportAllocs()
 			for b.Loop() {
 				r := Request{
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -129,9 +129,9 @@
 	return out, nil
 }
 
-// Top returns the top-level part that an entry belongs to: a top workspace as
+// TopLevel returns the top-level part that an entry belongs to: a top workspace as
 // "workspaces/NAME", and the empty text for all that concerns the whole fleet.
-func Top(node string) string {
+func TopLevel(node string) string {
 	rest, ok := strings.CutPrefix(node, "workspaces/")
 	if !ok {
 		return ""
--- a/settings/key.go
+++ b/settings/key.go
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// Normal checks text against the key and returns its canonical form.
-func (k *Key) Normal(text string) (string, error) {
+// Normalize checks text against the key and returns its canonical form.
+func (k *Key) Normalize(text string) (string, error) {
 	switch k.Type {
 	case Duration:
 		d, err := time.ParseDuration(text)
--- a/settings/lineage.go
+++ b/settings/lineage.go
@@ -65,7 +65,7 @@
 		Models:      split(l.value(KeyModels)),
 		Weight:      l.number(KeyWeight),
 		RetryBudget: l.number(KeyRetryBudget),
-		Queue:       int(l.number(KeyQueue)),
+		MaxQueued:   int(l.number(KeyQueue)),
 		MaxTokens:   int(l.number(KeyMaxTokens)),
 		MaxBody:     int64(l.number(KeyMaxBody)),
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -127,14 +127,14 @@
 	s := NewSnapshot(1, d)
 	var part Declaration
 	for _, e := range d {
-		if e.Node != "" && ShardOf(Top(e.Node)) == ShardOf("workspaces/ws-00007") {
+		if e.Node != "" && ShardOf(TopLevel(e.Node)) == ShardOf("workspaces/ws-00007") {
 			if e.Node == "workspaces/ws-00007" && e.Key == KeyWeight {
 				e.Value = "5"
 			}
 			part = append(part, e)
 		}
 	}
-	n := s.With(2, []ShardEntries{{ShardOf("workspaces/ws-00007"), part}})
+	n := s.WithShards(2, []ShardEntries{{ShardOf("workspaces/ws-00007"), part}})
 	changed := 0
 	for _, ws := range s.Workspaces() {
 		a, _ := s.Resolve(Ref{ws, "a", ""})
@@ -273,16 +273,16 @@
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			d := treeOf(n)
 			s := NewSnapshot(1, d)
-			top := Top(d[len(d)-1].Node)
+			top := TopLevel(d[len(d)-1].Node)
 			var part Declaration
 			for _, e := range d {
-				if t := Top(e.Node); t != "" && ShardOf(t) == ShardOf(top) {
+				if t := TopLevel(e.Node); t != "" && ShardOf(t) == ShardOf(top) {
 					part = append(part, e)
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				s.With(2, []ShardEntries{{ShardOf(top), part}})
+				s.WithShards(2, []ShardEntries{{ShardOf(top), part}})
 			}
 		})
 	}
--- a/settings/snapshot.go
+++ b/settings/snapshot.go
@@ -45,8 +45,8 @@
 	ConcurrencyScope string
 	// RetryBudget is retries as a share of first tries.
 	RetryBudget float64
-	// Queue is the number of requests of the workspace that may wait on a host.
-	Queue int
+	// MaxQueued is the number of requests of the workspace that may wait on a host.
+	MaxQueued int
 	// Affinity says whether endpoints that hold the prefix are preferred.
 	Affinity bool
 	// Endpoints and Models list what is allowed; empty means all.
@@ -130,7 +130,7 @@
 	var parts [shardCount]Declaration
 	var fleet Declaration
 	for _, e := range d {
-		top := Top(e.Node)
+		top := TopLevel(e.Node)
 		if top == "" {
 			fleet = append(fleet, e)
 			continue
@@ -145,9 +145,9 @@
 	return s
 }
 
-// With returns a snapshot at a later revision in which the given shards have
+// WithShards returns a snapshot at a later revision in which the given shards have
 // new entries; the others are shared with s.
-func (s *Snapshot) With(revision uint64, changed []ShardEntries) *Snapshot {
+func (s *Snapshot) WithShards(revision uint64, changed []ShardEntries) *Snapshot {
 	n := *s
 	n.Revision = revision
 	for _, c := range changed {
@@ -184,8 +184,8 @@
 	return ok
 }
 
-// Hosts returns the number of hosts that the address answer of a workspace names.
-func (s *Snapshot) Hosts(workspace string) int {
+// HostCount returns the number of hosts that the address answer of a workspace names.
+func (s *Snapshot) HostCount(workspace string) int {
 	if t := s.tree(workspace); t != nil {
 		return t.hosts[workspace]
 	}
@@ -288,9 +288,9 @@
 func newShard(f *Fleet, entries Declaration, old *shard) *shard {
 	sh := &shard{trees: make(map[string]*workspaceTree)}
 	for i := 0; i < len(entries); {
-		top := Top(entries[i].Node)
+		top := TopLevel(entries[i].Node)
 		j := i
-		for j < len(entries) && Top(entries[j].Node) == top {
+		for j < len(entries) && TopLevel(entries[j].Node) == top {
 			j++
 		}
 		name, sum := lastName(top), hashOf(entries[i:j])
--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -206,7 +206,7 @@
 			return
 		}
 		if err == nil {
-			text, err = key.Normal(text)
+			text, err = key.Normalize(text)
 		}
 		if err != nil {
 			r.fault(v, path, err.Error(), "see docs/SETTINGS.md for "+k.Value)
