--- a/outlier/fleet_test.go
+++ b/outlier/fleet_test.go
@@ -25,9 +25,9 @@
 	delay    time.Duration
 	pending  []pendingRequest
 	// fails reports whether a request sent to an endpoint now fails.
-	fails    func(endpoint int, now time.Duration) bool
-	lostOnce []int // by endpoint, failed requests that are not repeatable
-	sent     []int
+	fails             func(endpoint int, now time.Duration) bool
+	lostNonRepeatable []int // by endpoint, failed requests that are not repeatable
+	sent              []int
 }
 
 // pendingRequest is a request in flight.
@@ -46,7 +46,7 @@
 )
 
 func newFleet(hosts, endpoints int, seed uint64, delay time.Duration, fails func(int, time.Duration) bool) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 0)), inFlight: make([]int, endpoints), lostOnce: make([]int, endpoints), sent: make([]int, endpoints), delay: delay, fails: fails}
+	f := &fleet{rand: rand.New(rand.NewPCG(seed, 0)), inFlight: make([]int, endpoints), lostNonRepeatable: make([]int, endpoints), sent: make([]int, endpoints), delay: delay, fails: fails}
 	for range hosts {
 		f.hosts = append(f.hosts, make([]Record, endpoints))
 	}
@@ -71,7 +71,7 @@
 		default:
 			r.Fail(f.now, e.sentAt, Unanswered, f.rand.Float64())
 			if e.nonRepeatable {
-				f.lostOnce[e.endpoint]++
+				f.lostNonRepeatable[e.endpoint]++
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 				}
 				lost, sentAfter := 0, 0
 				for e := range failingEndpoints {
-					lost += f.lostOnce[e]
+					lost += f.lostNonRepeatable[e]
 					sentAfter += f.sent[e] - sentBefore[e]
 				}
 				t.Logf("lost per endpoint %d, sent to each in the last second %d", lost/failingEndpoints, sentAfter/failingEndpoints)
--- a/outlier/record.go
+++ b/outlier/record.go
@@ -21,8 +21,8 @@
 
 // Parameters of ejection.
 const (
-	// firstEjection is the first ejection time: a few steps of a slow engine more than the 0.45 s in which
-	// hosts of a large fleet learn of each other's failures.
+	// firstEjection is the first ejection time: the 0.45 s in which hosts of a large fleet learn of each
+	// other's failures, plus a few steps of a slow engine.
 	firstEjection = time.Second
 	// maxEjection limits the ejection time as it doubles. An endpoint that has died loses its entry in the
 	// endpoint list within 4 s.
--- a/outlier/record_test.go
+++ b/outlier/record_test.go
@@ -110,7 +110,7 @@
 		at   time.Duration
 		want admitted
 	}{
-		{"sound", func(*Record) {}, 0, admitted{true, true}},
+		{"healthy", func(*Record) {}, 0, admitted{true, true}},
 		{"ejected", halfOpen, 500 * ms, admitted{false, false}},
 		{"half-open circuit", halfOpen, firstEjection + 100*ms, admitted{false, true}},
 		{"half-open, and no repeatable request came", halfOpen, firstEjection + probeWait + 100*ms, admitted{true, true}},
@@ -131,8 +131,8 @@
 			var r Record
 			tc.do(&r)
 			nonRepeatable, _ := r.Admits(tc.at, false)
-			again, _ := r.Admits(tc.at, true)
-			must.EqOp(t, tc.want, admitted{nonRepeatable, again})
+			repeatable, _ := r.Admits(tc.at, true)
+			must.EqOp(t, tc.want, admitted{nonRepeatable, repeatable})
 		})
 	}
 }
