--- a/places/book.go
+++ b/places/book.go
@@ -60,14 +60,14 @@
 // Update applies a message of a host, from the given incarnation of its process. It ignores
 // messages that arrive out of order. An increase of the host's running requests uses up the slots
 // granted to it.
-func (b *Allocator) Update(now time.Duration, host string, incarnation uint64, seq uint32, req Request) {
-	if b.hosts == nil {
-		b.hosts = make(map[string]*hostState)
+func (a *Allocator) Update(now time.Duration, host string, incarnation uint64, seq uint32, req Request) {
+	if a.hosts == nil {
+		a.hosts = make(map[string]*hostState)
 	}
-	h := b.hosts[host]
+	h := a.hosts[host]
 	if h == nil || h.incarnation != incarnation || now-h.updatedAt > hostTTL {
 		h = &hostState{incarnation: incarnation}
-		b.hosts[host] = h
+		a.hosts[host] = h
 	}
 	if seq <= h.seq && h.seq != 0 && h.seq-seq < 1<<31 {
 		return
@@ -81,11 +81,11 @@
 }
 
 // Running returns the number of requests at the endpoint according to the hosts' messages.
-func (b *Allocator) Running(now time.Duration) int {
+func (a *Allocator) Running(now time.Duration) int {
 	n := 0
-	for host, h := range b.hosts {
+	for host, h := range a.hosts {
 		if now-h.updatedAt > hostTTL {
-			delete(b.hosts, host)
+			delete(a.hosts, host)
 			continue
 		}
 		n += h.running
@@ -96,9 +96,9 @@
 // Allocate grants free slots; limit returns the number of requests up to which a tier may fill the
 // endpoint. It returns the hosts that got a slot, higher tiers first and in random order within a
 // tier.
-func (b *Allocator) Allocate(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
-	used := b.Running(now)
-	for _, h := range b.hosts {
+func (a *Allocator) Allocate(now time.Duration, limit func(rank int) int, r *rand.Rand) []string {
+	used := a.Running(now)
+	for _, h := range a.hosts {
 		if now >= h.grantExpiry {
 			h.granted = 0
 		}
@@ -106,11 +106,11 @@
 	}
 	var out []string
 	for {
-		host := b.next(now, r)
-		if host == "" || used >= limit(b.hosts[host].rank) {
+		host := a.next(now, r)
+		if host == "" || used >= limit(a.hosts[host].rank) {
 			return out
 		}
-		h := b.hosts[host]
+		h := a.hosts[host]
 		h.granted++
 		h.grantExpiry = now + grantTTL
 		used++
@@ -120,16 +120,16 @@
 
 // next returns a random host among those that want a slot for the highest tier and have no grant,
 // or "".
-func (b *Allocator) next(now time.Duration, r *rand.Rand) string {
+func (a *Allocator) next(now time.Duration, r *rand.Rand) string {
 	best, ties := "", 0
-	for host, h := range b.hosts {
+	for host, h := range a.hosts {
 		if h.rank < 0 || h.granted > 0 || now-h.updatedAt > requestTTL {
 			continue
 		}
 		switch {
-		case best == "" || h.rank < b.hosts[best].rank:
+		case best == "" || h.rank < a.hosts[best].rank:
 			best, ties = host, 1
-		case h.rank == b.hosts[best].rank:
+		case h.rank == a.hosts[best].rank:
 			ties++
 			if r.IntN(ties) == 0 {
 				best = host
@@ -141,14 +141,14 @@
 
 // OthersRunning returns the number of requests of all hosts but one; their granted slots count as
 // taken.
-func (b *Allocator) OthersRunning(now time.Duration, host string) int {
-	n := b.Running(now)
-	for name, h := range b.hosts {
+func (a *Allocator) OthersRunning(now time.Duration, host string) int {
+	n := a.Running(now)
+	for name, h := range a.hosts {
 		if name != host && now < h.grantExpiry {
 			n += h.granted
 		}
 	}
-	if h := b.hosts[host]; h != nil {
+	if h := a.hosts[host]; h != nil {
 		n -= h.running
 	}
 	return n
--- a/places/owner.go
+++ b/places/owner.go
@@ -8,7 +8,7 @@
 
 // Candidate is a host that may own slots.
 type Candidate struct {
-	// Host and Zone are its names.
+	// Host is the name of the host, and Zone that of its zone.
 	Host, Zone string
 }
 
--- a/places/places_test.go
+++ b/places/places_test.go
@@ -82,7 +82,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			var b Allocator
+			var a Allocator
 			r := rand.New(rand.NewPCG(1, 1))
 			limit := func(rank int) int {
 				if rank == 0 {
@@ -91,20 +91,21 @@
 				return 2
 			}
 			for i, m := range tc.messages {
-				b.Update(m.at, m.host, cmp.Or(m.incarnation, 1), m.seq, m.request)
-				must.Eq(t, m.want, b.Allocate(m.at, limit, r), must.Sprint("message ", i))
+				a.Update(m.at, m.host, cmp.Or(m.incarnation, 1), m.seq, m.request)
+				must.Eq(t, m.want, a.Allocate(m.at, limit, r), must.Sprint("message ", i))
 			}
 		})
 	}
 }
 
-// TestAllocatorBounds simulates random hosts and checks that their requests, and those that the
-// allocator knows of, exceed the slots at most by grants that are taken after they have expired.
+// TestAllocatorBounds simulates hosts that take and return granted slots at random, some after the
+// grant has expired. It checks that their requests exceed the slots by at most half the number of
+// hosts, and those that the allocator knows of by at most the number of hosts.
 func TestAllocatorBounds(t *testing.T) {
 	const hosts, slots = 12, 9
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		var b Allocator
+		var a Allocator
 		var running, allowed [hosts]int
 		var seq [hosts]uint32
 		limit := func(int) int { return slots }
@@ -123,8 +124,8 @@
 			if returned {
 				allowed[h] = 0
 			}
-			b.Update(now, fmt.Sprint(h), 1, seq[h], Request{Running: running[h], Rank: rank, Returned: returned})
-			for _, host := range b.Allocate(now, limit, r) {
+			a.Update(now, fmt.Sprint(h), 1, seq[h], Request{Running: running[h], Rank: rank, Returned: returned})
+			for _, host := range a.Allocate(now, limit, r) {
 				var i int
 				_, err := fmt.Sscan(host, &i)
 				must.NoError(t, err)
@@ -135,7 +136,7 @@
 				total += running[i]
 			}
 			must.LessEq(t, slots+hosts/2, total, must.Sprint("seed ", seed)) // by slots taken after the grant expired and before the host reports them
-			must.LessEq(t, slots+hosts, b.Running(now))
+			must.LessEq(t, slots+hosts, a.Running(now))
 		}
 	}
 }
