--- a/quota/told.go
+++ b/quota/told.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// markSilentPeers finds peers that have become silent; nobody waits for their reports.
+// markSilentPeers marks the peers that have become silent. This host does not wait for their reports before it
+// resets its recent use.
 func (b *Book) markSilentPeers(now time.Duration) {
 	for _, p := range b.peers {
 		if !p.silent && now-p.reportedAt > b.silenceTimeout {
