--- a/sched/floor.go
+++ b/sched/floor.go
@@ -17,9 +17,9 @@
 	return now < f.until && rank > f.rank
 }
 
-// lower sets the floor to a tier that was refused, in force until the given time, unless a lower
-// floor is in force.
-func (f *floor) lower(now time.Duration, rank int, until time.Duration) {
+// raise sets the floor to a tier that was refused, in force until the given time, unless a floor at
+// a higher tier is in force. A floor at the same tier is only extended.
+func (f *floor) raise(now time.Duration, rank int, until time.Duration) {
 	if now >= f.until || rank < f.rank {
 		f.rank, f.until = rank, until
 		return
@@ -60,12 +60,13 @@
 	if p == nil || s.cfg.Disabled.Floor || until <= now || f.Rank < 0 {
 		return
 	}
-	p.floor.lower(now, f.Rank, until)
+	p.floor.raise(now, f.Rank, until)
 }
 
-// lowerFloor lowers the floor of a pool after a refusal for lack of capacity.
-func (s *Scheduler) lowerFloor(now time.Duration, p *pool, rank int) {
+// raiseFloor raises the floor of a pool to the tier of a request that was refused for lack of
+// capacity.
+func (s *Scheduler) raiseFloor(now time.Duration, p *pool, rank int) {
 	if !s.cfg.Disabled.Floor {
-		p.floor.lower(now, rank, now+s.cfg.FloorDuration)
+		p.floor.raise(now, rank, now+s.cfg.FloorDuration)
 	}
 }
--- a/sched/grant.go
+++ b/sched/grant.go
@@ -30,7 +30,7 @@
 	// back to claims there: three requests. A failed host is detected only after 0.7 s or more.
 	ownerTimeout = 150 * time.Millisecond
 	// grantTTL is the time for which a granted slot may be taken. It is well below the time after
-	// which the owner grants the slot to another host.
+	// which the owner grants the slot to another host (grantTTL of package places).
 	grantTTL = 50 * time.Millisecond
 	// ownerReportTTL is the time for which an owner's count of other hosts' requests is preferred
 	// to what arrives through relays.
--- a/sched/health.go
+++ b/sched/health.go
@@ -121,7 +121,8 @@
 
 // healthAdmits reports whether a request may go to an endpoint in spite of recent failures. The
 // last chance of a request that was dispatched before needs only an available endpoint, since its
-// caller has part of an answer or has waited for one.
+// caller has part of an answer or has waited for one. The same holds for the few requests that are
+// exempt from rations by exemptChance.
 func (s *Scheduler) healthAdmits(now time.Duration, r *Request, e *endpointState) bool {
 	if r.pool.panicMode || (r.lastChance && r.rationExempt) {
 		return e.available(now)
--- a/sched/hidden.go
+++ b/sched/hidden.go
@@ -17,11 +17,12 @@
 
 // SetSilentPeers sets the number of hosts that may be serving but send no heartbeats to this host.
 //
-// A host that hears only some of the others, or none, would consider endpoints idle that the
-// silent hosts fill. It cannot know whether they still serve. It therefore assumes that each of
-// them has as many requests as it has itself, spread evenly over the endpoints of a pool. At first
-// this estimate has its full weight; later the weight follows the host's own first tokens. First
-// tokens that arrive as predicted without the silent hosts lower it, and late ones raise it.
+// A host that receives heartbeats of only some of the others, or of none, would consider endpoints
+// idle that the silent hosts fill. It cannot know whether they still serve. It therefore assumes
+// that each of them has as many requests as it has itself, spread evenly over the endpoints of a
+// pool. At first this estimate has its full weight; later the weight follows the host's own first
+// tokens. First tokens that arrive as predicted without the silent hosts lower it, and late ones
+// raise it.
 func (s *Scheduler) SetSilentPeers(n int) {
 	if n > s.silentPeers {
 		for _, p := range s.pools {
--- a/sched/order.go
+++ b/sched/order.go
@@ -132,7 +132,7 @@
 // refuse ends a request without running it.
 func (s *Scheduler) refuse(now time.Duration, r *Request, reason Reason, retryAfter time.Duration) Decision {
 	if reason.Overload() && reason != ReasonFloor {
-		s.lowerFloor(now, r.pool, r.rank())
+		s.raiseFloor(now, r.pool, r.rank())
 		if reason != ReasonLength {
 			s.noteUnplaced(now, r)
 		}
--- a/sched/quantile.go
+++ b/sched/quantile.go
@@ -17,7 +17,7 @@
 
 // Gains of a Quantile.
 const (
-	// firstGain is the relative step before it decreases with the number of values.
+	// firstGain divided by the number of values is the relative step, but at least minGain.
 	firstGain = 0.5
 	// minGain is the smallest relative step, so that the estimate follows changes.
 	minGain = 0.04
--- a/sched/request.go
+++ b/sched/request.go
@@ -53,7 +53,7 @@
 	predicted    time.Duration
 	step         time.Duration // of the endpoint at the last dispatch
 	load         float64       // of the endpoint at the last dispatch
-	progressAt   time.Duration
+	progressAt   time.Duration // of the first token, then of the latest observation of speed; 0 before
 	tokens       int
 	avoid        *endpointState
 }
--- a/sched/value_test.go
+++ b/sched/value_test.go
@@ -74,8 +74,8 @@
 }
 
 // TestLastChanceWithNegativeValue checks a request with a negative value at every endpoint,
-// because its prompt costs other streams more than it earns: at its queue deadline it is
-// dispatched anyway, since endpoints have room.
+// because the cost of its prompt to other streams exceeds the value of its answer: at its queue
+// deadline it is dispatched anyway, since endpoints have room.
 func TestLastChanceWithNegativeValue(t *testing.T) {
 	s := newObjectiveScheduler([]time.Duration{12 * time.Millisecond, 12 * time.Millisecond}, []int{40000, 40000}, []int{8, 8})
 	r := &Request{
--- a/sched/woke.go
+++ b/sched/woke.go
@@ -7,8 +7,8 @@
 import "time"
 
 // NoteGap records that this process did not run for a time that ends now. It excludes the gap from
-// the time that requests have spent at their endpoints; otherwise the endpoints would be learned
-// to be slow.
+// the time that requests have spent at their endpoints; otherwise the endpoints would be
+// considered slow.
 func (s *Scheduler) NoteGap(gap time.Duration) {
 	for _, e := range s.endpoints {
 		for _, r := range e.inflight {
