--- a/ingress/counters.go
+++ b/ingress/counters.go
@@ -17,7 +17,8 @@
 	NoSettings, Stale, NoRoute, NoKey, Bad atomic.Int64
 	// OverQuota, Overload, Stopping and Memory count temporary refusals.
 	OverQuota, Overload, Stopping, Memory atomic.Int64
-	// Unproven counts requests refused because the host had received no confirmation of its state since the process last did not run for a while.
+	// Unproven counts requests refused because the process had not run for a while and the host had received no confirmation of its
+	// settings and endpoints since.
 	Unproven atomic.Int64
 	// OldList counts requests refused because the endpoint list was too old.
 	OldList atomic.Int64
@@ -32,12 +33,12 @@
 	// Cut counts responses that broke off, Gone callers that left.
 	Cut, Gone atomic.Int64
 	// LeftAtWork, LateAtWork and MuteAtWork count sends that this host canceled while an endpoint may have been working on them:
-	// because the caller had left, because the deadline had passed, and because the endpoint had been silent beyond the idle
-	// timeout, so that the request went to another one. WorkLostMS sums the time from these sends to their cancellation, in milliseconds.
+	// because the caller had left, because the deadline had passed, and because the endpoint had been silent for so
+	// long that the request went to another one. WorkLostMS sums the time from these sends to their cancellation, in milliseconds.
 	LeftAtWork, LateAtWork, MuteAtWork, WorkLostMS atomic.Int64
 	// LifeOver counts sends that this host canceled because their endpoint had restarted.
 	LifeOver atomic.Int64
-	// LinesDropped counts log lines about requests that exceeded the log budget.
+	// LinesDropped counts log lines about requests that were dropped because they exceeded the limit of their kind.
 	LinesDropped atomic.Int64
 }
 
--- a/ingress/places.go
+++ b/ingress/places.go
@@ -70,13 +70,13 @@
 }
 
 // HandleSlotRequests implements peers.SlotHost.
-func (s *Server) HandleSlotRequests(host string, run uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+func (s *Server) HandleSlotRequests(host string, hostIncarnation uint64, seq uint32, requests map[string]places.Request) map[string]map[string]places.Grant {
 	b := s.balance
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	out := make(map[string]map[string]places.Grant)
-	for incarnation, request := range asks {
+	for incarnation, request := range requests {
 		if b.targets[incarnation] == nil {
 			continue // not listed here yet, or no longer
 		}
@@ -85,7 +85,7 @@
 			allocator = &places.Allocator{}
 			b.slots.allocators[incarnation] = allocator
 		}
-		allocator.Update(now, host, run, seq, request)
+		allocator.Update(now, host, hostIncarnation, seq, request)
 		for _, to := range allocator.Allocate(now, b.sched.TierLimit(now, incarnation), b.slots.rand) {
 			addGrant(out, to, incarnation, places.Grant{Slots: 1, Running: allocator.OthersRunning(now, to)})
 		}
--- a/ingress/places_test.go
+++ b/ingress/places_test.go
@@ -16,12 +16,12 @@
 	"github.com/heathkeel/heathkeel/sched"
 )
 
-// TestAsks checks what a host sends to the owners of slots, and when.
-func TestAsks(t *testing.T) {
+// TestSlotRequests checks what a host sends to the owners of slots, and when.
+func TestSlotRequests(t *testing.T) {
 	b, now := newBalancerWithEngines(2)
 	s := &Server{balance: b}
-	asks, waits := s.SlotRequests()
-	must.MapEmpty(t, asks)
+	requests, waits := s.SlotRequests()
+	must.MapEmpty(t, requests)
 	must.False(t, waits)
 	c := &call{
 		route: &route.Route{Name: "r"}, service: &route.Service{Name: "s", Engine: true},
@@ -31,23 +31,23 @@
 	must.EqOp(t, sched.Run, d.Verdict)
 	c.endpoint = feed.Endpoint{Instance: d.Endpoint}
 	one := map[string]places.Request{d.Endpoint: {Running: 1, Rank: -1}}
-	asks, _ = s.SlotRequests()
-	must.Eq(t, one, asks)
-	asks, _ = s.SlotRequests()
-	must.MapEmpty(t, asks) // already sent
+	requests, _ = s.SlotRequests()
+	must.Eq(t, one, requests)
+	requests, _ = s.SlotRequests()
+	must.MapEmpty(t, requests) // already sent
 	*now += fullSendInterval
-	asks, _ = s.SlotRequests()
-	must.Eq(t, one, asks) // sent again
+	requests, _ = s.SlotRequests()
+	must.Eq(t, one, requests) // sent again
 	s.HandleGrants(map[string]places.Grant{d.Endpoint: {Slots: 1}})
-	asks, _ = s.SlotRequests()
-	must.Eq(t, map[string]places.Request{d.Endpoint: {Running: 1, Rank: -1, Returned: true}}, asks) // no request waits for the slot
+	requests, _ = s.SlotRequests()
+	must.Eq(t, map[string]places.Request{d.Endpoint: {Running: 1, Rank: -1, Returned: true}}, requests) // no request waits for the slot
 	b.endSend(c, sched.Completed, 10, 0)
-	asks, _ = s.SlotRequests()
-	must.Eq(t, map[string]places.Request{d.Endpoint: {Rank: -1}}, asks)
+	requests, _ = s.SlotRequests()
+	must.Eq(t, map[string]places.Request{d.Endpoint: {Rank: -1}}, requests)
 }
 
-// TestHandleAsks checks what the owner of an endpoint's ten slots answers to hosts.
-func TestHandleAsks(t *testing.T) {
+// TestHandleSlotRequests checks what the owner of an endpoint's ten slots answers to hosts.
+func TestHandleSlotRequests(t *testing.T) {
 	b, _ := newBalancerWithEngines(1)
 	s := &Server{balance: b}
 	got := s.HandleSlotRequests("x", 1, 1, map[string]places.Request{"e0": {Running: 9, Rank: -1}, "unknown": {Running: 1, Rank: 0}})
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -323,9 +323,9 @@
 	c.responsePending = true
 	sentAt := c.s.Now()
 	c.noteSend(sentAt)
-	idle := newIdleTimer(c.idleTimeout(), conn.Close)
-	result, backoff := c.roundTrip(ctx, conn, idle)
-	timedOut := idle.stop()
+	silence := newSilenceTimer(c.silenceTimeout(), conn.Close)
+	result, backoff := c.roundTrip(ctx, conn, silence)
+	timedOut := silence.stop()
 	if timedOut && result == sendLost {
 		backoff = backoffUnreachable
 	}
@@ -417,7 +417,7 @@
 }
 
 // roundTrip sends the request on a connection and forwards the response.
-func (c *call) roundTrip(ctx context.Context, conn *upstream.Conn, idle *idleTimer) (sendOutcome, time.Duration) {
+func (c *call) roundTrip(ctx context.Context, conn *upstream.Conn, silence *silenceTimer) (sendOutcome, time.Duration) {
 	req := upstream.Request{Method: c.r.Method, URI: c.uri, Host: c.r.Host, Header: c.header, Body: c.body, HasBody: c.hasBody}
 	sent := c.s.Now()
 	if err := conn.Send(&req); err != nil {
@@ -446,7 +446,7 @@
 		return sendLost, backoffLost
 	}
 	if ok && c.route.Kind == route.Stream {
-		return c.forwardStream(ctx, resp, sent, idle)
+		return c.forwardStream(ctx, resp, sent, silence)
 	}
 	if c.stream.started {
 		// The caller has received part of a stream; a response that is not a stream cannot continue it.
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -35,8 +35,8 @@
 	Now func() time.Duration
 	// Watch detects times in which the process did not run, on the same clock.
 	Watch *clock.GapDetector
-	// Unconfirmed reports whether the host has received no confirmation of its settings and endpoints since the process last did not
-	// run for a while; nil means that they are always confirmed.
+	// Unconfirmed reports whether the process did not run for a while and the host has received no confirmation of its settings and
+	// endpoints since; nil means that they are always confirmed.
 	Unconfirmed func() bool
 	// ListConfirmedAt returns when the endpoint list was last known to be the newest, and false if there is none; nil means that it always is.
 	ListConfirmedAt func() (time.Duration, bool)
@@ -76,7 +76,7 @@
 	quotas       *quota.Book
 	retryBudgets map[string]*quota.RetryBudget
 	hostCount    int
-	logBudgets   map[outcome.Kind]*outcome.LineLimiter
+	lineLimiters map[outcome.Kind]*outcome.LineLimiter
 
 	// Count counts outcomes.
 	Count Counters
@@ -94,7 +94,7 @@
 	s.quotas = quota.NewBook(s.Now())
 	s.quotas.Tolerance, s.quotas.StartFull = s.Tolerance, s.FirstStart
 	s.retryBudgets = make(map[string]*quota.RetryBudget)
-	s.logBudgets = make(map[outcome.Kind]*outcome.LineLimiter)
+	s.lineLimiters = make(map[outcome.Kind]*outcome.LineLimiter)
 	s.hostCount = 1
 	s.SetAgeLimits(AgeLimits{Strict: true})
 	s.balance = newBalancer(s.Zone, s.Policy, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), s.Now)
--- a/ingress/silence.go
+++ b/ingress/silence.go
@@ -18,8 +18,8 @@
 	minCallerTimeout        = 2 * time.Second
 	callerTimeoutObjectives = 4
 	callerTimeoutPauses     = 8
-	// idleTimeoutShare is the share of that silence after which a stream is continued at another endpoint.
-	idleTimeoutShare = 0.5
+	// silenceTimeoutShare is the share of that silence after which a stream is continued at another endpoint.
+	silenceTimeoutShare = 0.5
 	// plainTimeoutObjectives is the silence, in objectives, after which a repeatable plain request is sent to another endpoint.
 	plainTimeoutObjectives = 2.5
 	// closeStaleAfter applies to sends without any response that end by their deadline or their caller: after this time the other
@@ -29,16 +29,16 @@
 	slowPrefillTokens = 8000
 )
 
-// idleTimer cancels a send whose endpoint is silent for too long.
-type idleTimer struct {
+// silenceTimer cancels a send whose endpoint is silent for too long.
+type silenceTimer struct {
 	limit time.Duration
 	timer *time.Timer
 	fired atomic.Bool
 }
 
-// newIdleTimer starts a timer; a limit of 0 never fires.
-func newIdleTimer(limit time.Duration, cancel func()) *idleTimer {
-	t := &idleTimer{limit: limit}
+// newSilenceTimer starts a timer; a limit of 0 never fires.
+func newSilenceTimer(limit time.Duration, cancel func()) *silenceTimer {
+	t := &silenceTimer{limit: limit}
 	if limit > 0 {
 		t.timer = time.AfterFunc(limit, func() {
 			t.fired.Store(true)
@@ -49,23 +49,23 @@
 }
 
 // reset restarts the timer.
-func (t *idleTimer) reset() {
+func (t *silenceTimer) reset() {
 	if t.timer != nil && t.timer.Stop() {
 		t.timer.Reset(t.limit)
 	}
 }
 
 // stop stops the timer and reports whether it had canceled the send.
-func (t *idleTimer) stop() bool {
+func (t *silenceTimer) stop() bool {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	return t.fired.Load()
 }
 
-// idleTimeout returns the silence after which the request is better sent to another endpoint, or 0 where that is not allowed. A
+// silenceTimeout returns the silence after which the request is better sent to another endpoint, or 0 where that is not allowed. A
 // response that cannot be continued elsewhere is never canceled because its endpoint is silent.
-func (c *call) idleTimeout() time.Duration {
+func (c *call) silenceTimeout() time.Duration {
 	r := c.route
 	if !r.MayRepeat() || c.tracker.Sends() >= r.Attempts || r.Objective <= 0 {
 		return 0
@@ -77,5 +77,5 @@
 		return 0
 	}
 	callerTimeout := max(minCallerTimeout, callerTimeoutObjectives*r.Objective, callerTimeoutPauses*r.PauseObjective)
-	return time.Duration(idleTimeoutShare * float64(callerTimeout))
+	return time.Duration(silenceTimeoutShare * float64(callerTimeout))
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -86,7 +86,7 @@
 
 // forwardStream forwards a stream, each event as it arrives. Only complete events go to the caller, and events that were forwarded
 // before are skipped, so that a stream may be resumed at another endpoint.
-func (c *call) forwardStream(ctx context.Context, resp *http.Response, sent time.Duration, idle *idleTimer) (sendOutcome, time.Duration) {
+func (c *call) forwardStream(ctx context.Context, resp *http.Response, sent time.Duration, silence *silenceTimer) (sendOutcome, time.Duration) {
 	r := eventReader{br: bufio.NewReaderSize(resp.Body, eventBuffer)}
 	var lastAt time.Duration
 	n := 0
@@ -101,7 +101,7 @@
 		if err != nil {
 			return sendLost, backoffLost
 		}
-		idle.reset()
+		silence.reset()
 		at := c.s.Now()
 		switch {
 		case n == 0:
--- a/ingress/tell.go
+++ b/ingress/tell.go
@@ -12,10 +12,10 @@
 )
 
 // logOutcome logs the outcome of a request, or of one of its sends, that did not succeed; successful requests are logged only with
-// Trace. Each kind has its own log budget, so that a flood of refusals does not hide a broken stream.
+// Trace. Each kind has its own limit on log lines, so that a flood of refusals does not hide a broken stream.
 func (c *call) logOutcome(kind outcome.Kind, status int, why string, retryAfter time.Duration) {
 	now := c.s.Now()
-	if !c.s.Trace && !c.takeLogBudget(kind, now) {
+	if !c.s.Trace && !c.allowLine(kind, now) {
 		return
 	}
 	e := c.outcomeEvent(now)
@@ -29,15 +29,15 @@
 	c.s.Log.Info(outcome.Message, e.Fields()...)
 }
 
-// takeLogBudget takes a line from the budget of a kind, and logs how many lines were dropped before.
-func (c *call) takeLogBudget(kind outcome.Kind, now time.Duration) bool {
+// allowLine reports whether a line of a kind may be logged now. If lines of that kind were dropped before, it logs their number first.
+func (c *call) allowLine(kind outcome.Kind, now time.Duration) bool {
 	c.s.mu.Lock()
-	budget := c.s.logBudgets[kind]
-	if budget == nil {
-		budget = &outcome.LineLimiter{}
-		c.s.logBudgets[kind] = budget
+	limiter := c.s.lineLimiters[kind]
+	if limiter == nil {
+		limiter = &outcome.LineLimiter{}
+		c.s.lineLimiters[kind] = limiter
 	}
-	dropped, ok := budget.Allow(now)
+	dropped, ok := limiter.Allow(now)
 	c.s.mu.Unlock()
 	if !ok {
 		c.s.Count.LinesDropped.Add(1)
@@ -49,7 +49,8 @@
 	return true
 }
 
-// fingerprint identifies a request: other requests have other fingerprints, later attempts at the same one have the same. The body must have been read.
+// fingerprint returns the request's fingerprint, which differs from those of other requests and is the same for later attempts at this
+// one. The body must have been read.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint != (quarantine.Fingerprint{}) {
 		return c.cachedFingerprint
--- a/ingress/trial.go
+++ b/ingress/trial.go
@@ -26,14 +26,14 @@
 const (
 	// grantTimeout limits the time to get a grant for a request on trial: some calls to a busy store.
 	grantTimeout = time.Second
-	// maxSwaps limits the writes tried for one grant: as many as there are grants, and one that finds none left.
-	maxSwaps = 4
+	// maxSwapAttempts limits the writes tried for one grant: as many as there are grants, and one that finds none left.
+	maxSwapAttempts = 4
 	// trialRetryAfter is the Retry-After of a request that got no grant because the store did not answer.
 	trialRetryAfter = time.Second
 )
 
-// errContended means that another host wrote the record before each of maxSwaps writes.
-var errContended = eris.New("other hosts keep writing the same record; the grant is tried again when the request comes again")
+// errContention means that other hosts changed the record before each of maxSwapAttempts attempts.
+var errContention = eris.New("other hosts keep writing the same record; the grant is retried when the request comes again")
 
 // checkSend checks, at the last moment before a send, whether the request may be sent. A request on trial needs a grant for each send.
 func (c *call) checkSend(ctx context.Context) *refusal {
@@ -78,7 +78,7 @@
 // same send, and the sends made are known even after the loss of any host. It returns false if no grant is left.
 func (k *crashes) grant(ctx context.Context, f quarantine.Fingerprint) (bool, error) {
 	revision := uint64(0)
-	for range maxSwaps {
+	for range maxSwapAttempts {
 		r, ok := k.nextGrant(f)
 		if !ok {
 			return false, nil
@@ -99,7 +99,7 @@
 			k.restore(&stored)
 		}
 	}
-	return false, errContended
+	return false, errContention
 }
 
 // nextGrant returns the record of a request with one more send, or false if no grant is left.
