--- a/edge/join.go
+++ b/edge/join.go
@@ -27,7 +27,7 @@
 	// entries alternately.
 	maxRegisteredRank = 12
 	// largeFleet is the number of hosts from which a starting host waits for peers to send what
-	// they read. In smaller fleets a start costs at most 64 calls, and the host's time matters
+	// they read. In smaller fleets a start costs at most 64 calls, and a quick start matters
 	// more.
 	largeFleet = 32
 	// firstStartWait is how long hosts that all start for the first time, before callers arrive,
--- a/edge/leavers_test.go
+++ b/edge/leavers_test.go
@@ -83,8 +83,8 @@
 						e.Leave(announced)
 					}
 					served := 0
-					const asked = 400
-					for range asked {
+					const sent = 400
+					for range sent {
 						time.Sleep(20 * time.Millisecond)
 						if s.SendRequest(h) == http.StatusOK {
 							served++
@@ -92,7 +92,7 @@
 					}
 					latest := s.MaxArrivalAfterLeaving()
 					must.LessEq(t, largeBoot.DrainTime, latest)
-					must.Greater(t, asked/2, served)
+					must.Greater(t, sent/2, served)
 				})
 			})
 		}
@@ -113,7 +113,7 @@
 	cases := []struct {
 		boot           platform.Boot
 		hosts          int
-		mood           simsite.Behavior
+		behavior       simsite.Behavior
 		onlyLastReader bool // only for the host that reads last
 	}{
 		{smallBoot, 6, simsite.Refuse, false}, {smallBoot, 6, simsite.Hang, false}, {smallBoot, 6, simsite.Refuse, true}, {smallBoot, 6, simsite.Hang, true},
@@ -121,7 +121,7 @@
 		{largeBoot, 78, simsite.Refuse, false}, {largeBoot, 78, simsite.Hang, false}, {largeBoot, 78, simsite.Hang, true},
 	}
 	for i, tc := range cases {
-		t.Run(fmt.Sprintf("%d hosts, mood %d, one %t", tc.hosts, tc.mood, tc.onlyLastReader), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, behavior %d, one %t", tc.hosts, tc.behavior, tc.onlyLastReader), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &simsite.Site{Boot: tc.boot, Zones: 3, StrongPerZone: 2, Latency: time.Millisecond, Log: logr.Discard()}
 				defer s.Stop()
@@ -130,35 +130,35 @@
 				lastHost := lastReader(s.Hosts)
 				for _, h := range s.Hosts {
 					if !tc.onlyLastReader || h == lastHost {
-						s.Store.SetBehavior(h.Boot.IP, tc.mood)
+						s.Store.SetBehavior(h.Boot.IP, tc.behavior)
 					}
 				}
 				calls := s.Store.TotalCalls()
-				asked, served := 0, 0
-				ask := func(d time.Duration) {
+				sent, served := 0, 0
+				sendRequests := func(d time.Duration) {
 					for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 						for _, h := range []*simsite.Host{lastHost, s.Hosts[0]} {
-							asked++
+							sent++
 							if s.SendRequest(h) == http.StatusOK {
 								served++
 							}
 						}
 					}
 				}
-				ask(outage)
-				t.Logf("%d of %d served, %d calls", served, asked, s.Store.TotalCalls()-calls)
-				must.GreaterEq(t, asked*99/100, served)
+				sendRequests(outage)
+				t.Logf("%d of %d served, %d calls", served, sent, s.Store.TotalCalls()-calls)
+				must.GreaterEq(t, sent*99/100, served)
 				for _, h := range s.Hosts {
 					s.Store.SetBehavior(h.Boot.IP, simsite.Normal)
 				}
-				asked, served = 0, 0
-				ask(tc.boot.ContactTime - tc.boot.DrainTime)
-				must.GreaterEq(t, asked*99/100, served)
+				sent, served = 0, 0
+				sendRequests(tc.boot.ContactTime - tc.boot.DrainTime)
+				must.GreaterEq(t, sent*99/100, served)
 				for _, e := range s.Endpoints[:4] {
 					e.Leave(true)
 				}
-				ask(2 * tc.boot.DrainTime)
-				must.GreaterEq(t, asked*99/100, served)
+				sendRequests(2 * tc.boot.DrainTime)
+				must.GreaterEq(t, sent*99/100, served)
 				must.LessEq(t, tc.boot.DrainTime, s.MaxArrivalAfterLeaving())
 			})
 		})
--- a/edge/policy.go
+++ b/edge/policy.go
@@ -19,8 +19,8 @@
 
 // policy returns the scheduling policy of hosts on the platform. Disabled are the rules that need
 // reports of engines (Slow, PeerCorrection: here hosts report to each other what they have running,
-// and the endpoints' pace is learned from streams) and the rules that earned nothing or cost worth
-// in trials (Floor, LongCap, Share, Reserve). Reserve cost worth because the top tier may exceed
+// and the endpoints' step times are learned from streams) and the rules that earned nothing or cost
+// worth in trials (Floor, LongCap, Share, Reserve). Reserve cost worth because the top tier may exceed
 // the slots anyway, and one slot of seven left free was a seventh of all work.
 func policy() sched.Config {
 	return sched.Config{
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -29,7 +29,7 @@
 // recordWriter writes the records of requests on trial or held that no grant has written, and
 // removes the records of requests that this host answered. Without records, hosts that are all
 // killed at once would lose their evidence, and the requests would crash as many endpoints again. A
-// record is written once, by the host with the first rank. The next host writes it if it has not
+// record is written once, by the host with the lowest rank. The next host writes it if it has not
 // learned of that write within a second.
 type recordWriter struct {
 	firstSeen map[quarantine.Fingerprint]time.Duration // when a request was first seen without a record
--- a/edge/records.go
+++ b/edge/records.go
@@ -35,8 +35,8 @@
 	Remove(ctx context.Context, key string, revision uint64) (bool, feed.Item, error)
 }
 
-// records stores the records of requests that are on trial or held. They are written under leases,
-// so that records that are no longer needed expire.
+// records stores the records of requests that are on trial or held, so that they outlast all hosts.
+// They are written under leases, so that records that are no longer needed expire.
 type records struct {
 	store recordStore
 	now   func() time.Duration
@@ -109,8 +109,8 @@
 	return errContention
 }
 
-// errContention means that other hosts changed a record before each attempt.
-var errContention = eris.New("other hosts are writing the same record; the write is retried")
+// errContention means that other hosts changed the record before each of maxSwapAttempts attempts.
+var errContention = eris.New("other hosts keep writing the same record; the write or removal is retried")
 
 // currentLease returns a lease for a record that is written now.
 func (recs *records) currentLease(ctx context.Context) (uint64, error) {
--- a/edge/share.go
+++ b/edge/share.go
@@ -84,7 +84,7 @@
 		requestFetch(h.endpointsToFetch, p)
 	}
 	if !fetchSettings && !fetchEndpoints && p.Settings.Known && p.Endpoints.Known {
-		h.gaps.peerLevelAt.Store(int64(h.now()))
+		h.gaps.nothingNewerAt.Store(int64(h.now()))
 	}
 }
 
--- a/edge/woke.go
+++ b/edge/woke.go
@@ -19,10 +19,10 @@
 
 // gapState describes the gaps in which the process did not run.
 type gapState struct {
-	endedAt     atomic.Int64 // end of the last gap in nanoseconds of the host's clock, 0 once its knowledge is confirmed again
-	peerLevelAt atomic.Int64 // when a peer last proved that it knows nothing newer than this host
-	count       atomic.Int64
-	totalMS     atomic.Int64 // total duration of all gaps
+	endedAt        atomic.Int64 // end of the last gap in nanoseconds of the host's clock, 0 once its knowledge is confirmed again
+	nothingNewerAt atomic.Int64 // when a peer last proved that it knows nothing newer than this host
+	count          atomic.Int64
+	totalMS        atomic.Int64 // total duration of all gaps
 }
 
 // noteGap is called once after each gap in which the process did not run, before anything else uses
@@ -56,7 +56,7 @@
 	view, listed := h.endpoints.View()
 	age, known := h.settings.Age.At(now)
 	confirmed := listed && view.ProvenAt >= gapEnd && known && now-age >= gapEnd
-	if peerLevel := time.Duration(h.gaps.peerLevelAt.Load()); now-gapEnd < maxUnconfirmedTime && !confirmed && peerLevel < gapEnd {
+	if nothingNewer := time.Duration(h.gaps.nothingNewerAt.Load()); now-gapEnd < maxUnconfirmedTime && !confirmed && nothingNewer < gapEnd {
 		return true
 	}
 	h.gaps.endedAt.CompareAndSwap(endedAt, 0)
