--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -61,8 +61,8 @@
 	return c, false, err
 }
 
-// Warm opens a connection to an address and keeps it for a later request. An error describes the
-// state of the endpoint.
+// Warm opens a connection to an address and keeps it for a later request. The error of a
+// failed dial shows the state of the endpoint, such as a refused connection.
 func (p *Pool) Warm(ctx context.Context, address string) error {
 	c, err := p.connect(ctx, address)
 	if err != nil {
