--- a/attempt/account_test.go
+++ b/attempt/account_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// actual is what really became of a request, recorded independently of the tracker.
-type actual struct {
+// sendHistory is what really became of a request, recorded independently of the tracker.
+type sendHistory struct {
 	pending bool // a send has not ended
 	ran     bool // some endpoint may have run it
 }
@@ -23,7 +23,7 @@
 func TestStatusMatchesHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker Tracker
-		var actual actual
+		var actual sendHistory
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
 			switch event := rapid.IntRange(0, 4).Draw(t, "event"); {
 			case !actual.pending:
