--- a/quarantine/attribution_test.go
+++ b/quarantine/attribution_test.go
@@ -303,7 +303,7 @@
 		name string
 		make func(endpoints int) detector
 	}{
-		{"kept", func(n int) detector { return &registryDetector{Registry{Endpoints: n}} }},
+		{"registry", func(n int) detector { return &registryDetector{Registry{Endpoints: n}} }},
 		{"two crashes", func(int) detector { return &countDetector{2, make(map[Fingerprint]map[string]bool)} }},
 		{"three crashes", func(int) detector { return &countDetector{3, make(map[Fingerprint]map[string]bool)} }},
 		{"one trial", func(int) detector {
@@ -342,7 +342,7 @@
 					}
 				}
 				t.Logf("%d of %d innocent requests held; a guilty request crashes %.2f endpoints on average, %d at most; %d sends after the contact time at most", wronglyHeld, requests, float64(crashes)/float64(max(1, guiltyCount)), maxCrashes, lateSends)
-				if d.name == "kept" {
+				if d.name == "registry" {
 					must.LessEq(t, maxLateSends, lateSends)
 					must.LessEq(t, c.maxCrashes, maxCrashes)
 					must.LessEq(t, 1+c.maxWronglyHeld*requests/100000, wronglyHeld)
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -81,8 +81,8 @@
 
 func (d *trialDetector) held(_ time.Duration, f Fingerprint) bool {
 	noResponse := 0
-	for _, crashed := range d.crashes[f] {
-		if crashed {
+	for _, beforeResponse := range d.crashes[f] {
+		if beforeResponse {
 			noResponse++
 		}
 	}
