--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -24,11 +24,11 @@
 // route was removed is not served by it, even if the host has no contact with others and its first
 // reads of the new settings fail although the store is sound.
 //
-// The failure was found by looking elsewhere for the cause of the requests that reached leaving
-// endpoints in a fleet of 78 hosts (TestNoRequestsToLeavingEndpoints): the age of the settings was checked for keys, where that is
-// configured, but not for routes, and after a refused call a host with a late rank paused for up to
-// 5 s. Evidence: in this test all calls but the given ones are answered, and the time for which the
-// removed route was served followed the pause.
+// The cause is the same as that of the requests that reached leaving endpoints in a fleet of 78 hosts
+// (TestNoRequestsToLeavingEndpoints), and was found by looking for it in other places: the age of the
+// settings was checked for keys, where that is configured, but not for routes, and after a refused
+// call a host with a late rank paused for up to 5 s. Evidence: in this test all calls but the given
+// ones are answered, and the time for which the removed route was served followed the pause.
 func TestRemovedRouteNotServed(t *testing.T) {
 	calls := func(m simsite.Behavior, n int) []simsite.Behavior { return slices.Repeat([]simsite.Behavior{m}, n) }
 	cases := []struct {
