--- a/peers/agent.go
+++ b/peers/agent.go
@@ -80,13 +80,14 @@
 
 // Usage is what one or several other hosts used of shared amounts.
 type Usage struct {
-	// Source is the name of the host that reported it; Life identifies one run of that host's process.
+	// Source is the name of the host that reported it; Incarnation identifies one run of that host's
+	// process.
 	Source      string
 	Incarnation uint64
 	// Hosts is the number of hosts whose use is included.
 	Hosts int
-	// Used is what they used since that run began, by workspace, and Left the level of each workspace whose
-	// amount is nearly used up.
+	// Used is what they used since that incarnation began, by workspace, and Left the level of each workspace
+	// whose amount is nearly used up.
 	Used, Left map[string]float64
 }
 
@@ -114,22 +115,22 @@
 	// Log receives changes of state.
 	Log logr.Logger
 
-	mu             sync.Mutex
-	loadsReceived  bool // loads of others were received since the last check
-	extraSeeds     []string
-	newcomers      []newcomer // hosts that know few others
-	trigger        chan struct{}
-	heartbeats     int
-	loggedLive     map[string]bool // live hosts as last logged
-	logBudget      outcome.LineLimiter
-	info           HostInfo // what this host last reported about itself
-	relay          Relay    // this host as a relay
-	uplink         uplink   // the relay that this host uses
-	staleDatagrams bool     // waiting datagrams arrived while the process did not run
-	sentWords      history  // what this host reported
-	askTrigger     chan struct{}
-	askSeq         uint32
-	owners         owners
+	mu                 sync.Mutex
+	loadsReceived      bool // loads of others were received since the last check
+	extraSeeds         []string
+	newcomers          []newcomer // hosts that know few others
+	trigger            chan struct{}
+	heartbeats         int
+	loggedLive         map[string]bool // live hosts as last logged
+	logBudget          outcome.LineLimiter
+	info               HostInfo // what this host last reported about itself
+	relay              Relay    // this host as a relay
+	uplink             uplink   // the relay that this host uses
+	staleDatagrams     bool     // waiting datagrams arrived while the process did not run
+	sentReports        history  // what this host reported
+	slotRequestTrigger chan struct{}
+	slotRequestSeq     uint32
+	owners             owners
 }
 
 // newcomer is a host that needs to learn of the others.
@@ -138,7 +139,7 @@
 // Init initializes the agent; call it before Run.
 func (a *Agent) Init() {
 	a.trigger = make(chan struct{}, 1)
-	a.askTrigger = make(chan struct{}, 1)
+	a.slotRequestTrigger = make(chan struct{}, 1)
 	a.loggedLive = make(map[string]bool)
 	a.logBudget = outcome.LineLimiter{Rate: peerLogRate, Burst: peerLogBurst}
 	a.relay = Relay{Host: a.Table.Host, Incarnation: a.Table.Incarnation}
@@ -216,7 +217,7 @@
 	go a.receive(ctx)
 	go a.shareLoadChanges(ctx)
 	if a.Slots != nil {
-		go a.askLoop(ctx)
+		go a.slotRequestLoop(ctx)
 	}
 	t := time.NewTicker(a.Interval)
 	defer t.Stop()
--- a/peers/beat.go
+++ b/peers/beat.go
@@ -12,7 +12,7 @@
 
 // Heartbeat is the periodic report of a host. It is one datagram of JSON.
 type Heartbeat struct {
-	// Host is the name of the sender; Life identifies one run of its process.
+	// Host is the name of the sender; Incarnation identifies one run of its process.
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"l"`
 	// Seq numbers the sender's heartbeats and digests.
@@ -35,7 +35,7 @@
 	Load    map[string]Load  `json:"o,omitempty"`
 	Waiting map[string][]int `json:"t,omitempty"`
 	LoadSeq uint32           `json:"n,omitempty"`
-	// Used is what was used in the sender's current run, by workspace.
+	// Used is what was used in the sender's current incarnation, by workspace.
 	Used map[string]float64 `json:"u,omitempty"`
 	// Left is the level of each workspace whose amount is nearly used up.
 	Left map[string]float64 `json:"q,omitempty"`
@@ -67,7 +67,7 @@
 
 // KnownHost is another host as the sender knows it.
 type KnownHost struct {
-	// Host and Life identify the host and one run of its process.
+	// Host and Incarnation identify the host and one run of its process.
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"l"`
 	// Info is what the host reported about itself.
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -25,18 +25,18 @@
 
 // Kinds of datagrams; the first byte of a datagram is its kind.
 const (
-	kindHeartbeat = 'b' // deflated JSON of a Heartbeat
-	kindMember    = 'm' // the same, to be passed on by the receiver
-	kindDigest    = 'd' // deflated JSON of a Digest
-	kindUpdate    = 'u' // JSON of an Update, too short for deflating to pay
-	kindAsks      = 'a' // JSON of Asks
-	kindGrants    = 'g' // JSON of Grants
+	kindHeartbeat    = 'b' // deflated JSON of a Heartbeat
+	kindMember       = 'm' // the same, to be passed on by the receiver
+	kindDigest       = 'd' // deflated JSON of a Digest
+	kindUpdate       = 'u' // JSON of an Update, too short for deflating to pay
+	kindSlotRequests = 'a' // JSON of SlotRequests
+	kindGrants       = 'g' // JSON of Grants
 )
 
 // memberHeartbeat is a heartbeat to a relay, which passes on its content.
 type memberHeartbeat struct{ Heartbeat }
 
-// encode encodes a *Heartbeat, *memberHeartbeat, *Digest, *Update, *Asks or *Grants.
+// encode encodes a *Heartbeat, *memberHeartbeat, *Digest, *Update, *SlotRequests or *Grants.
 func encode(msg any) ([]byte, error) {
 	switch msg := msg.(type) {
 	case *Heartbeat:
@@ -48,7 +48,7 @@
 	case *Update:
 		return encodeJSON(kindUpdate, msg)
 	case *SlotRequests:
-		return encodeJSON(kindAsks, msg)
+		return encodeJSON(kindSlotRequests, msg)
 	case *Grants:
 		return encodeJSON(kindGrants, msg)
 	}
@@ -83,7 +83,7 @@
 // errUnknownKind means that a datagram is of an unknown kind.
 var errUnknownKind = eris.New("datagram is of no known kind; its sender may run another version")
 
-// decode decodes a datagram: a *Heartbeat, *memberHeartbeat, *Digest, *Update, *Asks or *Grants.
+// decode decodes a datagram: a *Heartbeat, *memberHeartbeat, *Digest, *Update, *SlotRequests or *Grants.
 func decode(data []byte) (any, error) {
 	if len(data) == 0 {
 		return nil, errUnknownKind
@@ -101,7 +101,7 @@
 	case kindUpdate:
 		var u Update
 		return &u, json.Unmarshal(data, &u)
-	case kindAsks:
+	case kindSlotRequests:
 		var m SlotRequests
 		return &m, json.Unmarshal(data, &m)
 	case kindGrants:
--- a/peers/digest.go
+++ b/peers/digest.go
@@ -6,7 +6,7 @@
 
 // Digest is what a relay passes on: the sum of the reports of several hosts. It is one datagram of JSON.
 type Digest struct {
-	// Host is the name of the relay; Life identifies one run of its process.
+	// Host is the name of the relay; Incarnation identifies one run of its process.
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"l"`
 	// Seq numbers the relay's heartbeats and digests.
--- a/peers/histories_test.go
+++ b/peers/histories_test.go
@@ -47,7 +47,7 @@
 
 	mu              sync.Mutex
 	up              []bool
-	calmSince       []time.Duration // by host: end of its last trouble, or its start if it lasts
+	healthySince    []time.Duration // by host: end of its last trouble, or its start if it lasts
 	store           map[quarantine.Fingerprint]quarantine.Record
 	lateCrash       bool // the request lets endpoints work for a while
 	storeDown       bool
@@ -62,7 +62,7 @@
 func newCrashSimulation(ctx context.Context, hosts int, seed uint64) *crashSimulation {
 	h := &crashSimulation{
 		rand: rand.New(rand.NewPCG(seed, uint64(hosts))), ctx: ctx, lateCrash: seed%2 == 1, store: make(map[quarantine.Fingerprint]quarantine.Record),
-		up: make([]bool, hosts), calmSince: make([]time.Duration, hosts),
+		up: make([]bool, hosts), healthySince: make([]time.Duration, hosts),
 	}
 	h.hosts = crashFleet(ctx, hosts, []float64{0, 0.02, 0.1}[seed%3])
 	h.net = h.hosts[0].conn.network
@@ -114,7 +114,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, i := range hosts {
-		h.calmSince[i] = now
+		h.healthySince[i] = now
 	}
 }
 
@@ -272,12 +272,12 @@
 	defer h.mu.Unlock()
 	if h.thirdCrash != 0 {
 		h.sendsAfterThird++
-		if h.now() > h.thirdCrash+contactTime && h.now() > h.calmSince[i]+contactTime {
+		if h.now() > h.thirdCrash+contactTime && h.now() > h.healthySince[i]+contactTime {
 			h.lateSends++
 		}
 	}
 	h.incarnations++
-	incarnation := fmt.Sprint("life-", h.incarnations)
+	incarnation := fmt.Sprint("incarnation-", h.incarnations)
 	o := h.hosts[i]
 	ran := crashDelay
 	if h.lateCrash {
@@ -330,16 +330,16 @@
 						time.Sleep(2 * contactTime)
 						close(stop)
 					}()
-					pause := rand.New(rand.NewPCG(seed, 7))
+					random := rand.New(rand.NewPCG(seed, 7))
 					for n := 0; ; n++ {
 						select {
 						case <-stop:
 						default:
-							h.send(pause.IntN(len(h.hosts)), f)
+							h.send(random.IntN(len(h.hosts)), f)
 							if n%4 == 0 {
 								h.saveRecords()
 							}
-							time.Sleep(time.Duration(100+pause.IntN(900)) * time.Millisecond)
+							time.Sleep(time.Duration(100+random.IntN(900)) * time.Millisecond)
 							continue
 						}
 						break
--- a/peers/network_test.go
+++ b/peers/network_test.go
@@ -37,10 +37,10 @@
 }
 
 // setBlocked sets which links are blocked.
-func (n *network) setBlocked(cut func(from, to string) bool) {
+func (n *network) setBlocked(blocked func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked = cut
+	n.blocked = blocked
 }
 
 // testConn is an agent's socket. Datagrams beyond its queue are lost.
--- a/peers/others.go
+++ b/peers/others.go
@@ -32,7 +32,7 @@
 	now := a.Now()
 	serving := a.Table.ServingCount(now)
 	if a.usesRelays() {
-		o, reporting := a.uplink.peerLoads(now, &a.sentWords)
+		o, reporting := a.uplink.peerLoads(now, &a.sentReports)
 		o.Age, o.Unreported = relayedAge, max(0, serving-reporting)
 		return o
 	}
--- a/peers/places.go
+++ b/peers/places.go
@@ -13,19 +13,20 @@
 
 // Parameters of asking for slots.
 const (
-	// askDelay is the time for which triggers are gathered into one datagram per owner: one thousandth or more
-	// of the duration of requests to engines, and few enough datagrams for a small host.
-	askDelay = 3 * time.Millisecond
-	// askInterval is the time after which a host asks again while something waits; it is less than the time for
-	// which an owner keeps a request.
-	askInterval = 40 * time.Millisecond
+	// slotRequestDelay is the time for which triggers are gathered into one datagram per owner: one thousandth
+	// or more of the duration of requests to engines, and few enough datagrams for a small host.
+	slotRequestDelay = 3 * time.Millisecond
+	// slotRequestInterval is the time after which a host asks again while something waits; it is less than
+	// requestTTL in package places, for which an owner keeps a request.
+	slotRequestInterval = 40 * time.Millisecond
 	// ownersInterval is the time after which owners are computed anew: one heartbeat.
 	ownersInterval = 200 * time.Millisecond
 )
 
 // SlotRequests is what a host asks the owner of some endpoints' slots. It is one datagram of JSON.
 type SlotRequests struct {
-	// Host is the name of the sender; Life identifies one run of its process; Seq numbers its asks.
+	// Host is the name of the sender; Incarnation identifies one run of its process; Seq numbers its
+	// messages of this kind.
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"l"`
 	Seq         uint32 `json:"s"`
@@ -47,9 +48,9 @@
 	// ZoneOf returns the zone of an endpoint, given its incarnation.
 	ZoneOf(endpoint string) string
 	// SlotRequests returns what to ask the owners, and whether something waits.
-	SlotRequests() (asks map[string]places.Request, waits bool)
+	SlotRequests() (requests map[string]places.Request, waits bool)
 	// HandleSlotRequests handles what a host asks this one as an owner, and returns the grants by host.
-	HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant
+	HandleSlotRequests(host string, incarnation uint64, seq uint32, requests map[string]places.Request) map[string]map[string]places.Grant
 	// HandleGrants handles an owner's answer.
 	HandleGrants(grants map[string]places.Grant)
 }
@@ -83,26 +84,26 @@
 	return name
 }
 
-// TriggerSlotRequests makes the agent ask for slots after askDelay.
+// TriggerSlotRequests makes the agent ask for slots after slotRequestDelay.
 func (a *Agent) TriggerSlotRequests() {
 	select {
-	case a.askTrigger <- struct{}{}:
+	case a.slotRequestTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// askLoop asks for slots soon after each trigger, and repeatedly while something waits, until ctx ends. In
-// fleets without relays changes are sent to all hosts directly, and slots have no owners.
-func (a *Agent) askLoop(ctx context.Context) {
-	t := time.NewTicker(askInterval)
+// slotRequestLoop asks for slots soon after each trigger, and repeatedly while something waits, until ctx ends.
+// In fleets without relays changes are sent to all hosts directly, and slots have no owners.
+func (a *Agent) slotRequestLoop(ctx context.Context) {
+	t := time.NewTicker(slotRequestInterval)
 	defer t.Stop()
 	waits := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.askTrigger:
-			time.Sleep(askDelay)
+		case <-a.slotRequestTrigger:
+			time.Sleep(slotRequestDelay)
 		case <-t.C:
 			if !waits {
 				continue
@@ -114,28 +115,28 @@
 		if !relayed {
 			continue
 		}
-		var asks map[string]places.Request
-		asks, waits = a.Slots.SlotRequests()
-		a.sendAsks(asks)
+		var requests map[string]places.Request
+		requests, waits = a.Slots.SlotRequests()
+		a.sendSlotRequests(requests)
 	}
 }
 
-// sendAsks sends each owner the requests for its endpoints.
-func (a *Agent) sendAsks(asks map[string]places.Request) {
-	if len(asks) == 0 {
+// sendSlotRequests sends each owner the requests for its endpoints.
+func (a *Agent) sendSlotRequests(requests map[string]places.Request) {
+	if len(requests) == 0 {
 		return
 	}
 	a.mu.Lock()
 	now := a.Now()
-	a.askSeq++
-	seq := a.askSeq
+	a.slotRequestSeq++
+	seq := a.slotRequestSeq
 	byOwner := make(map[string]map[string]places.Request)
-	for endpoint, ask := range asks {
+	for endpoint, request := range requests {
 		name := a.owner(now, endpoint)
 		if byOwner[name] == nil {
 			byOwner[name] = make(map[string]places.Request)
 		}
-		byOwner[name][endpoint] = ask
+		byOwner[name][endpoint] = request
 	}
 	to := make(map[string]string, len(byOwner))
 	for name := range byOwner {
@@ -162,13 +163,13 @@
 		}
 		a.mu.Lock()
 		m := a.Table.members[host]
-		address, life := "", uint64(0)
+		address, incarnation := "", uint64(0)
 		if m != nil {
-			address, life = m.Info.Address, m.Incarnation
+			address, incarnation = m.Info.Address, m.Incarnation
 		}
 		a.mu.Unlock()
 		if address != "" {
-			a.sendTo(&Grants{Host: a.Table.Host, To: life, Grants: part}, []string{address})
+			a.sendTo(&Grants{Host: a.Table.Host, To: incarnation, Grants: part}, []string{address})
 		}
 	}
 }
--- a/peers/places_test.go
+++ b/peers/places_test.go
@@ -52,37 +52,37 @@
 		p.lastFull = p.node.now()
 	}
 	for e := range p.zones {
-		a := places.Request{Running: p.running[e], Rank: -1}
+		request := places.Request{Running: p.running[e], Rank: -1}
 		if want[e] {
-			a.Rank = 1
+			request.Rank = 1
 		}
-		if a != p.sent[e] || want[e] || p.returned[e] || (full && a.Running > 0) {
-			p.sent[e] = a
-			a.Returned = p.returned[e]
-			out[e] = a
+		if request != p.sent[e] || want[e] || p.returned[e] || (full && request.Running > 0) {
+			p.sent[e] = request
+			request.Returned = p.returned[e]
+			out[e] = request
 		}
 	}
 	clear(p.returned)
 	return out, p.waiting > 0
 }
 
-func (p *slotNode) HandleSlotRequests(host string, life uint64, seq uint32, asks map[string]places.Request) map[string]map[string]places.Grant {
+func (p *slotNode) HandleSlotRequests(host string, incarnation uint64, seq uint32, requests map[string]places.Request) map[string]map[string]places.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.node.now()
 	out := make(map[string]map[string]places.Grant)
-	for e, a := range asks {
+	for e, request := range requests {
 		if p.allocators[e] == nil {
 			p.allocators[e] = &places.Allocator{}
 		}
-		p.allocators[e].Update(now, host, life, seq, a)
+		p.allocators[e].Update(now, host, incarnation, seq, request)
 		for _, to := range p.allocators[e].Allocate(now, func(int) int { return p.slots }, p.rand) {
 			if out[to] == nil {
 				out[to] = make(map[string]places.Grant)
 			}
 			out[to][e] = places.Grant{Slots: 1, Running: p.allocators[e].OthersRunning(now, to)}
 		}
-		if _, granted := out[host][e]; !granted && a.Rank >= 0 { // a host that asks is always answered
+		if _, granted := out[host][e]; !granted && request.Rank >= 0 { // a host that asks is always answered
 			if out[host] == nil {
 				out[host] = make(map[string]places.Grant)
 			}
@@ -147,7 +147,7 @@
 						sent: make(map[string]places.Request), allocators: make(map[string]*places.Allocator), returned: make(map[string]bool),
 					}
 					n.agent.Slots = all[i]
-					go n.agent.askLoop(ctx)
+					go n.agent.slotRequestLoop(ctx)
 				}
 				time.Sleep(4 * time.Second)
 				for i := range tc.endpoints * slots * 3 / 2 {
--- a/peers/receive.go
+++ b/peers/receive.go
@@ -71,10 +71,10 @@
 }
 
 // markAlive records that a host sent something.
-func (a *Agent) markAlive(host string, life uint64) {
+func (a *Agent) markAlive(host string, incarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.Table.MarkAlive(a.Now(), host, life)
+	a.Table.MarkAlive(a.Now(), host, incarnation)
 }
 
 // receiveHeartbeat handles one heartbeat.
@@ -144,7 +144,7 @@
 	if d.Partial {
 		a.relay.ReceivePartial(now, d)
 	}
-	u, counted := a.uplink.receive(now, d, &a.sentWords)
+	u, counted := a.uplink.receive(now, d, &a.sentReports)
 	a.loadsReceived = a.loadsReceived || counted
 	a.mu.Unlock()
 	if counted {
--- a/peers/relay.go
+++ b/peers/relay.go
@@ -23,7 +23,7 @@
 // size of the fleet. A relay holds nothing that its successor does not receive anew within one heartbeat. It
 // does no I/O, and it is not safe for concurrent use.
 type Relay struct {
-	// Host and Life identify this host and one run of its process.
+	// Host and Incarnation identify this host and one run of its process.
 	Host        string
 	Incarnation uint64
 
@@ -43,7 +43,7 @@
 	hosts       int
 	address     string
 	lost        []string
-	words       Words
+	report      Words
 }
 
 // init creates the maps.
@@ -60,7 +60,7 @@
 func (r *Relay) ReceiveHeartbeat(now time.Duration, b *Heartbeat) {
 	r.init()
 	delete(r.lost, b.Host)
-	used, ok := updateSource(r.members, b.Host, &source{incarnation: b.Incarnation, seq: b.Seq, receivedAt: now, hosts: 1, address: b.Info.Address, words: b.Words})
+	used, ok := updateSource(r.members, b.Host, &source{incarnation: b.Incarnation, seq: b.Seq, receivedAt: now, hosts: 1, address: b.Info.Address, report: b.Words})
 	if !ok {
 		return
 	}
@@ -73,7 +73,7 @@
 // ReceivePartial stores another relay's partial digest.
 func (r *Relay) ReceivePartial(now time.Duration, d *Digest) {
 	r.init()
-	used, ok := updateSource(r.relays, d.Host, &source{incarnation: d.Incarnation, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, words: d.Words})
+	used, ok := updateSource(r.relays, d.Host, &source{incarnation: d.Incarnation, seq: d.Seq, receivedAt: now, hosts: d.Hosts, address: d.Info.Address, lost: d.Lost, report: d.Words})
 	if !ok {
 		return
 	}
@@ -83,7 +83,8 @@
 }
 
 // updateSource stores a source's report and returns what was used there since its previous report. Counting
-// starts with the first report of a run. It returns false for a report that arrives after a newer one.
+// starts with the first report of an incarnation. It returns false for a report that arrives after a newer
+// one.
 func updateSource(sources map[string]*source, name string, s *source) (map[string]float64, bool) {
 	old := sources[name]
 	if old != nil && old.incarnation == s.incarnation && s.seq <= old.seq {
@@ -94,8 +95,8 @@
 		return nil, true
 	}
 	used := make(map[string]float64)
-	for ws, n := range s.words.Used {
-		if delta := n - old.words.Used[ws]; delta > 0 {
+	for ws, n := range s.report.Used {
+		if delta := n - old.report.Used[ws]; delta > 0 {
 			used[ws] = delta
 		}
 	}
@@ -148,7 +149,7 @@
 	var sum loadSum
 	for _, s := range r.members {
 		d.Hosts += s.hosts
-		sum.add(&s.words)
+		sum.add(&s.report)
 	}
 	for name, s := range r.relays {
 		d.Echo[name] = s.seq
@@ -166,13 +167,13 @@
 	for name, s := range r.members {
 		d.Hosts += s.hosts
 		d.Echo[name] = s.seq
-		sum.add(&s.words)
+		sum.add(&s.report)
 	}
 	d.Lost = slices.Collect(maps.Keys(r.lost))
 	for _, s := range r.relays {
 		d.Hosts += s.hosts
 		d.Lost = append(d.Lost, s.lost...)
-		sum.add(&s.words)
+		sum.add(&s.report)
 	}
 	slices.Sort(d.Lost)
 	d.Load, d.Waiting, d.Used = sum.loads(), sum.waiting, maps.Clone(r.fullUsed)
--- a/peers/relayed.go
+++ b/peers/relayed.go
@@ -16,7 +16,7 @@
 	b.Known = nil // relays send known hosts to their members
 	a.mu.Lock()
 	now := a.Now()
-	a.sentWords.add(&b)
+	a.sentReports.add(&b)
 	self := &Member{Host: b.Host, Incarnation: b.Incarnation, Info: b.Info}
 	relay := a.uplink.choose(now, b.Host, a.Table.Relays(now, b.Info.Zone, self))
 	var to []string
@@ -53,7 +53,7 @@
 		d.Left = b.Left
 	}
 	if a.uplink.host == b.Host {
-		own, counted = a.uplink.receive(now, &full, &a.sentWords)
+		own, counted = a.uplink.receive(now, &full, &a.sentReports)
 		a.loadsReceived = true
 	}
 	a.mu.Unlock()
--- a/peers/start_test.go
+++ b/peers/start_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestTurns checks the order in which hosts read the store for each other: one host comes first, which is a
-// relay in fleets with relays, and a host that hears from no other does not wait for others.
-func TestTurns(t *testing.T) {
+// TestReadRank checks the order in which hosts read the store for each other: one host comes first, which is
+// a relay in fleets with relays, and a host that hears from no other does not wait for others.
+func TestReadRank(t *testing.T) {
 	for _, tc := range []struct{ hosts, zones int }{{6, 3}, {24, 3}, {63, 5}} {
 		t.Run(fmt.Sprint(tc.hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -131,20 +131,20 @@
 				time.Sleep(5 * time.Second)
 				seen := make(map[int]int)
 				for _, n := range nodes {
-					turn, far := n.agent.ReadRank()
-					seen[turn]++
-					must.EqOp(t, tc.hosts > fanout+1, far)
+					rank, viaRelay := n.agent.ReadRank()
+					seen[rank]++
+					must.EqOp(t, tc.hosts > fanout+1, viaRelay)
 					if _, relay := n.agent.relayStatus(); relay {
-						must.Less(t, tc.zones, turn)
+						must.Less(t, tc.zones, rank)
 					}
 				}
 				must.EqOp(t, 1, seen[0])
 				must.EqOp(t, 1, seen[1])
 				nodes[0].conn.isolate()
 				time.Sleep(30 * time.Second)
-				turn, far := nodes[0].agent.ReadRank()
-				must.EqOp(t, 0, turn)
-				must.False(t, far)
+				rank, viaRelay := nodes[0].agent.ReadRank()
+				must.EqOp(t, 0, rank)
+				must.False(t, viaRelay)
 				cancel()
 				synctest.Wait()
 			})
--- a/peers/table.go
+++ b/peers/table.go
@@ -35,7 +35,7 @@
 
 // Member is another host.
 type Member struct {
-	// Host and Life identify the host and one run of its process.
+	// Host and Incarnation identify the host and one run of its process.
 	Host        string
 	Incarnation uint64
 	// Info is what the host reported about itself.
@@ -63,7 +63,7 @@
 
 // Table is what a host knows about the others. It does no I/O, and it is not safe for concurrent use.
 type Table struct {
-	// Host and Life identify this host and one run of its process.
+	// Host and Incarnation identify this host and one run of its process.
 	Host        string
 	Incarnation uint64
 	// SilenceTimeout and ForgetTimeout are described at their defaults, which are used for 0.
@@ -148,11 +148,11 @@
 	return t.proof(d.Host, &d.Info, d.Echo, &d.Words)
 }
 
-// MarkAlive records that a known member sent something other than a heartbeat, in the given run of its process,
-// or in the known one if life is 0. A relay that lost some heartbeats may report the member as silent; a host
-// that hears from it knows better.
-func (t *Table) MarkAlive(now time.Duration, host string, life uint64) {
-	if m := t.members[host]; m != nil && (life == 0 || life == m.Incarnation) {
+// MarkAlive records that a known member sent something other than a heartbeat, in the given incarnation, or
+// in the known one if incarnation is 0. A relay that lost some heartbeats may report the member as silent; a
+// host that hears from it knows better.
+func (t *Table) MarkAlive(now time.Duration, host string, incarnation uint64) {
+	if m := t.members[host]; m != nil && (incarnation == 0 || incarnation == m.Incarnation) {
 		t.noteReturn(now, m)
 		m.LastHeard, m.lastDirect = now, now
 	}
@@ -160,13 +160,13 @@
 
 // proof returns what a peer's report proves: it was written after the peer had received the datagram of this
 // host that it echoes.
-func (t *Table) proof(host string, info *HostInfo, echoes map[string]uint32, words *Words) (Proof, bool) {
+func (t *Table) proof(host string, info *HostInfo, echoes map[string]uint32, report *Words) (Proof, bool) {
 	echo, ok := echoes[t.Host]
 	if !ok || echo > t.seq || t.seq-echo >= seqWindow {
 		return Proof{}, false
 	}
 	sentAt := t.sentAt[echo%seqWindow]
-	return Proof{Host: host, Control: info.Control, Settings: words.Settings.since(sentAt), Endpoints: words.Endpoints.since(sentAt)}, true
+	return Proof{Host: host, Control: info.Control, Settings: report.Settings.since(sentAt), Endpoints: report.Endpoints.since(sentAt)}, true
 }
 
 // Relays returns the hosts of a zone that may relay, in order of preference. self is this host, which counts
--- a/peers/table_test.go
+++ b/peers/table_test.go
@@ -77,7 +77,7 @@
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 5})
 			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Incarnation: 1, Seq: 5})
 		}, 2 * time.Second, nil},
-		{"a new Life restarts its sequence numbers", func(tb *Table) {
+		{"a new incarnation restarts its sequence numbers", func(tb *Table) {
 			tb.ReceiveHeartbeat(0, &Heartbeat{Host: "b", Incarnation: 1, Seq: 500})
 			tb.ReceiveHeartbeat(time.Second, &Heartbeat{Host: "b", Incarnation: 2, Seq: 1})
 		}, 2 * time.Second, []string{"b"}},
--- a/peers/turn.go
+++ b/peers/turn.go
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ReadRank returns this host's position in the order in which hosts read the store for each other; viaRelay reports
-// whether proofs arrive through relays. In small fleets the order is that of the hashes of the names. In fleets
-// with relays the relays come first, because their reports reach all hosts of their zone soonest. A host that
-// hears from no other host has turn 0.
-func (a *Agent) ReadRank() (turn int, viaRelay bool) {
+// ReadRank returns this host's position in the order in which hosts read the store for each other; viaRelay
+// reports whether proofs arrive through relays. In small fleets the order is that of the hashes of the names.
+// In fleets with relays the relays come first, because their reports reach all hosts of their zone soonest. A
+// host that hears from no other host has rank 0.
+func (a *Agent) ReadRank() (rank int, viaRelay bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
--- a/peers/update.go
+++ b/peers/update.go
@@ -9,7 +9,7 @@
 // Update holds the changes of a host's loads since its last update or heartbeat. It is one datagram of JSON.
 // The next heartbeat, which has all loads, makes up for a lost update.
 type Update struct {
-	// Host is the name of the sender; Life identifies one run of its process.
+	// Host is the name of the sender; Incarnation identifies one run of its process.
 	Host        string `json:"h"`
 	Incarnation uint64 `json:"l"`
 	// LoadSeq numbers the sender's load reports, in updates and heartbeats.
@@ -21,7 +21,7 @@
 }
 
 // ReceiveUpdate applies an update and reports whether it was new: an update that arrives after a newer one, or
-// from a host or a Life that is not known yet, is ignored.
+// from a host or an incarnation that is not known yet, is ignored.
 func (t *Table) ReceiveUpdate(u *Update) bool {
 	m := t.members[u.Host]
 	if m == nil || m.Incarnation != u.Incarnation || u.LoadSeq <= m.loadSeq {
--- a/peers/update_test.go
+++ b/peers/update_test.go
@@ -32,7 +32,7 @@
 		{"an out-of-order heartbeat keeps the loads", []any{first, third, &Heartbeat{Host: "b", Incarnation: 1, Seq: 2, Words: Words{LoadSeq: 2}}}, map[string]Load{"e": none, "f": three}, 0},
 		{"a heartbeat makes up for a lost update", []any{first, full}, map[string]Load{"f": three}, 0},
 		{"an update of an unknown host", []any{second}, nil, 0},
-		{"an update of an ended Life", []any{first, restarted, third}, map[string]Load{"g": two}, 0},
+		{"an update of an ended incarnation", []any{first, restarted, third}, map[string]Load{"g": two}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/peers/uplink.go
+++ b/peers/uplink.go
@@ -117,9 +117,9 @@
 
 // history holds what this host reported in its last heartbeats. The zero value is empty.
 type history struct {
-	host  string
-	words [historySize]Words
-	seqs  [historySize]uint32
+	host    string
+	reports [historySize]Words
+	seqs    [historySize]uint32
 }
 
 // historySize is the number of heartbeats kept: those that may still be in flight in digests, which are one
@@ -129,14 +129,14 @@
 // add stores the content of a heartbeat.
 func (h *history) add(b *Heartbeat) {
 	i := b.Seq % historySize
-	h.host, h.words[i], h.seqs[i] = b.Host, b.Words, b.Seq
+	h.host, h.reports[i], h.seqs[i] = b.Host, b.Words, b.Seq
 }
 
 // lookup returns the report of this host that a digest includes, and false if it is no longer stored.
 func (h *history) lookup(echo map[string]uint32) (Words, bool) {
 	seq, ok := echo[h.host]
 	if i := seq % historySize; ok && seq > 0 && h.seqs[i] == seq {
-		return h.words[i], true
+		return h.reports[i], true
 	}
 	return Words{}, false
 }
