--- a/fleet/agent.go
+++ b/fleet/agent.go
@@ -30,8 +30,8 @@
 	// fullSyncThreshold is the number of heartbeats in a row with unequal digests after
 	// which all records are requested.
 	fullSyncThreshold = 8
-	// probeInterval is the number of rounds of heartbeats between two probes.
-	probeInterval = 5
+	// roundsPerProbe is the number of rounds of heartbeats between two probes.
+	roundsPerProbe = 5
 	// listInterval is the time between two reads of the platform's list.
 	listInterval = time.Second
 )
@@ -134,10 +134,10 @@
 func (a *Agent) SendNow() {
 	a.mu.Lock()
 	a.initialize()
-	kick := a.sendNow
+	trigger := a.sendNow
 	a.mu.Unlock()
 	select {
-	case kick <- struct{}{}:
+	case trigger <- struct{}{}:
 	default:
 	}
 }
@@ -243,7 +243,7 @@
 // heartbeatTargets returns the receivers of this round's heartbeats; mu must be held.
 func (a *Agent) heartbeatTargets() []Host {
 	out := append([]Host(nil), a.neighbors()...)
-	if h, ok := a.probeCandidate(); ok && a.round%probeInterval == 1 {
+	if h, ok := a.probeCandidate(); ok && a.round%roundsPerProbe == 1 {
 		out = append(out, h)
 	}
 	return out
