--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -203,7 +203,7 @@
 		}
 	})
 	d := &GapDetector{Clock: c, OnGap: func(Gap) {}}
-	b.Run("look", func(b *testing.B) {
+	b.Run("check", func(b *testing.B) {
 		for b.Loop() {
 			d.Check()
 		}
