--- a/feed/calls.go
+++ b/feed/calls.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// outageCalls is the number of this host's calls that must go unanswered in a row before the host
-// takes it for an outage of the store. A single call may fail for other reasons: the store may refuse
-// it because of the calls of all hosts together, or its connection may be dead.
+// outageCalls is the number of this host's calls that must fail in a row, refused or unanswered, before
+// the host takes it for an outage of the store. A single call may fail for other reasons: the store may
+// refuse it because of the calls of all hosts together, or its connection may be dead.
 const outageCalls = 4
 
 // storeCall is a call of this host to the store: when it was sent, by the host's clock and by the time
--- a/feed/calls_test.go
+++ b/feed/calls_test.go
@@ -91,7 +91,7 @@
 		// too old, while the process waits to read the next one.
 		minUsable float64
 	}{
-		{"sound", false, 0.75}, {"down", true, 0.9},
+		{"working", false, 0.75}, {"down", true, 0.9},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -21,7 +21,7 @@
 )
 
 // errDown is the error of a store that is down.
-var errDown = errors.New("dark")
+var errDown = errors.New("store is down")
 
 // memoryStore is a store in memory; its fields may be changed under mu.
 type memoryStore struct {
--- a/feed/reach.go
+++ b/feed/reach.go
@@ -110,8 +110,8 @@
 }
 
 // FailedRecently reports whether the store failed for this host so recently that old data may still be
-// used: even if the store returned right after the last failed call was sent, the contact time is not
-// over yet. Answers that other hosts got since then do not matter.
+// used: had the store returned right after the last failed call was sent, MaxKeep, and so the longer
+// contact time, would not be over yet. Answers that other hosts got since then do not matter.
 func (h *StoreHealth) FailedRecently() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/feed/shared.go
+++ b/feed/shared.go
@@ -12,8 +12,8 @@
 )
 
 // Hosts pass on to each other what they read from the store, with a proof of its age. So that not all
-// of them call the store, each has a rank: the host of rank 0 reads when the view has reached its
-// maximum age, and the next ones read only if that did not happen.
+// of them call the store, each has a rank: the host of rank 0 reads at regular intervals, and the next
+// ones read only if that did not happen.
 
 const (
 	// proofDelayShare is the part of the time between two reads that a proof may take from the host
