--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -150,7 +150,7 @@
 				r := &dev.Cluster{Declaration: parse(b), Hosts: 3}
 				must.NoError(b, r.Start())
 				b.Cleanup(r.Stop)
-				rg := &testCluster{Cluster: r}
+				tc := &testCluster{Cluster: r}
 				eventually(b, "ready", func() bool {
 					for _, n := range r.StartedHosts {
 						live := 0
@@ -165,7 +165,7 @@
 					}
 					return true
 				})
-				a := rg.address(b, r.StartedHosts[0]).Addresses[0]
+				a := tc.address(b, r.StartedHosts[0]).Addresses[0]
 				var n atomic.Int64
 				runLoad(b, callers, func(c *http.Client) {
 					req, _ := http.NewRequest(http.MethodPost, "http://"+a.Address+router.PathCall+service, strings.NewReader("x"))
--- a/router/completions.go
+++ b/router/completions.go
@@ -62,16 +62,16 @@
 		return
 	}
 	r.releaseBody(j)
-	a := &engineRequest{job: j, engine: t.engine, endpoint: t.Name, model: body.Model}
+	engineReq := &engineRequest{job: j, engine: t.engine, endpoint: t.Name, model: body.Model}
 	r.onceMu.Lock()
-	r.active[j.id()] = a
+	r.active[j.id()] = engineReq
 	r.onceMu.Unlock()
 	checked := &endpoint.CheckedStream{Stream: stream, ID: j.id()}
 	if body.Stream {
-		r.streamAnswer(w, req, a, checked)
+		r.streamAnswer(w, req, engineReq, checked)
 		return
 	}
-	r.writeWholeAnswer(w, req, a, checked)
+	r.writeWholeAnswer(w, req, engineReq, checked)
 }
 
 // parseCompletion parses and validates the body of a request and sets the job's
@@ -113,9 +113,9 @@
 
 // setAnswerHeaders sets the headers with which a caller can resume the stream at
 // any host.
-func setAnswerHeaders(w http.ResponseWriter, a *engineRequest) {
-	w.Header().Set(HeaderID, a.job.id())
-	w.Header().Set(HeaderEndpoint, a.endpoint)
+func setAnswerHeaders(w http.ResponseWriter, engineReq *engineRequest) {
+	w.Header().Set(HeaderID, engineReq.job.id())
+	w.Header().Set(HeaderEndpoint, engineReq.endpoint)
 }
 
 // sink receives the pieces of an answer. An error means that the caller went away.
@@ -127,16 +127,16 @@
 // copyStream passes the pieces of an answer to a sink and records the token
 // metrics. It resumes a broken stream at the same engine. It returns the number
 // of pieces received.
-func (r *Router) copyStream(ctx context.Context, a *engineRequest, s *endpoint.CheckedStream, write sink) (int, error) {
+func (r *Router) copyStream(ctx context.Context, engineReq *engineRequest, s *endpoint.CheckedStream, write sink) (int, error) {
 	defer func() { _ = s.Close() }()
-	lastToken := a.job.arrived
+	lastToken := engineReq.job.arrived
 	for {
 		p, err := s.Next()
 		switch {
 		case err == io.EOF:
 			return s.NextSeq, nil
 		case errors.Is(err, endpoint.ErrLost):
-			if err = r.resumeStream(ctx, a, s); err != nil {
+			if err = r.resumeStream(ctx, engineReq, s); err != nil {
 				return s.NextSeq, err
 			}
 			continue
@@ -144,7 +144,7 @@
 			return s.NextSeq, err
 		}
 		now := r.now()
-		r.recordToken(a, p.Seq, now-lastToken)
+		r.recordToken(engineReq, p.Seq, now-lastToken)
 		lastToken = now
 		if write(p) != nil || ctx.Err() != nil {
 			return s.NextSeq, errCallerGone
@@ -154,18 +154,18 @@
 
 // recordToken reports one token to the scheduler and records its metrics. since
 // is the time since the previous token, or since the arrival of the request.
-func (r *Router) recordToken(a *engineRequest, seq int, since time.Duration) {
+func (r *Router) recordToken(engineReq *engineRequest, seq int, since time.Duration) {
 	r.mu.Lock()
 	if seq == 0 {
-		r.sched.FirstToken(r.now(), a.job.req)
+		r.sched.FirstToken(r.now(), engineReq.job.req)
 	}
-	r.sched.Progress(r.now(), a.job.req, seq+1)
+	r.sched.Progress(r.now(), engineReq.job.req, seq+1)
 	r.mu.Unlock()
 	if seq == 0 {
-		r.metrics.Record(a.job.key(), metrics.FirstToken, since)
+		r.metrics.Record(engineReq.job.key(), metrics.FirstToken, since)
 		return
 	}
-	r.metrics.Record(a.job.key(), metrics.InterToken, since)
+	r.metrics.Record(engineReq.job.key(), metrics.InterToken, since)
 }
 
 // Limits on resuming a stream.
@@ -179,13 +179,13 @@
 
 // resumeStream resumes a broken stream at its engine, after the last piece
 // received.
-func (r *Router) resumeStream(ctx context.Context, a *engineRequest, s *endpoint.CheckedStream) error {
+func (r *Router) resumeStream(ctx context.Context, engineReq *engineRequest, s *endpoint.CheckedStream) error {
 	_ = s.Close()
 	for range maxResumeAttempts {
-		next, err := a.engine.Resume(context.WithoutCancel(ctx), a.job.id(), s.NextSeq)
+		next, err := engineReq.engine.Resume(context.WithoutCancel(ctx), engineReq.job.id(), s.NextSeq)
 		if err == nil {
 			s.Stream = next
-			r.metrics.Count(a.job.key(), "stream resumed")
+			r.metrics.Count(engineReq.job.key(), "stream resumed")
 			return nil
 		}
 		if errors.Is(err, endpoint.ErrUnknownStream) {
@@ -197,15 +197,15 @@
 }
 
 // streamAnswer sends the answer as server-sent events.
-func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.CheckedStream) {
-	setAnswerHeaders(w, a)
+func (r *Router) streamAnswer(w http.ResponseWriter, req *http.Request, engineReq *engineRequest, s *endpoint.CheckedStream) {
+	setAnswerHeaders(w, engineReq)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
 	var buf []byte
-	n, err := r.copyStream(req.Context(), a, s, func(p endpoint.Piece) error {
-		buf = endpoint.AppendEvent(buf[:0], p, a.model)
+	n, err := r.copyStream(req.Context(), engineReq, s, func(p endpoint.Piece) error {
+		buf = endpoint.AppendEvent(buf[:0], p, engineReq.model)
 		if _, err := w.Write(buf); err != nil || s.More() {
 			return err
 		}
@@ -220,7 +220,7 @@
 			err = errCallerGone
 		}
 	}
-	if p := r.finishStream(a, n, err); p != nil {
+	if p := r.finishStream(engineReq, n, err); p != nil {
 		b, _ := json.Marshal(p)
 		_, _ = w.Write(append(append([]byte("event: error\ndata: "), b...), "\n\n"...))
 		_ = rc.Flush()
@@ -228,23 +228,23 @@
 }
 
 // writeWholeAnswer collects the answer and sends it as one JSON document.
-func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, a *engineRequest, s *endpoint.CheckedStream) {
+func (r *Router) writeWholeAnswer(w http.ResponseWriter, req *http.Request, engineReq *engineRequest, s *endpoint.CheckedStream) {
 	var text strings.Builder
 	var finish string
-	n, err := r.copyStream(req.Context(), a, s, func(p endpoint.Piece) error {
+	n, err := r.copyStream(req.Context(), engineReq, s, func(p endpoint.Piece) error {
 		text.WriteString(p.Content())
 		finish = p.Finish
 		return nil
 	})
 	if err == nil {
-		setAnswerHeaders(w, a)
+		setAnswerHeaders(w, engineReq)
 		w.Header().Set(problem.OutcomeHeader, string(problem.Answered))
 		writeJSON(w, endpoint.Chunk{
-			ID: a.job.id(), Object: "text_completion", Model: a.model,
+			ID: engineReq.job.id(), Object: "text_completion", Model: engineReq.model,
 			Choices: []endpoint.Choice{{Text: text.String(), FinishReason: &finish}},
 		})
 	}
-	if p := r.finishStream(a, n, err); p != nil {
+	if p := r.finishStream(engineReq, n, err); p != nil {
 		problem.Write(w, p)
 	}
 }
@@ -252,42 +252,42 @@
 // finishStream ends a request after its stream ended. It returns the problem to
 // report to the caller, or nil. If a caller that sent an ID went away after the
 // first piece, the stream continues for CancelGrace so that the caller can resume it.
-func (r *Router) finishStream(a *engineRequest, tokens int, err error) *problem.Problem {
+func (r *Router) finishStream(engineReq *engineRequest, tokens int, err error) *problem.Problem {
 	switch {
 	case err == nil:
-		r.finish(a.job, sched.Completed, tokens)
+		r.finish(engineReq.job, sched.Completed, tokens)
 		return nil
-	case errors.Is(err, errCallerGone) && a.job.callerID && tokens > 0:
+	case errors.Is(err, errCallerGone) && engineReq.job.callerID && tokens > 0:
 		r.onceMu.Lock()
-		a.cancelTimer = time.AfterFunc(r.CancelGrace, func() { r.abandon(a) })
+		engineReq.cancelTimer = time.AfterFunc(r.CancelGrace, func() { r.abandon(engineReq) })
 		r.onceMu.Unlock()
 		return nil
 	case errors.Is(err, errCallerGone):
-		r.abandon(a)
+		r.abandon(engineReq)
 		return nil
 	}
-	r.cancelStream(a)
-	return r.endLost(a.job, a.endpoint, err)
+	r.cancelStream(engineReq)
+	return r.endLost(engineReq.job, engineReq.endpoint, err)
 }
 
 // cancelTimeout is the timeout of a call that cancels a stream at its engine.
 const cancelTimeout = time.Second
 
 // cancelStream cancels a stream at its engine.
-func (r *Router) cancelStream(a *engineRequest) {
+func (r *Router) cancelStream(engineReq *engineRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	_ = a.engine.Cancel(ctx, a.job.id())
+	_ = engineReq.engine.Cancel(ctx, engineReq.job.id())
 }
 
 // abandon cancels the stream and ends the request of a caller that went away.
-func (r *Router) abandon(a *engineRequest) {
+func (r *Router) abandon(engineReq *engineRequest) {
 	r.onceMu.Lock()
-	active := r.active[a.job.id()] == a
+	active := r.active[engineReq.job.id()] == engineReq
 	r.onceMu.Unlock()
 	if !active {
 		return
 	}
-	r.cancelStream(a)
-	r.finish(a.job, sched.Canceled, 0)
+	r.cancelStream(engineReq)
+	r.finish(engineReq.job, sched.Canceled, 0)
 }
--- a/router/engine_test.go
+++ b/router/engine_test.go
@@ -106,7 +106,7 @@
 	cl := newClient(r)
 	list, err := cl.Addresses(context.Background())
 	must.NoError(t, err)
-	owner := r.node(list[0].Address)
+	owner := r.hostAt(list[0].Address)
 	reached, release := r.gateOf(owner).holdAt(router.StageSent)
 	go func() {
 		<-reached
@@ -152,7 +152,7 @@
 		must.Positive(t, r.busyEngines())
 		cancel()
 		eventually(t, "engine idle", func() bool { return r.busyEngines() == 0 })
-		eventually(t, "host idle", func() bool { return r.node(a.Address).Router.Status().Active == 0 })
+		eventually(t, "host idle", func() bool { return r.hostAt(a.Address).Router.Status().Active == 0 })
 	}
 }
 
--- a/router/faults_test.go
+++ b/router/faults_test.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		s.id = a.OncePrefix + unique
-		s.owner, s.witness = r.node(a.Address), r.node(a.Witness)
+		s.owner, s.witness = r.hostAt(a.Address), r.hostAt(a.Witness)
 	}
 	must.NotNil(t, s.owner)
 	for _, n := range r.StartedHosts {
--- a/router/forward.go
+++ b/router/forward.go
@@ -145,7 +145,8 @@
 	return recordProblem(r.owner.Query(id))
 }
 
-// serveQuery returns the outcome of a request that this host owns to another host.
+// serveQuery answers another host with the outcome of a request that this host
+// owns.
 func (r *Router) serveQuery(w http.ResponseWriter, req *http.Request) {
 	id, err := once.ParseID(mux.Vars(req)["id"])
 	if err != nil || id.Owner != r.Self.Incarnation {
--- a/router/helpers_test.go
+++ b/router/helpers_test.go
@@ -96,7 +96,7 @@
 }
 
 // newTestCluster starts a cluster of three hosts in three zones.
-func newTestCluster(t testing.TB, tune func(*router.Router)) *testCluster {
+func newTestCluster(t testing.TB, configure func(*router.Router)) *testCluster {
 	r := &testCluster{gates: make(map[string]*gate)}
 	r.Cluster = &dev.Cluster{
 		Declaration: parse(t), Hosts: 3, StepTime: time.Millisecond,
@@ -108,8 +108,8 @@
 			// Long enough that hosts do not suspect each other on a busy machine.
 			x.HeartbeatInterval, x.WitnessTimeout = 200*time.Millisecond, 3*time.Second
 			x.MaxAge = 200 * time.Millisecond
-			if tune != nil {
-				tune(x)
+			if configure != nil {
+				configure(x)
 			}
 		},
 	}
@@ -121,7 +121,7 @@
 	return r
 }
 
-// address queries a node for the addresses of workspace w.
+// address queries a host for the addresses of workspace w.
 func (r *testCluster) address(t testing.TB, n *dev.Host) fleet.Answer {
 	resp, err := http.Get("http://" + n.Address + router.PathAddress + "?workspace=w")
 	must.NoError(t, err)
@@ -131,8 +131,8 @@
 	return a
 }
 
-// node returns the running host at an address.
-func (r *testCluster) node(address string) *dev.Host {
+// hostAt returns the host that was started last at an address.
+func (r *testCluster) hostAt(address string) *dev.Host {
 	for i := len(r.StartedHosts) - 1; i >= 0; i-- {
 		if r.StartedHosts[i].Address == address {
 			return r.StartedHosts[i]
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// gateOf returns the gate of a node.
+// gateOf returns the gate of a host.
 func (r *testCluster) gateOf(n *dev.Host) *gate { return r.gates[n.Router.Self.Name] }
 
 // reply is the answer to a request.
--- a/router/local.go
+++ b/router/local.go
@@ -16,8 +16,8 @@
 type localAnswer struct {
 	// Revision is the revision of the settings in force.
 	Revision uint64 `json:"revision"`
-	// Candidate says whether the host should try to hold the placement of the
-	// queried zone.
+	// Candidate says whether the host should try to acquire the lease of the
+	// queried zone's placement.
 	Candidate bool `json:"candidate"`
 }
 
@@ -30,7 +30,7 @@
 
 // LocalClient is a placer's client of the router on the same host.
 type LocalClient struct {
-	// Address is the router's IP number and port.
+	// Address is the router's IP address and port.
 	Address string
 
 	peers *peerClient
@@ -45,7 +45,7 @@
 func (l *LocalClient) Peer() revision.Peer { return l.peers }
 
 // QueryZone returns the revision of the router's settings and whether this host
-// should try to hold the placement of a zone.
+// should try to acquire the lease of a zone's placement.
 func (l *LocalClient) QueryZone(ctx context.Context, zone string) (rev uint64, candidate bool, err error) {
 	var a localAnswer
 	err = l.peers.decode(ctx, http.MethodGet, l.Address, pathLocal+"?zone="+url.QueryEscape(zone), nil, &a)
--- a/router/peers.go
+++ b/router/peers.go
@@ -65,7 +65,7 @@
 	return json.Unmarshal(b, out)
 }
 
-// Heartbeat implements fleet.Caller.
+// Heartbeat implements fleet.Transport.
 func (c *peerClient) Heartbeat(ctx context.Context, address string, hb *fleet.Heartbeat) (*fleet.Heartbeat, error) {
 	var ans fleet.Heartbeat
 	return &ans, c.decode(ctx, http.MethodPost, address, pathHeartbeat, hb, &ans)
--- a/router/resume.go
+++ b/router/resume.go
@@ -44,15 +44,15 @@
 		problem.Write(w, problem.Lost(problem.NoEndpoint, endpointName, "ask "+PathOutcome+"{id}", "endpoint %q is not declared", endpointName))
 		return
 	}
-	a := r.reclaimStream(id)
+	engineReq := r.reclaimStream(id)
 	s, err := engine.Resume(req.Context(), id.String(), from)
 	if err != nil {
 		problem.Write(w, problem.Lost(problem.EndpointLost, endpointName, "resubmit under a new ID if running twice does no harm", "%v", err))
 		return
 	}
 	checked := &endpoint.CheckedStream{Stream: s, ID: id.String(), NextSeq: from}
-	if a != nil {
-		r.streamAnswer(w, req, a, checked)
+	if engineReq != nil {
+		r.streamAnswer(w, req, engineReq, checked)
 		return
 	}
 	r.streamOrphan(w, endpointName, checked)
@@ -63,12 +63,12 @@
 func (r *Router) reclaimStream(id once.ID) *engineRequest {
 	r.onceMu.Lock()
 	defer r.onceMu.Unlock()
-	a := r.active[id.String()]
-	if a == nil || a.cancelTimer == nil || !a.cancelTimer.Stop() {
+	engineReq := r.active[id.String()]
+	if engineReq == nil || engineReq.cancelTimer == nil || !engineReq.cancelTimer.Stop() {
 		return nil
 	}
-	a.cancelTimer = nil
-	return a
+	engineReq.cancelTimer = nil
+	return engineReq
 }
 
 // streamOrphan passes the stream of a request whose owner cannot be reached to
--- a/router/router.go
+++ b/router/router.go
@@ -82,8 +82,7 @@
 	Trace func(s Stage, id string)
 	// Log logs changes of state.
 	Log logr.Logger
-	// Clock is the host's clock; nil means a clock that includes the time for which
-	// the machine was suspended.
+	// Clock is the host's clock; nil means one that counts suspensions of the host.
 	Clock *clock.Clock
 
 	once               sync.Once
@@ -265,7 +264,7 @@
 func (r *Router) liveHostCount() int { return max(1, len(r.liveHosts())) }
 
 // hostsPerRole is the number of hosts per zone that watch the settings' head, and
-// the number of those that try to hold the zone's placement.
+// the number of those that try to acquire the lease of the zone's placement.
 const hostsPerRole = 2
 
 // hasRole reports whether this host has a role for a zone. The first hostsPerRole
@@ -293,8 +292,8 @@
 // isRelay reports whether this host watches the settings' head for its zone.
 func (r *Router) isRelay() bool { return r.hasRole("relay", r.Self.Zone) }
 
-// IsPlacerCandidate reports whether this host should try to hold the placement of
-// a zone.
+// IsPlacerCandidate reports whether this host should try to acquire the lease of a
+// zone's placement.
 func (r *Router) IsPlacerCandidate(zone string) bool { return r.hasRole("placer/", zone) }
 
 // Snapshot returns the settings in force, or nil if there are none yet.
