--- a/settings/yaml.go
+++ b/settings/yaml.go
@@ -176,14 +176,14 @@
 	})
 }
 
-// members reads the named children of one section, which is at path at.
-func (r *reader) members(n *yaml.Node, at string, level Level) {
-	r.fields(n, at, func(k, v *yaml.Node) {
+// members reads the named children of the section at sectionPath.
+func (r *reader) members(n *yaml.Node, sectionPath string, level Level) {
+	r.fields(n, sectionPath, func(k, v *yaml.Node) {
 		if !validName(k.Value) {
-			r.fault(k, joinPath(at, k.Value), "not a valid name", "use 1 to 64 letters, digits, '-', '_' or '.'")
+			r.fault(k, joinPath(sectionPath, k.Value), "not a valid name", "use 1 to 64 letters, digits, '-', '_' or '.'")
 			return
 		}
-		node := joinPath(at, k.Value)
+		node := joinPath(sectionPath, k.Value)
 		r.add(k, Entry{Node: node})
 		if childSections(level) == nil && level != LevelTier {
 			r.values(v, node, level)
