--- a/outcome/cause.go
+++ b/outcome/cause.go
@@ -23,8 +23,8 @@
 	CallerLeft Loss = "caller left"
 	// EndpointFault means that the endpoint failed or did not complete its answer.
 	EndpointFault Loss = "endpoint fault"
-	// NoSlot means that the host refused the request for a time (status 503), as when no
-	// endpoint had a free slot in time.
+	// NoSlot means that the host refused the request temporarily (status 503), for instance
+	// because no endpoint had a free slot in time.
 	NoSlot Loss = "no place"
 	// OverQuota means that the request was refused because its workspace had used up its quota.
 	OverQuota Loss = "over amount"
@@ -43,7 +43,7 @@
 
 // Loss returns the loss of a request, given the event that ended it.
 func (e *Event) Loss() Loss {
-	nearItsDeadline := e.LeftMS <= nearDeadlineMS
+	nearDeadline := e.LeftMS <= nearDeadlineMS
 	switch {
 	case e.Outcome == Served && e.ObjectiveMS > 0 && e.FirstEventMS > e.ObjectiveMS:
 		return LateFirstEvent
@@ -61,7 +61,7 @@
 		return InvalidRequest
 	case e.Outcome == EndpointFailed:
 		return EndpointFault
-	case nearItsDeadline:
+	case nearDeadline:
 		return DeadlineMissed
 	case e.Outcome == CallerGone:
 		return CallerLeft
--- a/outcome/story.go
+++ b/outcome/story.go
@@ -107,9 +107,9 @@
 		return "No line tells of this request: it went well, it never came to these hosts, or its line was dropped (look for \"lines dropped\")."
 	}
 	e := &events[len(events)-1]
-	nearItsDeadline := e.LeftMS <= nearDeadlineMS
+	nearDeadline := e.LeftMS <= nearDeadlineMS
 	switch {
-	case (e.Outcome == CallerGone || e.Outcome == Truncated) && nearItsDeadline:
+	case (e.Outcome == CallerGone || e.Outcome == Truncated) && nearDeadline:
 		return fmt.Sprintf("The answer of endpoint %s was not whole by the deadline; %d events had come.", e.Endpoint, e.Events)
 	case e.Outcome == CallerGone:
 		return "The caller left before its answer was whole."
