--- a/endpoint/http.go
+++ b/endpoint/http.go
@@ -158,7 +158,7 @@
 	body     io.ReadCloser
 	buf      *bufio.Reader
 	id       string
-	prefix   []byte // first bytes of the data of each piece but the last
+	prefix   []byte // first bytes of the data of a piece of this stream
 	longLine []byte // buffer for lines longer than buf
 }
 
