--- a/client/client.go
+++ b/client/client.go
@@ -20,7 +20,7 @@
 	"github.com/heathkeel/heathkeel/router"
 )
 
-// Default values of a Client's fields, and its other constants.
+// Defaults of a Client.
 const (
 	// DefaultMaxAttempts is the default of Client.MaxAttempts.
 	DefaultMaxAttempts = 4
@@ -34,8 +34,8 @@
 	Seeds []string
 	// Workspace is the full name of the workspace.
 	Workspace string
-	// HTTP sends the requests; nil means a client of its own. Its transport must not be one
-	// that silently repeats requests.
+	// HTTP sends the requests; nil means a client of its own. Its transport must not be
+	// shared with requests that may be repeated silently.
 	HTTP *http.Client
 	// MaxAttempts is the largest number of attempts for one request; 0 means
 	// DefaultMaxAttempts.
