--- a/placer/demand.go
+++ b/placer/demand.go
@@ -4,8 +4,8 @@
 
 package placer
 
-// Constants of demand. A model whose engines are overloaded slowly gets engines that no
-// placement needs. They are taken back more slowly still, so that reports that lag do not
+// Constants of demand. Engines that no placement needs are given slowly to models whose
+// engines are overloaded, and taken back more slowly still, so that reports that lag do not
 // make models flap.
 const (
 	// highLoad and lowLoad are thresholds of the load of a model's engines, which is the
@@ -51,10 +51,10 @@
 // noteReports updates the demand of all placements with the reports of one sweep.
 func (ds zoneDemand) noteReports(placements []DesiredPlacement, engines []Engine) {
 	for i := range placements {
-		w := &placements[i]
+		pl := &placements[i]
 		busy, slots := 0, 0
 		for _, e := range engines {
-			if e.Reachable && sameModel(e.Loaded, w.modelSpec()) && e.Role != RoleDrain {
+			if e.Reachable && sameModel(e.Loaded, pl.modelSpec()) && e.Role != RoleDrain {
 				busy += e.Busy
 				slots += e.Slots
 			}
@@ -62,10 +62,10 @@
 		if slots == 0 {
 			continue
 		}
-		d := ds[w.Name]
+		d := ds[pl.Name]
 		if d == nil {
 			d = &modelDemand{}
-			ds[w.Name] = d
+			ds[pl.Name] = d
 		}
 		d.noteLoad(float64(busy) / float64(slots))
 		d.extraReplicas = min(d.extraReplicas, len(engines))
@@ -81,15 +81,15 @@
 // declared placement needs.
 func (ds zoneDemand) extraPlacements(placements []DesiredPlacement) []DesiredPlacement {
 	var out []DesiredPlacement
-	for _, w := range placements {
-		d := ds[w.Name]
-		if d == nil || d.extraReplicas == 0 || w.Replicas == 0 {
+	for _, pl := range placements {
+		d := ds[pl.Name]
+		if d == nil || d.extraReplicas == 0 || pl.Replicas == 0 {
 			continue
 		}
-		w.Name += " (demand)"
-		w.Replicas = d.extraReplicas
-		w.Rank += extraRankOffset
-		out = append(out, w)
+		pl.Name += " (demand)"
+		pl.Replicas = d.extraReplicas
+		pl.Rank += extraRankOffset
+		out = append(out, pl)
 	}
 	return out
 }
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -137,7 +137,7 @@
 }
 
 // runInZone runs a test in a new zone on fake time.
-func runInZone(t *testing.T, engines int, held, fenced bool, run func(b *testZone)) {
+func runInZone(t *testing.T, engines int, held, fenced bool, run func(z *testZone)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -311,7 +311,7 @@
 	})
 }
 
-// TestSuspendedLeaseHolder checks that a holder whose host was suspended takes its lease as
+// TestSuspendedLeaseHolder checks that a holder whose host was suspended treats its lease as
 // expired, although the process's own clock did not advance during the suspension.
 func TestSuspendedLeaseHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/placer/guard.go
+++ b/placer/guard.go
@@ -11,8 +11,8 @@
 // and a new holder first waits for a guard time. One fault remains possible, as
 // docs/OPERATIONS.md says: an order that the network delays for longer than the guard time.
 
-// unfencedShare is the first part of a lease's TTL, as a share, in which unfenced engines
-// may be ordered.
+// unfencedShare is the share of a lease's TTL, counted from the last renewal, in which
+// unfenced engines may be ordered.
 const unfencedShare = 1.0 / 2
 
 // guardTTLs is the time that a new holder waits before it orders an unfenced engine, in
--- a/placer/lease.go
+++ b/placer/lease.go
@@ -34,8 +34,8 @@
 	Holder string
 	// TTL is the time to live of the lease; 0 means DefaultTTL.
 	TTL time.Duration
-	// Clock is the host's clock. Like the clock of the key-value service, it counts the
-	// time in which the host was suspended.
+	// Clock is the host's clock. It counts suspensions of the host, because the lease expires
+	// at the key-value service during a suspension, too.
 	Clock *clock.Clock
 
 	leaseID  keyval.Lease
@@ -112,7 +112,7 @@
 // errHeldElsewhere means that another host holds the shard.
 var errHeldElsewhere = errors.New("placer: another host holds the shard")
 
-// recoverClaim continues an own acquisition whose answer was lost. The lease may be about
+// recoverClaim continues an acquisition by this host whose answer was lost. The lease may be about
 // to expire, so that it does not count as held before a renewal has been answered.
 func (l *Lease) recoverClaim(item keyval.Item) error {
 	if string(item.Value) != l.Holder || l.leaseID == 0 {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -18,7 +18,7 @@
 	"github.com/heathkeel/heathkeel/settings"
 )
 
-// Default values of a Placer's fields, and its other constants.
+// Defaults and limits of a Placer.
 const (
 	// DefaultSweepInterval is the time between two readings of all engines of the zone.
 	DefaultSweepInterval = 2 * time.Second
@@ -54,8 +54,7 @@
 	// TTL and SweepInterval default to the constants of this package.
 	TTL           time.Duration
 	SweepInterval time.Duration
-	// Clock is the host's clock; nil means one that counts the time in which the host was
-	// suspended.
+	// Clock is the host's clock; nil means one that counts suspensions of the host.
 	Clock *clock.Clock
 	// Log receives changes of state.
 	Log logr.Logger
@@ -145,7 +144,7 @@
 	}
 	p.mu.Lock()
 	if had && p.lease.token == 0 {
-		// A sweep has learnt in the meantime that another host holds a newer token.
+		// A sweep has learned in the meantime that another host holds a newer token.
 		l.token = 0
 	}
 	p.lease = l
@@ -328,14 +327,14 @@
 func (p *Placer) countUnplaced(placements []DesiredPlacement, engines []Engine) {
 	n := 0
 	for i := range placements {
-		w := &placements[i]
+		pl := &placements[i]
 		have := 0
 		for _, e := range engines {
-			if e.Reachable && sameModel(e.Loaded, w.modelSpec()) && e.Role == w.Role {
+			if e.Reachable && sameModel(e.Loaded, pl.modelSpec()) && e.Role == pl.Role {
 				have++
 			}
 		}
-		n += max(0, w.Replicas-have)
+		n += max(0, pl.Replicas-have)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -87,8 +87,8 @@
 }
 
 // modelSpec returns the model that an engine of the placement holds.
-func (w *DesiredPlacement) modelSpec() *endpoint.ModelSpec {
-	return &endpoint.ModelSpec{Model: w.Model, Version: w.Version, Adapters: w.Adapters}
+func (pl *DesiredPlacement) modelSpec() *endpoint.ModelSpec {
+	return &endpoint.ModelSpec{Model: pl.Model, Version: pl.Version, Adapters: pl.Adapters}
 }
 
 // sameModel reports whether a and b are the same model, version and adapters.
@@ -138,21 +138,21 @@
 // assignCurrent assigns engines that hold or are loading what a placement needs.
 func (p *planner) assignCurrent() {
 	for i := range p.placements {
-		w := &p.placements[i]
-		missing := w.Replicas
+		pl := &p.placements[i]
+		missing := pl.Replicas
 		for _, loading := range []bool{false, true} {
 			for _, e := range p.engines {
 				h := e.Loaded
 				if loading {
 					h = e.Loading
 				}
-				if _, used := p.assigned[e.Name]; used || missing == 0 || !sameModel(h, w.modelSpec()) {
+				if _, used := p.assigned[e.Name]; used || missing == 0 || !sameModel(h, pl.modelSpec()) {
 					continue
 				}
 				missing--
 				p.assigned[e.Name] = i
-				if !loading && e.Role != w.Role {
-					p.orders = append(p.orders, Order{Engine: e.Name, Want: w.modelSpec(), Role: w.Role})
+				if !loading && e.Role != pl.Role {
+					p.orders = append(p.orders, Order{Engine: e.Name, Want: pl.modelSpec(), Role: pl.Role})
 				}
 			}
 		}
@@ -162,8 +162,8 @@
 // countAssigned counts the engines assigned to a placement.
 func (p *planner) countAssigned(i int) int {
 	n := 0
-	for _, w := range p.assigned {
-		if w == i {
+	for _, assigned := range p.assigned {
+		if assigned == i {
 			n++
 		}
 	}
@@ -172,17 +172,17 @@
 
 // assignMissing assigns engines to the missing replicas of a placement.
 func (p *planner) assignMissing(i int) {
-	w := &p.placements[i]
-	if p.now < w.RetryAt || p.tooManyErrors(w) {
+	pl := &p.placements[i]
+	if p.now < pl.RetryAt || p.tooManyErrors(pl) {
 		return
 	}
-	missing := w.Replicas - p.countAssigned(i)
-	allowed := p.replaceable(w)
-	for _, e := range p.candidates(w) {
+	missing := pl.Replicas - p.countAssigned(i)
+	allowed := p.replaceable(pl)
+	for _, e := range p.candidates(pl) {
 		if missing <= 0 || p.loads >= p.limits.MaxLoads {
 			return
 		}
-		older := e.Loaded != nil && e.Loaded.Model == w.Model
+		older := e.Loaded != nil && e.Loaded.Model == pl.Model
 		if p.lastServing(e) || (older && allowed <= 0) {
 			continue
 		}
@@ -191,25 +191,25 @@
 		if older {
 			allowed--
 		}
-		p.drainOrLoad(e, w)
+		p.drainOrLoad(e, pl)
 	}
 }
 
 // drainOrLoad orders an engine to drain or, once it is idle and drained for long enough, to
 // load.
-func (p *planner) drainOrLoad(e Engine, w *DesiredPlacement) {
+func (p *planner) drainOrLoad(e Engine, pl *DesiredPlacement) {
 	p.loads++
 	if e.Loaded != nil && (e.Busy > 0 || e.Role != RoleDrain || e.DrainTime < p.limits.MinDrainTime) {
 		p.orders = append(p.orders, Order{Engine: e.Name, Want: e.Loaded, Role: RoleDrain})
 		return
 	}
-	p.orders = append(p.orders, Order{Engine: e.Name, Want: w.modelSpec(), Role: w.Role, Load: true})
+	p.orders = append(p.orders, Order{Engine: e.Name, Want: pl.modelSpec(), Role: pl.Role, Load: true})
 }
 
 // candidates returns the engines that may be assigned to a placement, the best first:
 // engines that drain already, then empty ones, which cost nothing, then those with another
 // version of the model, which is to be replaced, then the others.
-func (p *planner) candidates(w *DesiredPlacement) []Engine {
+func (p *planner) candidates(pl *DesiredPlacement) []Engine {
 	var out []Engine
 	for _, e := range p.engines {
 		if _, used := p.assigned[e.Name]; used || e.Loading != nil {
@@ -223,7 +223,7 @@
 			return 0
 		case e.Loaded == nil:
 			return 1
-		case e.Loaded.Model == w.Model:
+		case e.Loaded.Model == pl.Model:
 			return 2
 		}
 		return 3
@@ -238,7 +238,7 @@
 	if e.Loaded == nil || e.Role == RoleDrain {
 		return false
 	}
-	wanted := slices.ContainsFunc(p.placements, func(w DesiredPlacement) bool { return w.Model == e.Loaded.Model && w.Replicas > 0 })
+	wanted := slices.ContainsFunc(p.placements, func(pl DesiredPlacement) bool { return pl.Model == e.Loaded.Model && pl.Replicas > 0 })
 	if !wanted {
 		return false
 	}
@@ -257,13 +257,13 @@
 
 // replaceable returns how many more engines that serve a placement's model may be taken out
 // of service now.
-func (p *planner) replaceable(w *DesiredPlacement) int {
+func (p *planner) replaceable(pl *DesiredPlacement) int {
 	n, out := 0, 0
 	for _, e := range p.engines {
-		if e.Loading != nil && e.Loading.Model == w.Model {
+		if e.Loading != nil && e.Loading.Model == pl.Model {
 			out++
 		}
-		if e.Loaded != nil && e.Loaded.Model == w.Model {
+		if e.Loaded != nil && e.Loaded.Model == pl.Model {
 			n++
 		}
 	}
@@ -272,10 +272,10 @@
 
 // tooManyErrors reports whether the engines that hold a placement's version fail more
 // requests than the limits allow.
-func (p *planner) tooManyErrors(w *DesiredPlacement) bool {
+func (p *planner) tooManyErrors(pl *DesiredPlacement) bool {
 	var served, failed int64
 	for _, e := range p.engines {
-		if sameModel(e.Loaded, w.modelSpec()) {
+		if sameModel(e.Loaded, pl.modelSpec()) {
 			served += e.Served
 			failed += e.Errors
 		}
