--- a/outcome/budget.go
+++ b/outcome/budget.go
@@ -26,25 +26,25 @@
 
 // Allow reports whether a line may be written now. If so, it also returns the number of
 // lines dropped since the last line that was allowed.
-func (b *LineLimiter) Allow(now time.Duration) (dropped int64, ok bool) {
-	rate, burst := b.Rate, b.Burst
+func (l *LineLimiter) Allow(now time.Duration) (dropped int64, ok bool) {
+	rate, burst := l.Rate, l.Burst
 	if rate <= 0 {
 		rate = defaultRate
 	}
 	if burst <= 0 {
 		burst = defaultBurst
 	}
-	if !b.started {
-		b.started, b.tokens = true, burst
+	if !l.started {
+		l.started, l.tokens = true, burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*(now-b.lastRefill).Seconds())
+		l.tokens = min(burst, l.tokens+rate*(now-l.lastRefill).Seconds())
 	}
-	b.lastRefill = now
-	if b.tokens < 1 {
-		b.dropped++
+	l.lastRefill = now
+	if l.tokens < 1 {
+		l.dropped++
 		return 0, false
 	}
-	b.tokens--
-	dropped, b.dropped = b.dropped, 0
+	l.tokens--
+	dropped, l.dropped = l.dropped, 0
 	return dropped, true
 }
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -14,7 +14,7 @@
 
 // TestLineLimiter checks which lines a limiter allows in sequence and the counts of dropped lines that it returns.
 func TestLineLimiter(t *testing.T) {
-	b := LineLimiter{Rate: 2, Burst: 3}
+	l := LineLimiter{Rate: 2, Burst: 3}
 	cases := []struct {
 		name    string
 		at      time.Duration
@@ -32,7 +32,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			dropped, ok := b.Allow(tc.at)
+			dropped, ok := l.Allow(tc.at)
 			must.EqOp(t, tc.ok, ok)
 			must.EqOp(t, tc.dropped, dropped)
 		})
