--- a/placer/lease.go
+++ b/placer/lease.go
@@ -112,8 +112,8 @@
 // errHeldElsewhere means that another host holds the shard.
 var errHeldElsewhere = errors.New("placer: another host holds the shard")
 
-// recoverClaim continues an acquisition by this host whose answer was lost. The lease may be about
-// to expire, so that it does not count as held before a renewal has been answered.
+// recoverClaim continues an acquisition by this host whose answer was lost. The lease may
+// be about to expire, so that it does not count as held before a renewal has been answered.
 func (l *Lease) recoverClaim(item keyval.Item) error {
 	if string(item.Value) != l.Holder || l.leaseID == 0 {
 		return errHeldElsewhere
