--- a/cmd/hkbench/bound.go
+++ b/cmd/hkbench/bound.go
@@ -62,11 +62,11 @@
 // requests give way.
 func (a *boundArgs) printTables(w io.Writer, d *bound.Day) error {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	guessed := d.WithGuessedLengths()
+	guessedDay := d.WithGuessedLengths()
 	printRow := func(name string, include func(*bound.Request) bool) {
-		known := d.UpperBound(include)
-		if known.Worth > 0 {
-			fmt.Fprintf(tw, "%s\t%.0f\t%.3f\t%.3f\t%.3f\n", name, known.Worth, known.Earned/known.Worth, guessed.UpperBound(include).Bound/known.Worth, known.Bound/known.Worth)
+		result := d.UpperBound(include)
+		if result.Worth > 0 {
+			fmt.Fprintf(tw, "%s\t%.0f\t%.3f\t%.3f\t%.3f\n", name, result.Worth, result.Earned/result.Worth, guessedDay.UpperBound(include).Bound/result.Worth, result.Bound/result.Worth)
 		}
 	}
 	fmt.Fprintln(tw, "requests\tworth\tearned\tbound, lengths as guessed\tbound, lengths known")
--- a/cmd/hkbench/bound_test.go
+++ b/cmd/hkbench/bound_test.go
@@ -45,7 +45,7 @@
 	cases := []struct{ name, site, log, want string }{
 		{"a truncated log", boundSite, boundLine + boundLine[:80], "line 2"},
 		{"a log without traces", boundSite, "0.1 a started\n", "--trace"},
-		{"another site", string(other), boundLine, "give the site file that was played"},
+		{"another site", string(other), boundLine, "give the site file of the deployment that wrote the logs"},
 		{"no site file", "name = 1", boundLine, "no engines"},
 	}
 	for _, tc := range cases {
