--- a/cmd/hkctl/hosts.go
+++ b/cmd/hkctl/hosts.go
@@ -54,8 +54,8 @@
 // hostTimeout bounds one call to a host.
 const hostTimeout = 3 * time.Second
 
-// status prints the revision in force on each host, and returns an error if a host does
-// not answer or is behind the head revision.
+// status prints the revision in force on each host. If a host does not answer or is behind the
+// head revision, it returns an error, with which hkctl exits with code 1.
 func (inv *invocation) status(ctx context.Context) error {
 	list, err := inv.kv.List(ctx)
 	if err != nil {
