--- a/internal/bound/doc.go
+++ b/internal/bound/doc.go
@@ -4,8 +4,8 @@
 
 // Package bound computes an upper bound on what the requests of a day could earn with the engines
 // of that day: what a scheduler could earn that knows every length, speed and failure in advance
-// and can split requests. The comparison with what the hosts earned tells a lack of slots from
-// wrong decisions.
+// and can split requests. The comparison with what the hosts earned distinguishes a lack of
+// slots from wrong decisions.
 //
 // Requests come from the logs of hosts that trace all requests (requests.go), the model of the
 // engines from the caller (engine.go). The bound is that of a linear program, found by Lagrangian
