--- a/internal/link/proxy.go
+++ b/internal/link/proxy.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Silence stops forwarding on all open connections for good, without closing them, and returns how
-// many it silenced. New connections work.
+// Silence stops forwarding on all open connections permanently, without closing them, and returns
+// how many it silenced. New connections work.
 func (p *Proxy) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +190,8 @@
 	}
 }
 
-// forwardClose closes or resets the connection to which data was forwarded, as err tells.
+// forwardClose ends the connection to which data was forwarded: it closes the connection for writing
+// if err is io.EOF, and resets it otherwise.
 func (p *Proxy) forwardClose(to net.Conn, err error) {
 	t, ok := to.(*net.TCPConn)
 	if ok && errors.Is(err, io.EOF) {
