--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -136,7 +136,7 @@
 	return to, nil
 }
 
-// Heartbeat implements fleet.Caller. Messages are encoded as on the wire.
+// Heartbeat implements fleet.Transport. Messages are encoded as on the wire.
 func (n *Node) Heartbeat(ctx context.Context, address string, hb *fleet.Heartbeat) (*fleet.Heartbeat, error) {
 	to, err := n.reach(ctx, address)
 	if err != nil {
