--- a/internal/site/crash_test.go
+++ b/internal/site/crash_test.go
@@ -27,9 +27,11 @@
 
 // TestCrashingRequest guards against a request that crashes one endpoint after another. The caller
 // repeats it after each failure, under a new ID and at another host. The hosts take it for a new
-// request each time and each crash for a fault of that engine alone, so they send it to the next
-// engine. In one such case 74 of 370 short drafts failed within 16 s; all 39 engines that lost
-// sends had received such a request 76 to 474 ms before.
+// request each time and each crash for a fault of that engine alone: they avoid that engine and
+// choose the next one as for any request. In one such case 74 of 370 short drafts failed within
+// 16 s, while engine after engine ended and was restarted (26 and 15 of 18) as one request with the
+// same workspace, path and body was sent again and again. All 39 engines that lost sends had
+// received such a request 76 to 474 ms before, and each host had sent it once under each ID.
 //
 // A caller repeats the request at all hosts in turn until three endpoints have crashed, and ten
 // times more after the contact time, while others send requests.
--- a/internal/site/late_crash_test.go
+++ b/internal/site/late_crash_test.go
@@ -18,10 +18,10 @@
 
 // TestLateCrashingRequest guards against a request that crashes its endpoint only after it has run
 // for a while. A crash after 1.5 s proves little while other endpoints crash each second by chance,
-// so the surprisal of the crashes stays below the threshold and the request is sent on: 5 and 7
-// endpoints got such requests later than the contact time after the third crash, where three are
-// allowed, and 7 to 10 crashed. The number of sends must be limited even while the evidence is
-// weak.
+// so the surprisal of the crashes stays below the threshold and the request is sent on, although all
+// hosts learn of every crash: 5 and 7 sends reached endpoints later than the contact time after the
+// third crash, where three are allowed, and 7 to 10 endpoints crashed. The number of sends must be
+// limited even while the evidence is weak.
 //
 // Three callers repeat such requests at all hosts in turn. Their interval is more than half the
 // contact time, so that sends continue beyond it after the third crash. Other callers send requests
--- a/internal/site/records_test.go
+++ b/internal/site/records_test.go
@@ -17,7 +17,7 @@
 	"github.com/heathkeel/heathkeel/quarantine"
 )
 
-// restartAll kills all hosts at the same moment, restarts them, and waits until they serve
+// restartAll kills all hosts at the same time, restarts them, and waits until they serve
 // requests.
 func (f *crashingSite) restartAll(t *testing.T) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	f.awaitServing(t)
 }
 
-// TestHoldsSurviveRestartOfAllHosts kills all hosts at the same moment after a request was held. On
+// TestHoldsSurviveRestartOfAllHosts kills all hosts at the same time after a request was held. On
 // start they must read the hold from the store, so that the request reaches no endpoint again.
 // After its release the request runs, and its record is removed.
 func TestHoldsSurviveRestartOfAllHosts(t *testing.T) {
@@ -79,7 +79,7 @@
 	})
 }
 
-// TestTrialsSurviveRestartOfAllHosts kills all hosts at the same moment after three endpoints have
+// TestTrialsSurviveRestartOfAllHosts kills all hosts at the same time after three endpoints have
 // crashed under a request, and again before each further send of it. The request must get three
 // further sends in all.
 func TestTrialsSurviveRestartOfAllHosts(t *testing.T) {
--- a/internal/site/store.go
+++ b/internal/site/store.go
@@ -44,7 +44,7 @@
 	Removed bool `json:"gone,omitempty"`
 }
 
-// Store is a stand-in of the platform's store.
+// Store is a fake of the platform's store.
 type Store struct {
 	mu             sync.Mutex
 	items          map[string]StoreItem
--- a/internal/site/suspensions_test.go
+++ b/internal/site/suspensions_test.go
@@ -221,7 +221,7 @@
 	}
 }
 
-// TestSuspensionsAtRandom plays random scenarios with suspensions. No request may run later than
+// TestSuspensionsAtRandom runs random scenarios with suspensions. No request may run later than
 // the revocation time after its key was withdrawn, by the host's clock, which counts suspensions,
 // and no refusal may be untrue. HEATHKEEL_SEEDS sets the number of scenarios.
 func TestSuspensionsAtRandom(t *testing.T) {
--- a/internal/site/trial_test.go
+++ b/internal/site/trial_test.go
@@ -13,9 +13,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestTrialsAreCounted sends a request to all hosts at the same moments after three endpoints have
+// TestTrialsAreCounted sends a request to all hosts at the same times after three endpoints have
 // crashed under it. All hosts together may send it three times more, and not at all while the store
-// does not tell how many trials are left. Callers must get a truthful refusal.
+// does not state how many trials are left. Callers must get a truthful refusal.
 func TestTrialsAreCounted(t *testing.T) {
 	cases := []struct {
 		name  string
