--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -3,7 +3,7 @@
 // license that can be found in the LICENSE file.
 
 // Package soak is a randomized test of the real programs. It starts hkedge as separate processes on
-// loopback, with stand-ins of the platform's store and of endpoints behind them and callers in
+// loopback, with fakes of the platform's store and of endpoints behind them and callers in
 // front of them. It injects faults from outside: proxies that delay, stall, reset and silence
 // connections, signals, changes of settings, a store that fails, and endpoints that fail and leave.
 // The promises are checked against what callers and endpoints see.
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -57,7 +57,7 @@
 	{"endpoint-fails", (*faultInjector).endpointFails},
 	{"endpoint-leaves", (*faultInjector).endpointLeaves},
 	{"endpoint-leaves", (*faultInjector).endpointLeaves},
-	{"settings", (*faultInjector).changeSettings},
+	{"settings", (*faultInjector).changeConfigRepeatedly},
 }
 
 // run begins faults until ctx ends, and then waits for the pending ones.
@@ -227,13 +227,13 @@
 		site.WrongAnswer, site.Unframed, site.UnframedReset, site.HangEvent, site.SkipEvent, site.DoubleEvent, site.Closing, site.Interim,
 	}
 	m := c.randomEndpoint()
-	var some []site.Fault
+	var injected []site.Fault
 	for range 1 + c.rand.IntN(5) {
-		some = append(some, list[c.rand.IntN(len(list))])
+		injected = append(injected, list[c.rand.IntN(len(list))])
 	}
 	return func() {
 		defer m.beginDisturbance()()
-		m.SetFaults(some...)
+		m.SetFaults(injected...)
 		time.Sleep(time.Second)
 	}
 }
@@ -272,8 +272,8 @@
 	m.Stop()
 }
 
-// changeSettings changes the configuration up to three times in a row, often with new keys.
-func (c *faultInjector) changeSettings() func() {
+// changeConfigRepeatedly changes the configuration up to three times in a row, often with new keys.
+func (c *faultInjector) changeConfigRepeatedly() func() {
 	times, rotate := 1+c.rand.IntN(3), c.rand.IntN(2) == 0
 	return func() {
 		for range times {
@@ -293,11 +293,11 @@
 		c.fleet.store.Put(platform.KeyConfig, newConfig(c.configVersion, workspaceKeys(generation)))
 		return
 	}
-	both := newConfig(c.configVersion+1, workspaceKeys(generation))
+	withBothKeys := newConfig(c.configVersion+1, workspaceKeys(generation))
 	for i, k := range workspaceKeys(generation + 1) {
-		both.Tenants[i].Keys = append(both.Tenants[i].Keys, k)
+		withBothKeys.Tenants[i].Keys = append(withBothKeys.Tenants[i].Keys, k)
 	}
-	c.fleet.store.Put(platform.KeyConfig, both)
+	c.fleet.store.Put(platform.KeyConfig, withBothKeys)
 	time.Sleep(applyTime)
 	c.clients.rotateKeys()
 	time.Sleep(applyTime / 2)
--- a/internal/soak/leavers_test.go
+++ b/internal/soak/leavers_test.go
@@ -80,7 +80,7 @@
 	tasks         sync.WaitGroup
 }
 
-// playLeavers plays a run and calls round in each of its rounds.
+// playLeavers performs a run and calls round in each of its rounds.
 func playLeavers(t *testing.T, seed int, round func(l *leaverRun)) {
 	hosts := envInt(t, "HEATHKEEL_SOAK_HOSTS", leaverHosts)
 	f := newFleetWith(t, seed, fleetOptions{limits: largeFleetLimits, hosts: hosts, plain: leaverPlain, engines: leaverEngines, cores: []int{0}})
--- a/internal/soak/promises_test.go
+++ b/internal/soak/promises_test.go
@@ -142,9 +142,9 @@
 	var out []string
 	for _, s := range r.sent {
 		_, old := r.withdrawn[s.generation]
-		improper := s.status == http.StatusNotFound || s.status == http.StatusForbidden || s.status == http.StatusBadRequest
+		rejected := s.status == http.StatusNotFound || s.status == http.StatusForbidden || s.status == http.StatusBadRequest
 		// The first keys were in force before any host started.
-		if improper || (s.status == http.StatusUnauthorized && s.generation == 0 && !old) {
+		if rejected || (s.status == http.StatusUnauthorized && s.generation == 0 && !old) {
 			out = append(out, fmt.Sprintf("%s got %d", s.id, s.status))
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 	return n
 }
 
-// TestSoak plays one short run, or as many runs as HEATHKEEL_SOAK says, each with its own seed.
+// TestSoak performs one short run, or as many runs as HEATHKEEL_SOAK says, each with its own seed.
 func TestSoak(t *testing.T) {
 	runs := envInt(t, "HEATHKEEL_SOAK", 0)
 	if runs == 0 {
@@ -66,7 +66,7 @@
 	timed       bool // also check timedPromises
 }
 
-// play plays a run and checks the promises.
+// play performs a run and checks the promises.
 func play(t *testing.T, r runOptions) {
 	f := newFleet(t, r.seed, r.hosts)
 	for _, h := range f.hosts {
