--- a/internal/trial/hosts.go
+++ b/internal/trial/hosts.go
@@ -28,7 +28,7 @@
 	redispatchUnsent(c *call)
 	// applyCacheEvent applies a cache event of an engine.
 	applyCacheEvent(e *engine, block uint64, evicted bool)
-	// tick is called every tickInterval, heartbeat every heartbeatInterval.
+	// tick is called every tickInterval (50 ms), heartbeat every heartbeatInterval.
 	tick()
 	heartbeat(others []host)
 }
