--- a/peers/crashes_test.go
+++ b/peers/crashes_test.go
@@ -122,7 +122,7 @@
 				f := r.Fingerprint()
 				began := live[0].now()
 				for i := range 3 {
-					live[i*len(live)/3].crash(f, fmt.Sprint("incarnation-", i))
+					live[i*len(live)/3].crash(f, fmt.Sprint("life-", i))
 				}
 				elapsed := timeUntilRefused(live, f, began)
 				t.Logf("all %d hosts refuse the request after %v", len(live), elapsed)
--- a/peers/histories_test.go
+++ b/peers/histories_test.go
@@ -277,7 +277,7 @@
 		}
 	}
 	h.incarnations++
-	incarnation := fmt.Sprint("incarnation-", h.incarnations)
+	incarnation := fmt.Sprint("life-", h.incarnations)
 	o := h.hosts[i]
 	ran := crashDelay
 	if h.lateCrash {
