--- a/clock/clock.go
+++ b/clock/clock.go
@@ -32,7 +32,7 @@
 }
 
 // New returns a clock that begins now. Where the kernel has no clock that counts suspensions, it is
-// the steady clock, and Whole returns false.
+// the steady clock, and CountsSuspension returns false.
 func New() *Clock {
 	if C.boot_time() < 0 {
 		return NewSteady()
@@ -74,11 +74,11 @@
 	return now, now - (c.steady() - c.steadyStart)
 }
 
-// Whole reports whether Now counts suspensions.
-func (c *Clock) Whole() bool { return c.countsSuspension }
+// CountsSuspension reports whether Now counts suspensions.
+func (c *Clock) CountsSuspension() bool { return c.countsSuspension }
 
-// Skewed returns a clock like this one that is ahead by offset, as if the host had been suspended for
+// WithOffset returns a clock like this one that is ahead by offset, as if the host had been suspended for
 // that long. It is for tests of hosts in one process, and for trying out the effect of a suspension.
-func (c *Clock) Skewed(offset func() time.Duration) *Clock {
+func (c *Clock) WithOffset(offset func() time.Duration) *Clock {
 	return newClock(func() time.Duration { return c.boot() + offset() }, c.steady, c.countsSuspension)
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -37,7 +37,7 @@
 	must.EqOp(t, 11*time.Second, c.Now())
 	must.EqOp(t, 8*time.Second, c.Suspended())
 	ahead := time.Minute
-	s := c.Skewed(func() time.Duration { return ahead })
+	s := c.WithOffset(func() time.Duration { return ahead })
 	ahead += time.Second
 	must.EqOp(t, time.Second, s.Now())
 	must.EqOp(t, time.Second, s.Suspended())
--- a/edge/host.go
+++ b/edge/host.go
@@ -150,7 +150,7 @@
 	for _, run := range []func(context.Context){h.followStore, h.agent.Run, h.runPeriodically, h.pollSettingsFile, h.fetchSettings, h.fetchEndpoints, h.maintainRecords} {
 		go run(ctx)
 	}
-	if !h.Clock.Whole() {
+	if !h.Clock.CountsSuspension() {
 		h.Log.Info("the clock does not count suspensions of the host; after a suspension its settings and endpoints look younger than they are")
 	}
 	h.Log.Info("started", "front", h.Boot.Front, "zone", h.Boot.Zone, "life", h.incarnation)
--- a/internal/simsite/site.go
+++ b/internal/simsite/site.go
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.kill, h.done, h.net = cancel, make(chan struct{}), s.Net.Host(h.Boot.IP)
 	h.net.Start()
-	h.Edge = &edge.Host{Boot: h.Boot, Clock: clock.NewSteady().Skewed(h.suspendedTime), Network: h.net, Log: s.Log}
+	h.Edge = &edge.Host{Boot: h.Boot, Clock: clock.NewSteady().WithOffset(h.suspendedTime), Network: h.net, Log: s.Log}
 	h.Boot.Bootstrap = false
 	go func(e *edge.Host, done chan struct{}) {
 		defer close(done)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -198,7 +198,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	restarted := &Host{Boot: h.Boot, Path: h.Path, Signals: make(chan os.Signal, 4), Done: make(chan struct{}), StoreProxy: h.StoreProxy, cancel: cancel}
 	s.Hosts = append(s.Hosts, restarted)
-	skewed := clock.New().Skewed(restarted.SuspendedTime)
+	skewed := clock.New().WithOffset(restarted.SuspendedTime)
 	e := &edge.Host{Boot: restarted.Boot, Path: restarted.Path, Trace: s.Trace, Log: s.Log, Clock: skewed}
 	runErr := make(chan error, 1)
 	go func() {
--- a/placer/faults_test.go
+++ b/placer/faults_test.go
@@ -316,7 +316,7 @@
 func TestSuspendedLeaseHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
-		c := clock.NewSteady().Skewed(func() time.Duration { return suspended })
+		c := clock.NewSteady().WithOffset(func() time.Duration { return suspended })
 		l := Lease{KV: &fake.KV{}, Key: "k", Holder: "a", Clock: c}
 		must.NoError(t, l.RenewOrAcquire(t.Context()))
 		time.Sleep(DefaultTTL - time.Second)
